--- a/cowslipcourse/admission/__init__.py
+++ b/cowslipcourse/admission/__init__.py
@@ -1,7 +1,7 @@
 """Which requests are let in: shares, priorities, deadlines and retries."""
 
 from cowslipcourse.admission.budget import (
-    SMALLEST_SITE,
+    MIN_DAEMON_COUNT,
     RetryBudget,
     SharedRetryBudget,
 )
@@ -14,7 +14,7 @@
 from cowslipcourse.admission.shares import max_min_shares
 
 __all__ = [
-    "SMALLEST_SITE",
+    "MIN_DAEMON_COUNT",
     "AdmissionControl",
     "AdmissionLimits",
     "CapacityView",
--- a/cowslipcourse/admission/budget.py
+++ b/cowslipcourse/admission/budget.py
@@ -2,9 +2,9 @@
 
 from collections import deque
 
-__all__ = ["SMALLEST_SITE", "RetryBudget", "SharedRetryBudget"]
+__all__ = ["MIN_DAEMON_COUNT", "RetryBudget", "SharedRetryBudget"]
 
-SMALLEST_SITE = 8
+MIN_DAEMON_COUNT = 8
 """Daemons that share a budget until it is known how many there are: the smallest sites
 of our users have that many."""
 SLACK_USED = 0.8
@@ -28,11 +28,11 @@
         """Retries that may be made now."""
         return self._tokens
 
-    def request(self):
+    def record_request(self):
         """Note a first attempt."""
         self._tokens = min(self._burst, self._tokens + self._ratio)
 
-    def take(self):
+    def try_take(self):
         """Take one retry from the budget and return whether it was there."""
         if self._tokens < 1.0:
             return False
@@ -53,17 +53,17 @@
         self.settings = settings
         self._requests = {}
         self._repeats = {}
-        self.daemons = SMALLEST_SITE
+        self.daemon_count = MIN_DAEMON_COUNT
 
-    def request(self, service, now):
+    def record_request(self, service, now):
         """Note a first attempt at a service."""
         self._recent(self._requests, service, now).append(now)
 
-    def take(self, service, now):
+    def try_take(self, service, now):
         """Take one repeat from the budget and return whether it was there."""
         repeats = self._recent(self._repeats, service, now)
         requests = self._recent(self._requests, service, now)
-        part = self.settings.slack * SLACK_USED / self.daemons
+        part = self.settings.slack * SLACK_USED / self.daemon_count
         if len(repeats) + 1 > self.settings.ratio * len(requests) + part:
             return False
         repeats.append(now)
--- a/cowslipcourse/admission/control.py
+++ b/cowslipcourse/admission/control.py
@@ -42,18 +42,18 @@
     :param slots: requests that the targets can run at once.
     :param in_flight: requests in flight by workspace, of all gateways.
     :param weights: share weight by workspace.
-    :param answer_s: recent mean seconds of a whole answer.
+    :param mean_answer_s: recent mean seconds of a whole answer.
     :param wait_s: expected seconds to the first token at the best target.
-    :param unseen: requests that the other gateways have probably let in since they
-        last reported; as many each as this one has.
+    :param estimated_unreported: requests that the other gateways have probably admitted
+        since their last reports; each is assumed to admit as many as this one.
     """
 
     slots: int
     in_flight: dict[str, int]
     weights: dict[str, float]
-    answer_s: float
+    mean_answer_s: float
     wait_s: float
-    unseen: int = 0
+    estimated_unreported: int = 0
 
 
 class AdmissionControl:
@@ -87,7 +87,7 @@
         if remaining_s is not None and view.wait_s > remaining_s:
             detail = f"the first token would take about {view.wait_s:.1f} s"
             raise DeadlinePassed(detail, self._come_back_s(view, 0.0))
-        total = sum(view.in_flight.values()) + view.unseen
+        total = sum(view.in_flight.values()) + view.estimated_unreported
         own = view.in_flight.get(workspace, 0)
         within = own < self._share(workspace, view)
         if not within:
@@ -113,7 +113,7 @@
 
     def _come_back_s(self, view, excess):
         """Time until the excess has drained at the recent rate, spread."""
-        per_s = view.slots / max(view.answer_s, 0.05)
+        per_s = view.slots / max(view.mean_answer_s, 0.05)
         drain_s = (excess + 1 + self._rng.random() * view.slots * 0.5) / per_s
         spread = 1 + self._limits.jitter * self._rng.random()
         return max(0.2, drain_s * spread)
--- a/cowslipcourse/controller/repair.py
+++ b/cowslipcourse/controller/repair.py
@@ -65,16 +65,18 @@
             departing = shard.changes.departing(spec)
             if departing and not shard.changes.is_quiet(spec):
                 continue
-            absent, doomed = {}, set(departing)
+            absent, unrecoverable = {}, set(departing)
             for name in spec.vm_names:
                 absent_s = shard.prober.absent_s(name)
                 if name not in shard.vms:
-                    doomed.add(name)
-                if name in doomed or absent_s >= shard.settings.repair.suspect_s:
+                    unrecoverable.add(name)
+                if name in unrecoverable or absent_s >= shard.settings.repair.suspect_s:
                     absent[name] = absent_s
             if absent:
                 names = spec.vm_names
-                broken.append(BrokenGroup(spec.group, names, absent, frozenset(doomed)))
+                broken.append(
+                    BrokenGroup(spec.group, names, absent, frozenset(unrecoverable))
+                )
         return broken
 
     def _view(self, declaration):
--- a/cowslipcourse/emulator/daemons.py
+++ b/cowslipcourse/emulator/daemons.py
@@ -120,7 +120,7 @@
         self.fleet.apply(changed, gone)
         if self.acts:
             self.coordinator.domains.see_entries(changed)
-            self.coordinator.domains.see_gone(gone)
+            self.coordinator.domains.mark_unlisted(gone)
 
     def take_news(self, news):
         """Take in what a coordinator has decided about a group."""
--- a/cowslipcourse/emulator/policies.py
+++ b/cowslipcourse/emulator/policies.py
@@ -5,7 +5,7 @@
 from cowslipcourse.entry import choosing, coordinator, silence
 from cowslipcourse.exceptions import ConfigurationError, Problem
 from cowslipcourse.groups import revision
-from cowslipcourse.groups.shape import MIXED
+from cowslipcourse.groups.shape import MIXED_ASSIGNMENT
 
 __all__ = ["POLICIES", "in_force"]
 
@@ -36,17 +36,17 @@
 
 def _without_revival():
     """Leave given-up groups to end."""
-    return _replaced(revision._Revision, "_revive", lambda self: None)
+    return _replaced(revision._Revision, "_reinstate_retired", lambda self: None)
 
 
 def _mixed_domains():
     """Let each domain serve all models, with two spares."""
-    return _replaced(coordinator, "choose_shape", lambda *args: MIXED)
+    return _replaced(coordinator, "assign_domain", lambda *args: MIXED_ASSIGNMENT)
 
 
 def _without_swaps():
     """Leave members that load or are slow in their groups."""
-    return _replaced(revision._Revision, "_swap_loading", lambda self: None)
+    return _replaced(revision._Revision, "_replace_loading_members", lambda self: None)
 
 
 def _least_loaded():
@@ -68,7 +68,7 @@
 
 def _without_practice():
     """Let spares join a group for the first time when they are needed."""
-    return _replaced(coordinator, "practice_step", lambda *args: None)
+    return _replaced(coordinator, "warmup_step", lambda *args: None)
 
 
 POLICIES = {
--- a/cowslipcourse/entry/attempts.py
+++ b/cowslipcourse/entry/attempts.py
@@ -76,7 +76,7 @@
         """
         loop = asyncio.get_running_loop()
         entry = run.entry
-        fresh = not call.route.may_repeat
+        fresh = not call.route.is_retryable
         key = _connection_key(entry)
         self._fleet.started(entry.id)
         connection = None
--- a/cowslipcourse/entry/balancing.py
+++ b/cowslipcourse/entry/balancing.py
@@ -2,11 +2,11 @@
 
 from cowslipcourse.adapters.log import get_logger
 from cowslipcourse.groups import (
-    choose_changes,
+    choose_reassignments,
     choose_standby,
     group_counts,
     is_present,
-    short_models,
+    underprovisioned_models,
 )
 
 __all__ = ["Balancing"]
@@ -70,7 +70,7 @@
 
     def _choose(self, spec, now):
         plans = self._table.plans
-        chosen = choose_changes(plans, spec.models, self._is_whole, self._held)
+        chosen = choose_reassignments(plans, spec.models, self._is_whole, self._held)
         if chosen and self._has_unused_engines(spec, now):
             return ()
         return tuple(chosen)
@@ -80,7 +80,7 @@
         return any(c.is_warm and c.domain in tended for c in self._changes)
 
     def changes(self, domain, now):
-        """Return the :class:`~cowslipcourse.groups.Change` list to begin in a domain.
+        """Return the :class:`~cowslipcourse.groups.Reassignment` list of a domain.
 
         None is begun by plans that may be outdated: another coordinator may have made
         a change that is enough.
@@ -115,7 +115,7 @@
     def _must_read(self, spec, now):
         """Whether a model is short, and the plans that are known may be outdated."""
         serving = self._serving(spec, now)
-        is_short = bool(short_models(serving, spec.models))
+        is_short = bool(underprovisioned_models(serving, spec.models))
         has_changed = serving != self._served_at_read
         age_s = self._table.age_s(now)
         if not is_short or age_s < (FRESH_S if has_changed else READ_AGAIN_S):
--- a/cowslipcourse/entry/coordinator.py
+++ b/cowslipcourse/entry/coordinator.py
@@ -19,18 +19,18 @@
 from cowslipcourse.entry.plan_table import PlanTable
 from cowslipcourse.exceptions import StoreError
 from cowslipcourse.groups import (
-    LoadLimit,
+    LoadRateLimiter,
     StepKind,
+    assign_domain,
     broken_groups,
-    choose_shape,
     choose_staging,
     engine_views,
-    models_waiting,
+    model_demands,
+    models_awaiting_members,
     next_steps,
-    practice_step,
-    revise,
-    spares_of,
-    wishes,
+    revise_plan,
+    spare_engines,
+    warmup_step,
 )
 from cowslipcourse.peers import GroupNews, OpenedHead
 from cowslipcourse.ports import EngineOrder, OrderName
@@ -66,7 +66,7 @@
         self._calls = EngineCalls(
             control,
             settings,
-            self.domains.see_report,
+            self.domains.update_from_report,
             self._look_at_links,
             self._note_opened,
         )
@@ -74,9 +74,9 @@
         self._links = OwnLinks(self.domains, self._calls)
         self._scope = scope
         self._tell = tell
-        self._table = PlanTable(store, self.domains.see_plan)
+        self._table = PlanTable(store, self.domains.update_from_plan)
         self._balancing = Balancing(tools, self.domains, self._table)
-        self._load_limit = LoadLimit()
+        self._load_limiter = LoadRateLimiter()
         self._investigated = {}
         self._tended = frozenset()
 
@@ -114,7 +114,7 @@
         log.info("group-suspected", group=group.name, epoch=group.epoch)
         for member in group.members:
             self._spawn_ask(plan.domain, member)
-        for engine in spares_of(plan, self.domains.by_name[plan.domain]):
+        for engine in spare_engines(plan, self.domains.by_name[plan.domain]):
             self._spawn_ask(plan.domain, engine.id)
 
     # The loop.
@@ -207,17 +207,17 @@
         known = self.domains.by_name
         places = {name: domain.data_centre for name, domain in known.items()}
         live = [e for e in known[domain].engines.values() if e.is_live]
-        held = [model for engine in live for model in engine.held]
-        return choose_shape(domain, self._table.plans, places, spec.models, held)
+        held = [model for engine in live for model in engine.warm_models]
+        return assign_domain(domain, self._table.plans, places, spec.models, held)
 
     async def _revise(self, domain, knowledge, spec, shape, now):
         plan = self._table.plan(domain)
         views = engine_views(plan, knowledge, self.settings.stall_s, now)
         sizes = {model.name: model.size for model in spec.models}
-        wanted = wishes(spec.models, self._table.plans.values())
+        wanted = model_demands(spec.models, self._table.plans.values())
         broken = broken_groups(plan, knowledge)
         changes = self._balancing.changes(domain, now)
-        groups = revise(plan, views, sizes, wanted, shape, broken, changes)
+        groups = revise_plan(plan, views, sizes, wanted, shape, broken, changes)
         if groups == plan.groups:
             return
         written = await self._table.replace(plan, groups)
@@ -260,8 +260,8 @@
             self._calls.order(engine, order, models)
 
     def _stage(self, plan, knowledge, spec, shape, now):
-        free = spares_of(plan, knowledge)
-        waiting = models_waiting(plan, knowledge)
+        free = spare_engines(plan, knowledge)
+        waiting = models_awaiting_members(plan, knowledge)
         models = [m for m in spec.models if shape.model in (None, m.name)]
         chosen = choose_staging(plan, free, models, waiting)
         if not waiting:
@@ -273,37 +273,39 @@
 
     def _load(self, domain, engine, model, spec, now):
         """Load a model onto an engine's host, unless it is there or on its way."""
-        if engine.staging is not None or model in engine.staged:
+        if engine.staging_model is not None or model in engine.staged:
             return
         if engine.order_count is None:
             self._spawn_ask(domain, engine.id)
         elif (
             self._table.is_confirmed(now)
             and not self._calls.is_busy(engine)
-            and self._load_limit.take(spec.loads_per_s, self._scope.coordinators, now)
+            and self._load_limiter.try_acquire(
+                spec.loads_per_s, self._scope.coordinators, now
+            )
         ):
-            engine.staging = model
+            engine.staging_model = model
             order = EngineOrder(OrderName.STAGE, engine.order_count, model=model)
             self._spawn_order(domain, engine.id, order, {})
 
     def _practise(self, plan, knowledge, shape, models):
         """Let spares join once, while nothing is under way in the domain."""
-        if models_waiting(plan, knowledge):
+        if models_awaiting_members(plan, knowledge):
             return
         served = [name for name in models if shape.model in (None, name)]
-        for engine in spares_of(plan, knowledge):
-            step = practice_step(plan, engine, served)
+        for engine in spare_engines(plan, knowledge):
+            step = warmup_step(plan, engine, served)
             if step is not None:
                 self._take_step(plan.domain, step, models)
 
     def _ask_silent(self, domain, knowledge, now):
         for engine in knowledge.engines.values():
-            if engine.silent_since is None or not engine.listed:
+            if engine.silent_since is None or not engine.is_listed:
                 continue
             if engine.is_replaced:
                 continue
-            if now - engine.asked_silent_at > SILENT_AGAIN_S:
-                engine.asked_silent_at = now
+            if now - engine.last_probed_at > SILENT_AGAIN_S:
+                engine.last_probed_at = now
                 self._spawn_ask(domain, engine.id)
 
 
--- a/cowslipcourse/entry/daemon.py
+++ b/cowslipcourse/entry/daemon.py
@@ -8,7 +8,7 @@
 
 from cowslipcourse.adapters.log import get_logger
 from cowslipcourse.adapters.web import WebServer
-from cowslipcourse.admission import SMALLEST_SITE, SharedRetryBudget
+from cowslipcourse.admission import MIN_DAEMON_COUNT, SharedRetryBudget
 from cowslipcourse.entry.attempts import Attempts
 from cowslipcourse.entry.census import CensusWatch
 from cowslipcourse.entry.coordinator import Coordinator
@@ -188,7 +188,7 @@
         """Apply changes to the list of targets."""
         self._fleet.apply(entries, gone)
         self._coordinator.domains.see_entries(entries)
-        self._coordinator.domains.see_gone(gone)
+        self._coordinator.domains.mark_unlisted(gone)
 
     # Peers.
 
@@ -237,7 +237,7 @@
 
     def _count_daemons(self, now):
         known = self._registry.number_known(now) + 1
-        self._tools.budget.daemons = max(known, SMALLEST_SITE)
+        self._tools.budget.daemon_count = max(known, MIN_DAEMON_COUNT)
 
     def take_news(self, news):
         """Take in what a coordinator has decided about a group."""
--- a/cowslipcourse/entry/domains.py
+++ b/cowslipcourse/entry/domains.py
@@ -3,7 +3,7 @@
 import asyncio
 
 from cowslipcourse.adapters.log import get_logger
-from cowslipcourse.groups import DomainKnowledge
+from cowslipcourse.groups import ObservedDomain
 
 __all__ = ["Domains"]
 
@@ -38,26 +38,26 @@
         now = asyncio.get_running_loop().time()
         for entry in entries:
             if not self._is_engine(entry):
-                self.see_gone((entry.id,))
+                self.mark_unlisted((entry.id,))
                 continue
             self._leave_other_domain(entry)
             self._first_heard_at.setdefault(entry.domain, now)
-            domain = self.by_name.setdefault(entry.domain, DomainKnowledge())
+            domain = self.by_name.setdefault(entry.domain, ObservedDomain())
             if entry.id not in domain.engines:
                 self._grown_at[entry.domain] = now
-            domain.see_entry(entry)
+            domain.update_from_entry(entry)
 
-    def see_gone(self, ids):
+    def mark_unlisted(self, ids):
         """Note ids that the list no longer holds."""
         for engine_id in ids:
             known = self._domain_of.get(engine_id)
             if known is not None:
-                self.by_name[known].see_gone(engine_id)
+                self.by_name[known].mark_unlisted(engine_id)
 
-    def see_report(self, engine, report, asked_at):
+    def update_from_report(self, engine, report, asked_at):
         """Take in a report.
 
-        :param engine: :class:`~cowslipcourse.groups.EngineKnowledge` that was asked.
+        :param engine: :class:`~cowslipcourse.groups.ObservedEngine` that was asked.
         :param asked_at: when it was asked for.
         """
         if report.incarnation != engine.incarnation:
@@ -67,19 +67,23 @@
                 known=engine.incarnation,
                 reported=report.incarnation,
             )
-        self.by_name[engine.entry.domain].see_report(engine.id, report, asked_at)
+        self.by_name[engine.entry.domain].update_from_report(
+            engine.id, report, asked_at
+        )
 
-    def see_plan(self, plan, is_own):
+    def update_from_plan(self, plan, is_own):
         """Take in what a domain's plan says of its engines.
 
         :param is_own: whether this daemon wrote it in place of the one that it knew.
         """
-        known = self.by_name.setdefault(plan.domain, DomainKnowledge())
-        known.see_plan(plan, asyncio.get_running_loop().time(), is_own)
+        known = self.by_name.setdefault(plan.domain, ObservedDomain())
+        known.update_from_plan(plan, asyncio.get_running_loop().time(), is_own)
 
     def forget(self, plan):
         """Forget engines of a plan's domain that neither list nor plan names."""
-        for engine_id in self.by_name[plan.domain].forget(plan.names):
+        for engine_id in self.by_name[plan.domain].remove_unlisted(
+            plan.contains_engine
+        ):
             del self._domain_of[engine_id]
 
     def grew_s_ago(self, domain, now):
@@ -96,7 +100,7 @@
         return now - newest_at >= OTHERS_S or known_s >= MOST_WAIT_S
 
     def engine(self, domain, engine_id):
-        """Return the :class:`~cowslipcourse.groups.EngineKnowledge`, or ``None``."""
+        """Return the :class:`~cowslipcourse.groups.ObservedEngine`, or ``None``."""
         known = self.by_name.get(domain)
         return None if known is None else known.engines.get(engine_id)
 
@@ -111,5 +115,5 @@
         known = self._domain_of.get(entry.id)
         if known not in (None, entry.domain):
             log.warning("engine-moved", id=entry.id, known=known, listed=entry.domain)
-            self.by_name[known].see_gone(entry.id)
+            self.by_name[known].mark_unlisted(entry.id)
         self._domain_of[entry.id] = entry.domain
--- a/cowslipcourse/entry/engine_calls.py
+++ b/cowslipcourse/entry/engine_calls.py
@@ -5,7 +5,7 @@
 from cowslipcourse.adapters.log import get_logger
 from cowslipcourse.exceptions import MalformedAnswer, TargetError
 from cowslipcourse.groups.orders import REJOIN_S
-from cowslipcourse.groups.views import SLOW_PACE
+from cowslipcourse.groups.views import SLOW_PACE_FACTOR
 from cowslipcourse.ports import OrderAnswer, OrderName
 
 __all__ = ["EngineCalls"]
@@ -63,7 +63,7 @@
     def ask(self, engine):
         """Ask for a report unless a call is under way.
 
-        :param engine: :class:`~cowslipcourse.groups.EngineKnowledge`
+        :param engine: :class:`~cowslipcourse.groups.ObservedEngine`
         """
         if not self.is_busy(engine):
             self._spawn(engine, self._ask(engine))
@@ -71,7 +71,7 @@
     def order(self, engine, order, models):
         """Give an order unless a call is under way.
 
-        :param engine: :class:`~cowslipcourse.groups.EngineKnowledge`
+        :param engine: :class:`~cowslipcourse.groups.ObservedEngine`
         :param order: :class:`~cowslipcourse.ports.EngineOrder`
         :param models: :class:`~cowslipcourse.routes.EngineModel` by name.
         """
@@ -113,14 +113,14 @@
             return
         if engine.silent_since is None:
             log.info("engine-silent", engine=engine.id, why=why)
-        engine.see_silence(first_asked_at)
+        engine.mark_silent(first_asked_at)
         self._on_silent()
 
     def _note_answer(self, engine, report, asked_at):
         self._heard_at = asyncio.get_running_loop().time()
         if engine.silent_since is not None:
             log.info("engine-heard", engine=engine.id)
-        if report.pace >= SLOW_PACE:
+        if report.pace >= SLOW_PACE_FACTOR:
             log.info("engine-slow", engine=engine.id, pace=report.pace)
         self._on_report(engine, report, asked_at)
 
@@ -142,7 +142,7 @@
             answer=answer,
         )
         if answer is OrderAnswer.BEGUN:
-            engine.note_begun(order)
+            engine.apply_started_order(order)
             _note_begun(engine, order, models, sent_at)
             if order.name is OrderName.OPEN:
                 self._on_opened(engine, order)
@@ -154,9 +154,9 @@
         else:
             _note_not_begun(engine, order)
             if answer is OrderAnswer.OTHER_ENGINE:
-                engine.see_other_engine(asyncio.get_running_loop().time())
+                engine.mark_replaced(asyncio.get_running_loop().time())
             else:
-                engine.see_refusal(asyncio.get_running_loop().time())
+                engine.mark_order_refused(asyncio.get_running_loop().time())
 
 
 def _life(engine):
@@ -167,23 +167,23 @@
     """Forget the order count: it must be asked for before the next order."""
     engine.order_count = None
     if order.name is OrderName.STAGE:
-        engine.staging = None
+        engine.staging_model = None
 
 
 def _note_begun(engine, order, models, sent_at):
     if order.name is OrderName.JOIN:
-        engine.joined_at[order.epoch] = sent_at
+        engine.join_sent_at[order.epoch] = sent_at
         model = models[order.model]
         if engine.joined_model == order.model:
-            engine.join_s[order.epoch] = REJOIN_S
+            engine.expected_join_s[order.epoch] = REJOIN_S
         elif order.model in engine.staged:
-            engine.join_s[order.epoch] = model.warm_s
+            engine.expected_join_s[order.epoch] = model.warm_s
         else:
-            engine.join_s[order.epoch] = model.load_s
+            engine.expected_join_s[order.epoch] = model.load_s
         engine.joined_model = order.model
     elif order.name is OrderName.OPEN:
-        engine.opened_at[order.epoch] = sent_at
+        engine.open_sent_at[order.epoch] = sent_at
     elif order.name is OrderName.CLOSE:
-        engine.closed_at[order.epoch] = sent_at
+        engine.close_sent_at[order.epoch] = sent_at
     elif order.name is OrderName.LEAVE:
         engine.membership = None
--- a/cowslipcourse/entry/forwarding.py
+++ b/cowslipcourse/entry/forwarding.py
@@ -37,7 +37,7 @@
         elsewhere_s = self._patience.note(call.route, call.fields.budget_s)
         call = call._replace(elsewhere_s=elsewhere_s)
         service = self._tools.choose_service(call.route)
-        self._tools.budget.request(service, loop.time())
+        self._tools.budget.record_request(service, loop.time())
         is_stream = call.route.kind is RequestKind.STREAMING
         forwarder = self._streams if is_stream else self._plain
         try:
--- a/cowslipcourse/entry/outcomes.py
+++ b/cowslipcourse/entry/outcomes.py
@@ -40,7 +40,7 @@
     """
     if not may_have_run(error):
         return True
-    return route.may_repeat and runs < route.max_attempts
+    return route.is_retryable and runs < route.max_attempts
 
 
 def failure(runs, cause=""):
--- a/cowslipcourse/entry/own_links.py
+++ b/cowslipcourse/entry/own_links.py
@@ -69,7 +69,7 @@
             engine
             for name in domains
             for engine in self._domains.by_name[name].engines.values()
-            if engine.listed
+            if engine.is_listed
         ]
 
     def _others(self, tended):
--- a/cowslipcourse/entry/plain.py
+++ b/cowslipcourse/entry/plain.py
@@ -62,7 +62,7 @@
             except (TargetError, asyncio.CancelledError):
                 attempt.connection.abort()
                 raise
-        if head.status >= 500 and call.route.may_repeat and not is_last:
+        if head.status >= 500 and call.route.is_retryable and not is_last:
             raise AnswerBroken(f"answered {head.status}")
         if head.status in NOT_RUN_STATUSES:
             raise AnswerBroken(f"answered {head.status} without proof")
--- a/cowslipcourse/entry/plan_table.py
+++ b/cowslipcourse/entry/plan_table.py
@@ -69,7 +69,9 @@
 
     def plan(self, domain):
         """Return the :class:`~cowslipcourse.groups.DomainPlan` of a domain."""
-        return self.plans.get(domain) or DomainPlan(domain, absent_at=self._known_to)
+        return self.plans.get(domain) or DomainPlan(
+            domain, absent_at_version=self._known_to
+        )
 
     async def read(self):
         """Read all rows.
--- a/cowslipcourse/entry/retrying.py
+++ b/cowslipcourse/entry/retrying.py
@@ -47,7 +47,7 @@
             _note_failed(tools, call, run, error, loop.time())
             if not may_try_again(call.route, runs, error):
                 raise failure(runs, error.code) from error
-            if not tools.budget.take(service, loop.time()):
+            if not tools.budget.try_take(service, loop.time()):
                 raise failure(runs, LossCause.NO_BUDGET) from error
             continue
         if run.succeeded:
--- a/cowslipcourse/gateway/chooser.py
+++ b/cowslipcourse/gateway/chooser.py
@@ -110,7 +110,7 @@
         views = self._views(grants, hashes)
         views = [view for view in views if view.name not in tried] or views
         self._watch_stragglers(grants)
-        views = self._stragglers.keep(views, now())
+        views = self._stragglers.without_stragglers(views, now())
         chosen = self._policy.choose(views, self._rng)
         self._prefixes.add(chosen.name, hashes, now())
         return by_name[chosen.name].report.spec
@@ -126,7 +126,7 @@
 
     def forget_cache(self, group):
         """Drop what was known of a group's cache."""
-        self._prefixes.forget(group)
+        self._prefixes.remove_target(group)
 
     def _views(self, grants, hashes):
         at = now()
@@ -163,9 +163,9 @@
             slots=sum(grant.report.load.batch_limit for grant in grants),
             in_flight=in_flight,
             weights={name: w.share for name, w in workspaces.items()},
-            answer_s=self._answer_s,
+            mean_answer_s=self._answer_s,
             wait_s=min(waits, default=0.0),
-            unseen=self._unseen(),
+            estimated_unreported=self._unseen(),
         )
 
     def _unseen(self):
--- a/cowslipcourse/gateway/generation.py
+++ b/cowslipcourse/gateway/generation.py
@@ -85,8 +85,8 @@
 
     async def _attempts(self):
         attempts = self._tools.settings.limits.attempts
-        self._tools.retries.request()
-        self._tools.resumes.request()
+        self._tools.retries.record_request()
+        self._tools.resumes.record_request()
         for number in range(attempts):
             if number:
                 await self._before_retry(number)
@@ -110,7 +110,7 @@
     async def _before_retry(self, number):
         self._check_quarantine()
         budget = self._tools.resumes if self._relay.offset else self._tools.retries
-        if not budget.take():
+        if not budget.try_take():
             raise self._final(NoTargetAvailable("the retry budget is spent"))
         self._tools.metrics.count("retries")
         await asyncio.sleep(BACKOFF_S * number * self._tools.rng.random())
--- a/cowslipcourse/gateway/service_calls.py
+++ b/cowslipcourse/gateway/service_calls.py
@@ -70,9 +70,9 @@
 
     async def _attempts(self):
         tools = self._tools
-        tools.retries.request()
+        tools.retries.record_request()
         for number in range(tools.settings.limits.attempts):
-            if number and not tools.retries.take():
+            if number and not tools.retries.try_take():
                 break
             try:
                 return await self._attempt()
--- a/cowslipcourse/groups/__init__.py
+++ b/cowslipcourse/groups/__init__.py
@@ -1,46 +1,46 @@
 """Groups of engines: each domain's plan, and the orders that carry it out."""
 
 from cowslipcourse.groups.balance import (
-    Change,
-    choose_changes,
+    Reassignment,
+    choose_reassignments,
     group_counts,
-    short_models,
+    underprovisioned_models,
 )
-from cowslipcourse.groups.knowledge import DomainKnowledge, EngineKnowledge
-from cowslipcourse.groups.loads import LoadLimit
+from cowslipcourse.groups.knowledge import ObservedDomain, ObservedEngine
+from cowslipcourse.groups.loads import LoadRateLimiter
 from cowslipcourse.groups.orders import is_present, next_steps
 from cowslipcourse.groups.plan import DomainPlan, PlannedGroup, decode_plan, encode_plan
-from cowslipcourse.groups.practice import practice_step
-from cowslipcourse.groups.revision import revise
-from cowslipcourse.groups.shape import MIXED, DomainShape, choose_shape
+from cowslipcourse.groups.practice import warmup_step
+from cowslipcourse.groups.revision import revise_plan
+from cowslipcourse.groups.shape import MIXED_ASSIGNMENT, DomainAssignment, assign_domain
 from cowslipcourse.groups.situation import (
     broken_groups,
     engine_views,
-    models_waiting,
-    spares_of,
-    wishes,
+    model_demands,
+    models_awaiting_members,
+    spare_engines,
 )
-from cowslipcourse.groups.staging import choose_staging
+from cowslipcourse.groups.staging_model import choose_staging
 from cowslipcourse.groups.standby import choose_standby
 from cowslipcourse.groups.steps import Step, StepKind
-from cowslipcourse.groups.views import EngineView, Wish
+from cowslipcourse.groups.views import EngineView, ModelDemand
 
 __all__ = [
-    "MIXED",
-    "Change",
-    "DomainKnowledge",
+    "MIXED_ASSIGNMENT",
+    "DomainAssignment",
     "DomainPlan",
-    "DomainShape",
-    "EngineKnowledge",
     "EngineView",
-    "LoadLimit",
+    "LoadRateLimiter",
+    "ModelDemand",
+    "ObservedDomain",
+    "ObservedEngine",
     "PlannedGroup",
+    "Reassignment",
     "Step",
     "StepKind",
-    "Wish",
+    "assign_domain",
     "broken_groups",
-    "choose_changes",
-    "choose_shape",
+    "choose_reassignments",
     "choose_staging",
     "choose_standby",
     "decode_plan",
@@ -48,11 +48,11 @@
     "engine_views",
     "group_counts",
     "is_present",
-    "models_waiting",
+    "model_demands",
+    "models_awaiting_members",
     "next_steps",
-    "practice_step",
-    "revise",
-    "short_models",
-    "spares_of",
-    "wishes",
+    "revise_plan",
+    "spare_engines",
+    "underprovisioned_models",
+    "warmup_step",
 ]
--- a/cowslipcourse/groups/balance.py
+++ b/cowslipcourse/groups/balance.py
@@ -10,7 +10,13 @@
 from collections import Counter
 from typing import NamedTuple
 
-__all__ = ["LEAST_RATIO", "Change", "choose_changes", "group_counts", "short_models"]
+__all__ = [
+    "LEAST_RATIO",
+    "Reassignment",
+    "choose_reassignments",
+    "group_counts",
+    "underprovisioned_models",
+]
 
 LEAST_RATIO = 0.5
 """Groups of a model, over the groups that its share of the work entitles it to, from
@@ -20,7 +26,7 @@
 first groups come on top of its usual load."""
 
 
-class Change(NamedTuple):
+class Reassignment(NamedTuple):
     """Groups of a domain that give their engines to another model.
 
     :param domain: name of the domain.
@@ -95,7 +101,7 @@
     }
 
 
-def short_models(counts, models):
+def underprovisioned_models(counts, models):
     """Return the names of the models that are short, the shortest first.
 
     :param counts: number of groups by model.
@@ -110,8 +116,8 @@
     )
 
 
-def choose_changes(plans, models, is_whole, held):
-    """Return the :class:`Change` list after which no model is short, if possible.
+def choose_reassignments(plans, models, is_whole, held):
+    """Return the :class:`Reassignment` list after which no model is short, if possible.
 
     Each change takes groups of the model that has most for its share. The outcome
     depends on nothing but the arguments, so coordinators that know the same choose
@@ -126,7 +132,7 @@
     """
     models = tuple(models)
     counts = group_counts(plans.values(), models)
-    urgent = {*short_models(counts, models), *_successors(plans)}
+    urgent = {*underprovisioned_models(counts, models), *_successors(plans)}
     chosen, taken = [], set()
     while lacking := _most_lacking(counts, models, urgent):
         change = _best_change(plans, models, counts, lacking, taken, is_whole, held)
@@ -152,7 +158,7 @@
 
 
 def _best_change(plans, models, counts, short, taken, is_whole, held):
-    """Return one :class:`Change` and count it, or ``None`` if none helps."""
+    """Return one :class:`Reassignment` and count it, or ``None`` if none helps."""
     wanted = next(model for model in models if model.name == short)
     ratios = _ratios(counts, models)
     for giving in sorted(models, key=lambda m: (-ratios.get(m.name, 0.0), m.name)):
@@ -165,7 +171,7 @@
             best = min(donors, key=lambda d: (-d.held, d.given, d.domain))
             is_warm = best.held >= trade.gained * wanted.size
             groups = tuple(group.name for group in best.groups)
-            return Change(best.domain, groups, short, is_warm)
+            return Reassignment(best.domain, groups, short, is_warm)
     return None
 
 
--- a/cowslipcourse/groups/knowledge.py
+++ b/cowslipcourse/groups/knowledge.py
@@ -2,44 +2,44 @@
 
 from cowslipcourse.ports import UNTOLD, GroupState, Membership, OrderName
 
-__all__ = ["DomainKnowledge", "EngineKnowledge"]
+__all__ = ["ObservedDomain", "ObservedEngine"]
 
 REPORT_LAG_S = 0.3
 """Reports are as of some hundred ms ago; the platform declares 200."""
 _WAS_READY = (GroupState.READY, GroupState.OPEN, GroupState.CLOSING)
 
 
-class EngineKnowledge:
+class ObservedEngine:
     """What is known of one life of an engine.
 
-    ``membership`` is the newest that the list or a report told. ``counted_membership``
-    is the group that it was in when it had accepted ``order_count`` orders: an order
-    that carries this count begins only if it is in that group still.
+    ``membership`` is the newest one from the target list or a report.
+    ``confirmed_membership`` is the membership at ``order_count`` accepted orders: an
+    order that carries this count starts only if the engine is still in that group.
 
     :param entry: newest :class:`~cowslipcourse.ports.TargetEntry`.
     """
 
     def __init__(self, entry):
         self.entry = entry
-        self.listed = True
+        self.is_listed = True
         self.membership = entry.membership
-        self.counted_membership = None
+        self.confirmed_membership = None
         self.staged = entry.staged
         self.order_count = None
         self.reported_at = None
         self.silent_since = None
         self.is_replaced = False
         self.pace = 1.0
-        self.asked_silent_at = 0.0
-        self.joined_at = {}
-        self.join_s = {}
-        self.opened_at = {}
-        self.closed_at = {}
+        self.last_probed_at = 0.0
+        self.join_sent_at = {}
+        self.expected_join_s = {}
+        self.open_sent_at = {}
+        self.close_sent_at = {}
         self.joined_model = None
         self._loaded_model = None
-        self.staging = None
-        self.ask_from = 0.0
-        self.away_from = None
+        self.staging_model = None
+        self.report_request_after = 0.0
+        self.ungrouped_since = None
         self._away_count = None
         self._watched_from = 0.0
         self._was_ready = set()
@@ -58,15 +58,17 @@
     @property
     def is_live(self):
         """Whether it can be given work."""
-        return self.listed and not self.entry.is_leaving and self.silent_since is None
+        return (
+            self.is_listed and not self.entry.is_leaving and self.silent_since is None
+        )
 
     @property
-    def held(self):
+    def warm_models(self):
         """Models that it can join without a load: on its host, or of its last group.
 
         What is on the host is about to be replaced while another model is loaded.
         """
-        staged = self.staged if self.staging is None else ()
+        staged = self.staged if self.staging_model is None else ()
         loaded = self._loaded_model
         if loaded is None or loaded != self.joined_model or loaded in staged:
             return staged
@@ -75,25 +77,25 @@
     @property
     def is_leaving(self):
         """Whether it still works but takes no new work."""
-        return self.listed and self.entry.is_leaving and self.silent_since is None
+        return self.is_listed and self.entry.is_leaving and self.silent_since is None
 
-    def see_entry(self, entry):
+    def update_from_entry(self, entry):
         """Take in a newer entry of the same life."""
         if entry.address != self.entry.address:
             self.is_replaced = False
             self.silent_since = None
-        if not self.listed:
+        if not self.is_listed:
             # It was gone and has come back.
             self.silent_since = self.silent_since if self.is_replaced else None
             self.order_count = None
         self.entry = entry
-        self.listed = True
+        self.is_listed = True
         self._see_staged(entry.staged)
         if not self._is_older(entry.membership):
             self.membership = entry.membership
         self._note(entry.membership)
 
-    def see_report(self, report, asked_at):
+    def update_from_report(self, report, asked_at):
         """Take in a report of the same life.
 
         :param asked_at: when it was asked for; evidence is as old as its request.
@@ -101,7 +103,7 @@
         if self.is_replaced:
             return
         self.order_count = report.order_count
-        self.counted_membership = report.membership
+        self.confirmed_membership = report.membership
         self.reported_at = asked_at
         self.silent_since = None
         self.pace = report.pace
@@ -111,23 +113,23 @@
         self._see_staged(report.staged)
         self._note(report.membership)
 
-    def next_life(self, incarnation):
+    def next_incarnation(self, incarnation):
         """Return what is known of a later life of the engine: nothing but its address.
 
         What its list entry says of its state stays until a newer entry comes.
         """
         entry = self.entry._replace(incarnation=incarnation, membership=None)
-        later = EngineKnowledge(entry)
-        later.listed = self.listed
+        later = ObservedEngine(entry)
+        later.is_listed = self.is_listed
         return later
 
-    def see_silence(self, since):
+    def mark_silent(self, since):
         """Note that it did not answer a question asked at a time."""
         self.order_count = None
         if self.silent_since is None:
             self.silent_since = since
 
-    def see_other_engine(self, now):
+    def mark_replaced(self, now):
         """Note that another engine has its address: it has ended.
 
         Reports do not say whose they are, so what comes from there is no longer its.
@@ -137,21 +139,21 @@
         self.order_count = None
         self.silent_since = self.silent_since or now
 
-    def see_refusal(self, now):
+    def mark_order_refused(self, now):
         """Note that an order was refused as the order count differed.
 
         What was known of it is out of date, and so are its reports for a moment.
         """
         self.order_count = None
-        self.ask_from = now + REPORT_LAG_S
+        self.report_request_after = now + REPORT_LAG_S
 
-    def watch_from(self, now):
+    def require_evidence_since(self, now):
         """Take no report that was asked for before as evidence that it is away.
 
         Others may have joined it to a group since, and given that up again.
         """
         self._watched_from = now
-        self.away_from = None
+        self.ungrouped_since = None
 
     @property
     def needs_report(self):
@@ -159,9 +161,9 @@
         if self.reported_at is None or self.reported_at < self._watched_from:
             return True
         # It was in a group that no plan names, and has left it since.
-        return self.membership is None and self.away_from is None
+        return self.membership is None and self.ungrouped_since is None
 
-    def note_begun(self, order):
+    def apply_started_order(self, order):
         """Note that an order began: what it does is known before a report says so.
 
         :param order: :class:`~cowslipcourse.ports.EngineOrder`
@@ -169,30 +171,30 @@
         self.order_count = order.expected_count + 1
         if order.name is OrderName.JOIN:
             rank = order.members.index(self.id)
-            self.counted_membership = Membership(
+            self.confirmed_membership = Membership(
                 order.group, order.epoch, rank, GroupState.JOINING, order.model
             )
             # Whether what it was loading stays on its host, its reports will tell.
-            self.staging = None
-        elif order.name is OrderName.OPEN and self.counted_membership is not None:
-            opened = self.counted_membership._replace(state=GroupState.OPEN)
-            self.counted_membership = opened
-        elif order.name is OrderName.CLOSE and self.counted_membership is not None:
-            closing = self.counted_membership._replace(state=GroupState.CLOSING)
-            self.counted_membership = closing
+            self.staging_model = None
+        elif order.name is OrderName.OPEN and self.confirmed_membership is not None:
+            opened = self.confirmed_membership._replace(state=GroupState.OPEN)
+            self.confirmed_membership = opened
+        elif order.name is OrderName.CLOSE and self.confirmed_membership is not None:
+            closing = self.confirmed_membership._replace(state=GroupState.CLOSING)
+            self.confirmed_membership = closing
         elif order.name is OrderName.LEAVE:
-            self.counted_membership = None
+            self.confirmed_membership = None
 
     @property
-    def away_s(self):
+    def ungrouped_s(self):
         """Seconds for which reports say that it is in no group and took no order.
 
         Orders count up when they begin, so the same count proves that no late order
         has brought it into a group between two reports.
         """
-        if self.away_from is None:
+        if self.ungrouped_since is None:
             return 0.0
-        return self.reported_at - self.away_from
+        return self.reported_at - self.ungrouped_since
 
     def was_ready(self, group):
         """Whether it was seen ready in a planned group with its present members.
@@ -214,10 +216,10 @@
 
     def ready_in_s(self, group, now):
         """Return the expected seconds until it is ready in a planned group."""
-        joined_at = self.joined_at.get(group.epoch)
+        joined_at = self.join_sent_at.get(group.epoch)
         if joined_at is None or self.was_ready(group):
             return 0.0
-        return max(0.0, joined_at + self.join_s.get(group.epoch, 0.0) - now)
+        return max(0.0, joined_at + self.expected_join_s.get(group.epoch, 0.0) - now)
 
     def state_in(self, group):
         """Return its last seen state in a planned group, or ``None``."""
@@ -228,14 +230,14 @@
 
     def _see_staged(self, staged):
         self.staged = staged
-        if self.staging in staged:
-            self.staging = None
+        if self.staging_model in staged:
+            self.staging_model = None
 
     def _note_away(self, report, asked_at):
         if report.membership is not None or asked_at < self._watched_from:
-            self.away_from = None
-        elif self.away_from is None or report.order_count != self._away_count:
-            self.away_from = asked_at
+            self.ungrouped_since = None
+        elif self.ungrouped_since is None or report.order_count != self._away_count:
+            self.ungrouped_since = asked_at
             self._away_count = report.order_count
 
     def _is_older(self, membership):
@@ -254,7 +256,7 @@
             self._loaded_model = membership.model or self.joined_model
 
 
-class DomainKnowledge:
+class ObservedDomain:
     """The engines of one domain."""
 
     def __init__(self):
@@ -262,7 +264,7 @@
         self.data_centre = None
         self._plan = None
 
-    def see_entry(self, entry):
+    def update_from_entry(self, entry):
         """Take in an entry of the list.
 
         One of an earlier life than is known says nothing; one of a later life ends what
@@ -272,11 +274,11 @@
         self.data_centre = entry.data_centre
         known = self.engines.get(entry.id)
         if known is None or known.incarnation < entry.incarnation:
-            self.engines[entry.id] = EngineKnowledge(entry)
+            self.engines[entry.id] = ObservedEngine(entry)
         elif entry.incarnation in (UNTOLD, known.incarnation):
-            known.see_entry(entry._replace(incarnation=known.incarnation))
+            known.update_from_entry(entry._replace(incarnation=known.incarnation))
 
-    def see_report(self, engine_id, report, asked_at):
+    def update_from_report(self, engine_id, report, asked_at):
         """Take in a report, which may tell of another life than the list.
 
         :param asked_at: when it was asked for.
@@ -285,12 +287,12 @@
         if known is None:
             return
         if report.incarnation > known.incarnation:
-            known = known.next_life(report.incarnation)
+            known = known.next_incarnation(report.incarnation)
             self.engines[engine_id] = known
         if report.incarnation in (UNTOLD, known.incarnation):
-            known.see_report(report, asked_at)
+            known.update_from_report(report, asked_at)
 
-    def see_plan(self, plan, now, is_own=False):
+    def update_from_plan(self, plan, now, is_own=False):
         """Note who serves in no group any more, and lives that the list has not told.
 
         What proves that such an engine has left must be newer than that.
@@ -303,7 +305,7 @@
             self._see_lives(group)
         for engine in self.engines.values():
             if self._is_released(plan, engine, is_own):
-                engine.watch_from(now)
+                engine.require_evidence_since(now)
         self._plan = plan
 
     def _is_released(self, plan, engine, is_own):
@@ -327,15 +329,15 @@
             known = self.engines.get(member)
             meant = group.incarnation_of(member)
             if known is not None and known.incarnation < meant:
-                self.engines[member] = known.next_life(meant)
+                self.engines[member] = known.next_incarnation(meant)
 
-    def see_gone(self, engine_id):
+    def mark_unlisted(self, engine_id):
         """Note that the list no longer holds an engine."""
         known = self.engines.get(engine_id)
         if known is not None:
-            known.listed = False
+            known.is_listed = False
 
-    def forget(self, keep):
+    def remove_unlisted(self, keep):
         """Drop engines that are not listed, but for those of which ``keep`` is true.
 
         :returns: ids of what was dropped.
@@ -343,7 +345,7 @@
         dropped = [
             engine_id
             for engine_id, known in self.engines.items()
-            if not known.listed and not keep(engine_id)
+            if not known.is_listed and not keep(engine_id)
         ]
         for engine_id in dropped:
             del self.engines[engine_id]
--- a/cowslipcourse/groups/loads.py
+++ b/cowslipcourse/groups/loads.py
@@ -1,6 +1,6 @@
 """Limit on the loads from the weight store that a coordinator begins."""
 
-__all__ = ["LoadLimit"]
+__all__ = ["LoadRateLimiter"]
 
 WINDOW_S = 5.0
 """Window in which the platform counts loads."""
@@ -12,13 +12,13 @@
 another, a part may be begun twice."""
 
 
-class LoadLimit:
+class LoadRateLimiter:
     """Counts loads in a sliding window."""
 
     def __init__(self):
         self._begun_at = []
 
-    def take(self, loads_per_s, coordinators, now):
+    def try_acquire(self, loads_per_s, coordinators, now):
         """Take one load and return whether it may begin now.
 
         :param loads_per_s: loads that all daemons may begin in a second.
--- a/cowslipcourse/groups/orders.py
+++ b/cowslipcourse/groups/orders.py
@@ -3,7 +3,7 @@
 from typing import NamedTuple
 
 from cowslipcourse.groups.knowledge import REPORT_LAG_S
-from cowslipcourse.groups.practice import is_practice, practises
+from cowslipcourse.groups.practice import is_warming_up, is_warmup_group
 from cowslipcourse.groups.steps import Step, StepKind
 from cowslipcourse.ports import EngineOrder, GroupState, OrderName
 
@@ -32,7 +32,7 @@
     """Return the steps that a domain needs now.
 
     :param plan: :class:`~cowslipcourse.groups.DomainPlan`
-    :param engines: :class:`~cowslipcourse.groups.EngineKnowledge` by id.
+    :param engines: :class:`~cowslipcourse.groups.ObservedEngine` by id.
     :param models: :class:`~cowslipcourse.routes.EngineModel` by name.
     :param stall_s: time after which a head that lacks a member is broken.
     :param now: loop time.
@@ -43,9 +43,9 @@
             steps += _retire(group, engines, stall_s, now)
         elif all(is_present(group, member, engines) for member in group.members):
             steps += _form(group, engines, models, now)
-    steps += _free_strays(plan, engines)
+    steps += _leave_unplanned_groups(plan, engines)
     steps += _ask_for_evidence(plan, engines)
-    return [step for step in steps if now >= engines[step.engine].ask_from]
+    return [step for step in steps if now >= engines[step.engine].report_request_after]
 
 
 def is_present(group, member, engines):
@@ -53,13 +53,13 @@
 
     :param group: :class:`~cowslipcourse.groups.PlannedGroup`
     :param member: id of a member.
-    :param engines: :class:`~cowslipcourse.groups.EngineKnowledge` by id.
+    :param engines: :class:`~cowslipcourse.groups.ObservedEngine` by id.
     """
     engine = engines.get(member)
     return (
         engine is not None
         and engine.is_live
-        and group.holds(member, engine.incarnation)
+        and group.has_member(member, engine.incarnation)
     )
 
 
@@ -84,14 +84,14 @@
     another coordinator's plan said, and no report had said yet that it was open.
     """
     found = [
-        (engine, engine.counted_membership)
+        (engine, engine.confirmed_membership)
         for engine in members
-        if _is_elsewhere(engine.counted_membership, group)
+        if _is_elsewhere(engine.confirmed_membership, group)
     ]
     others = {
         (membership.group, membership.epoch)
         for engine in members
-        for membership in (engine.membership, engine.counted_membership)
+        for membership in (engine.membership, engine.confirmed_membership)
         if _is_elsewhere(membership, group)
     }
     leaving = {engine.id for engine, _ in found}
@@ -106,7 +106,7 @@
     return (
         membership is not None
         and membership.group != group.name
-        and not is_practice(membership)
+        and not is_warmup_group(membership)
     )
 
 
@@ -114,7 +114,7 @@
     """Return the membership by which a head serves one of some groups, or ``None``."""
     if not engine.is_live:
         return None
-    for found in (engine.counted_membership, engine.membership):
+    for found in (engine.confirmed_membership, engine.membership):
         if (
             found is not None
             and found.rank == 0
@@ -126,7 +126,7 @@
 
 
 def _join(group, engine, models, now):
-    joined_at = engine.joined_at.get(group.epoch)
+    joined_at = engine.join_sent_at.get(group.epoch)
     if joined_at is not None:
         due_at = joined_at + _join_s(group, engine, models)
         asked_at = engine.reported_at or 0.0
@@ -144,14 +144,14 @@
     model = models.get(group.model)
     if model is None:
         return JOIN_AGAIN_S
-    return engine.join_s.get(group.epoch, REJOIN_S)
+    return engine.expected_join_s.get(group.epoch, REJOIN_S)
 
 
 def _open(group, head, now):
     state = head.state_in(group)
     if state in (GroupState.OPEN, GroupState.CLOSING):
         return []
-    opened_at = head.opened_at.get(group.epoch)
+    opened_at = head.open_sent_at.get(group.epoch)
     if opened_at is not None and now - opened_at < OPEN_AGAIN_S:
         return []
     if state is GroupState.READY:
@@ -185,12 +185,12 @@
         if group.successor and not _is_drained(group, head, now):
             return _drain(group, head, now)
         return _leave(group, head, HEAD_AWAY_S, now) + _release(group, engines, now)
-    away_s = stall_s + STALL_MARGIN_S
+    ungrouped_s = stall_s + STALL_MARGIN_S
     steps = []
     for member in group.members:
         engine = engines.get(member)
         if engine is not None and engine is not head and engine.is_live:
-            steps += _leave(group, engine, away_s, now)
+            steps += _leave(group, engine, ungrouped_s, now)
     return steps
 
 
@@ -209,7 +209,7 @@
 
 def _is_drained(group, head, now):
     """Whether a head has finished its requests, or had the time to."""
-    closed_at = head.closed_at.get(group.epoch)
+    closed_at = head.close_sent_at.get(group.epoch)
     if closed_at is not None and now - closed_at >= DRAIN_S:
         return True
     return head.state_in(group) not in (GroupState.OPEN, GroupState.CLOSING)
@@ -217,24 +217,27 @@
 
 def _drain(group, head, now):
     """Let a head that serves finish what it has and take no more."""
-    if head.state_in(group) is GroupState.OPEN and group.epoch not in head.closed_at:
+    if (
+        head.state_in(group) is GroupState.OPEN
+        and group.epoch not in head.close_sent_at
+    ):
         return [_order(head, OrderName.CLOSE, group)]
     is_due = now - (head.reported_at or 0.0) >= ASK_AGAIN_S
     return [Step(StepKind.ASK, head.id)] if is_due else []
 
 
-def _leave(group, engine, away_s, now):
+def _leave(group, engine, ungrouped_s, now):
     """Make an engine leave a group, and ask it when it may have been away for long."""
     if engine.state_in(group) is not None:
         return [_order(engine, OrderName.LEAVE, group)]
-    if engine.away_from is not None and engine.away_s <= away_s:
-        due_at = engine.away_from + away_s + ASK_MARGIN_S
+    if engine.ungrouped_since is not None and engine.ungrouped_s <= ungrouped_s:
+        due_at = engine.ungrouped_since + ungrouped_s + ASK_MARGIN_S
     else:
         due_at = (engine.reported_at or 0.0) + ASK_AGAIN_S
     return [Step(StepKind.ASK, engine.id)] if now >= due_at else []
 
 
-def _free_strays(plan, engines):
+def _leave_unplanned_groups(plan, engines):
     """Make engines leave groups that no plan holds them in."""
     steps = []
     for engine in engines.values():
@@ -243,7 +246,7 @@
             continue
         if plan.group_of(engine.id, engine.incarnation) is not None:
             continue
-        if practises(engine):
+        if is_warming_up(engine):
             continue
         steps.append(_order(engine, OrderName.LEAVE, _Stray.of(found)))
     return steps
--- a/cowslipcourse/groups/plan.py
+++ b/cowslipcourse/groups/plan.py
@@ -53,7 +53,7 @@
         lives = dict(zip(self.members, self.incarnations, strict=False))
         return lives.get(engine, UNTOLD)
 
-    def holds(self, engine, incarnation):
+    def has_member(self, engine, incarnation):
         """Whether a life of an engine is a member.
 
         :param engine: id of the engine.
@@ -71,19 +71,19 @@
     :param groups: tuple of :class:`PlannedGroup`.
     :param decided_at: the next epoch of the plan that these groups took the place of. A
         row that is written again, after the store has lost it, keeps it.
-    :param absent_at: point at which the store had no row; 0 if it has one.
+    :param absent_at_version: point at which the store had no row; 0 if it has one.
     """
 
     domain: str
     version: int = 0
     groups: tuple[PlannedGroup, ...] = ()
     decided_at: int = 0
-    absent_at: int = 0
+    absent_at_version: int = 0
 
     @property
     def next_epoch(self):
         """Epoch of the groups in whatever takes the place of this plan."""
-        return max(self.version, self.absent_at) + 1
+        return max(self.version, self.absent_at_version) + 1
 
     def group_of(self, engine, incarnation):
         """Return the :class:`PlannedGroup` that holds a life of an engine, or ``None``.
@@ -92,11 +92,11 @@
         :param incarnation: life that is asked about.
         """
         for group in self.groups:
-            if group.holds(engine, incarnation):
+            if group.has_member(engine, incarnation):
                 return group
         return None
 
-    def names(self, engine):
+    def contains_engine(self, engine):
         """Whether any life of an engine is in a group."""
         return any(engine in group.members for group in self.groups)
 
--- a/cowslipcourse/groups/practice.py
+++ b/cowslipcourse/groups/practice.py
@@ -10,13 +10,13 @@
 from cowslipcourse.groups.steps import Step, StepKind
 from cowslipcourse.ports import EngineOrder, GroupState, OrderName
 
-__all__ = ["is_practice", "practice_step", "practises"]
+__all__ = ["is_warming_up", "is_warmup_group", "warmup_step"]
 
 _END = ".alone"
 """End of the names of such groups; those of planned groups end with a number."""
 
 
-def is_practice(membership):
+def is_warmup_group(membership):
     """Whether an engine is in a group of its own.
 
     :param membership: :class:`~cowslipcourse.ports.Membership` or ``None``.
@@ -24,21 +24,21 @@
     return membership is not None and membership.group.endswith(_END)
 
 
-def practises(engine):
+def is_warming_up(engine):
     """Whether an engine is on its way into a group of its own."""
     found = engine.membership
-    return is_practice(found) and found.state is GroupState.JOINING
+    return is_warmup_group(found) and found.state is GroupState.JOINING
 
 
-def practice_step(plan, engine, models):
+def warmup_step(plan, engine, models):
     """Return the step that lets a spare practise, or ``None`` if it need not.
 
     :param plan: :class:`~cowslipcourse.groups.DomainPlan`
-    :param engine: :class:`~cowslipcourse.groups.EngineKnowledge` of a spare.
+    :param engine: :class:`~cowslipcourse.groups.ObservedEngine` of a spare.
     :param models: names of the models that the domain serves.
     """
     held = [model for model in engine.staged if model in models]
-    is_idle = engine.membership is None and engine.staging is None
+    is_idle = engine.membership is None and engine.staging_model is None
     if not held or not is_idle or engine.joined_model in held:
         return None
     if not plan.version:
--- a/cowslipcourse/groups/revision.py
+++ b/cowslipcourse/groups/revision.py
@@ -4,14 +4,16 @@
 
 from cowslipcourse.groups.plan import PlannedGroup
 
-__all__ = ["revise"]
+__all__ = ["revise_plan"]
 
 SWAP_GAIN_S = 2.0
 """A member that still loads is replaced by a free engine that holds the model only if
 the group serves this much earlier; joining again takes a few tenths of a second."""
 
 
-def revise(plan, engines, sizes, wishes, shape, broken=frozenset(), changes=()):
+def revise_plan(
+    plan, engines, sizes, model_demands, shape, broken=frozenset(), changes=()
+):
     """Return the groups that a domain shall have, as a tuple.
 
     Repairs come first: what a group has formed already is kept. Groups that cannot
@@ -22,12 +24,13 @@
     :param plan: present :class:`~cowslipcourse.groups.DomainPlan`
     :param engines: iterable of :class:`EngineView` of the domain.
     :param sizes: group size by model.
-    :param wishes: iterable of :class:`Wish`.
-    :param shape: :class:`~cowslipcourse.groups.DomainShape` of the domain.
+    :param model_demands: iterable of :class:`ModelDemand`.
+    :param shape: :class:`~cowslipcourse.groups.DomainAssignment` of the domain.
     :param broken: names of groups that are whole but must be formed anew.
-    :param changes: iterable of :class:`~cowslipcourse.groups.Change` of the domain.
+    :param changes: iterable of :class:`~cowslipcourse.groups.Reassignment` of this
+        domain.
     """
-    return _Revision(plan, engines, sizes, shape, broken).make(wishes, changes)
+    return _Revision(plan, engines, sizes, shape, broken).make(model_demands, changes)
 
 
 class _Revision:
@@ -48,20 +51,20 @@
             and plan.group_of(view.id, view.incarnation) is None
         ]
 
-    def make(self, wishes, changes):
+    def make(self, model_demands, changes):
         self._begin(changes)
         self._drop_released()
-        self._drop_dead()
+        self._drop_unlisted()
         self._leave_cold_engines()
         for group in self._incomplete():
             self._repair(group)
-        self._revive()
-        self._swap_loading()
+        self._reinstate_retired()
+        self._replace_loading_members()
         if self._shape.model is None:
             self._give_up_one()
         else:
             self._give_up_all()
-        self._form(wishes)
+        self._form(model_demands)
         return tuple(self._groups.values())
 
     def _drop_released(self):
@@ -105,7 +108,7 @@
 
     def _succeed(self, model, freed):
         """Form groups of a successor of those who hold it; return who is left."""
-        warm = [view for view in freed if model in view.held]
+        warm = [view for view in freed if model in view.warm_models]
         size = self._sizes.get(model, 0)
         number = len(warm) // size if size else 0
         for each in range(number):
@@ -123,11 +126,11 @@
         """Return the views of a group's members; ``None`` for a life that is over."""
         views = [self._views.get(member) for member in group.members]
         return [
-            view if view and group.holds(view.id, view.incarnation) else None
+            view if view and group.has_member(view.id, view.incarnation) else None
             for view in views
         ]
 
-    def _drop_dead(self):
+    def _drop_unlisted(self):
         """Drop groups whose members the platform lists no longer.
 
         That a member does not answer is no reason: it may be this daemon that does not
@@ -149,14 +152,14 @@
         """
         model = self._shape.model
         if any(self._holds(group, model) for group in self._groups.values()):
-            self._cold = [view for view in self._free if model not in view.held]
-            self._free = [view for view in self._free if model in view.held]
+            self._cold = [view for view in self._free if model not in view.warm_models]
+            self._free = [view for view in self._free if model in view.warm_models]
 
     def _holds(self, group, model):
         """Whether all members of a group that is not given up hold a model."""
         views = self._members(group)
         return not group.is_retired and all(
-            view is not None and model in view.held for view in views
+            view is not None and model in view.warm_models for view in views
         )
 
     def _incomplete(self):
@@ -191,14 +194,14 @@
         lacking = self._lacking(group)
         if lacking > len(self._free):
             return
-        warm = sum(group.model in view.held for view in self._free)
+        warm = sum(group.model in view.warm_models for view in self._free)
         if lacking > warm and self._is_still_serving(group):
             # Loading from the weight store takes longer than the member stays.
             return
         members = tuple(self._survivors(group)) + self._take(group.model, lacking)
         self._replan(group, members)
 
-    def _revive(self):
+    def _reinstate_retired(self):
         """Form given-up groups anew under their names, as far as engines are free.
 
         The survivors of a group whose head is silent are not free for others until the
@@ -212,7 +215,7 @@
         ]
         for group in sorted(retired, key=self._lacking):
             held = [view for view in self._members(group) if view and view.is_live]
-            warm = sum(group.model in view.held for view in self._free)
+            warm = sum(group.model in view.warm_models for view in self._free)
             if held and 0 < self._lacking(group) <= warm:
                 self._groups[group.name] = group._replace(is_retired=False)
                 self._repair(self._groups[group.name])
@@ -220,21 +223,23 @@
     def _replan(self, group, members):
         """Give a group other members, and the epoch that goes with them."""
         self._groups[group.name] = group._replace(
-            members=members, epoch=self._epoch, incarnations=self._lives(members)
+            members=members,
+            epoch=self._epoch,
+            incarnations=self._incarnations_of(members),
         )
 
-    def _lives(self, members):
+    def _incarnations_of(self, members):
         return tuple(self._views[member].incarnation for member in members)
 
     def _take(self, model, number):
         """Take free engines, those that hold the model first."""
         self._free.sort(
-            key=lambda view: (view.is_slow, model not in view.held, view.id)
+            key=lambda view: (view.is_slow, model not in view.warm_models, view.id)
         )
         taken, self._free = self._free[:number], self._free[number:]
         return tuple(view.id for view in taken)
 
-    def _swap_loading(self):
+    def _replace_loading_members(self):
         """Replace members that load for long, or are slow, by better free engines."""
         for group in list(self._groups.values()):
             if group.is_retired or group.epoch == self._epoch:
@@ -256,7 +261,7 @@
         warm = [
             free
             for free in self._free
-            if group.model in free.held
+            if group.model in free.warm_models
             and not free.is_slow
             and free.id not in group.members
         ]
@@ -291,32 +296,34 @@
                 self._groups[given.name] = given._replace(is_retired=True)
                 return
 
-    def _form(self, wishes):
+    def _form(self, model_demands):
         """Form a new group of what is free beyond the spares."""
         pending = sum(self._lacking(group) for group in self._incomplete())
         kept = max(self._shape.spares, pending)
-        own = [w for w in wishes if self._shape.model in (None, w.model)]
+        own = [w for w in model_demands if self._shape.model in (None, w.model)]
         for wish in sorted(own, key=lambda w: -w.urgency):
             if len(self._free) - kept >= wish.size:
                 self._add(wish.model, self._take(wish.model, wish.size))
                 break
         if self._shape.model is not None and not pending:
-            self._form_of_cold(wishes)
+            self._form_of_cold(model_demands)
 
-    def _form_of_cold(self, wishes):
+    def _form_of_cold(self, model_demands):
         """Form groups of engines that hold another model than the domain serves.
 
         They would serve nobody for as long as they load that one. A model that is
         wanted less gets none of them: each group that loses a member would give its
         engines to it.
         """
-        urgencies = {wish.model: wish.urgency for wish in wishes}
+        urgencies = {wish.model: wish.urgency for wish in model_demands}
         own = urgencies.get(self._shape.model, 0.0)
-        cold = [v for v in self._free if self._shape.model not in v.held] + self._cold
-        held = {model for view in cold for model in view.held}
+        cold = [
+            v for v in self._free if self._shape.model not in v.warm_models
+        ] + self._cold
+        held = {model for view in cold for model in view.warm_models}
         for model in sorted(m for m in held if urgencies.get(m, 0.0) > own):
             size = self._sizes.get(model)
-            warm = [view for view in cold if model in view.held]
+            warm = [view for view in cold if model in view.warm_models]
             while size and len(warm) >= size:
                 self._add(model, tuple(view.id for view in warm[:size]))
                 cold = [view for view in cold if view not in warm[:size]]
--- a/cowslipcourse/groups/shape.py
+++ b/cowslipcourse/groups/shape.py
@@ -10,9 +10,9 @@
 from collections import Counter
 from typing import NamedTuple
 
-from cowslipcourse.groups.situation import wishes
+from cowslipcourse.groups.situation import model_demands
 
-__all__ = ["MIXED", "DomainShape", "choose_shape"]
+__all__ = ["MIXED_ASSIGNMENT", "DomainAssignment", "assign_domain"]
 
 LEAST_DOMAINS = 2
 """Domains that each model must have: one may go dark as a whole."""
@@ -26,7 +26,7 @@
 moves a domain only if claims are close: numbers by share come first."""
 
 
-class DomainShape(NamedTuple):
+class DomainAssignment(NamedTuple):
     """What a domain shall be used for.
 
     :param model: the model that it serves, but for groups that have changed over or
@@ -38,11 +38,11 @@
     spares: int
 
 
-MIXED = DomainShape(None, MIXED_SPARES)
+MIXED_ASSIGNMENT = DomainAssignment(None, MIXED_SPARES)
 
 
-def choose_shape(domain, plans, places, models, held=()):
-    """Return the :class:`DomainShape` of a domain.
+def assign_domain(domain, plans, places, models, held=()):
+    """Return the :class:`DomainAssignment` of a domain.
 
     :param domain: name of the domain.
     :param plans: :class:`~cowslipcourse.groups.DomainPlan` by domain.
@@ -52,16 +52,16 @@
     """
     total = sum(model.share for model in models)
     if total <= 0 or len(models) < 2:
-        return MIXED
+        return MIXED_ASSIGNMENT
     number = len(places)
     if any(round(number * m.share / total) < LEAST_DOMAINS for m in models):
-        return MIXED
+        return MIXED_ASSIGNMENT
     model = _most_served(plans.get(domain), models)
     if model is None:
         model = _most_held(held, plans, models)
     if model is None:
         model = _assigned(domain, plans, places, models)
-    return DomainShape(model, 0)
+    return DomainAssignment(model, 0)
 
 
 def _most_served(plan, models):
@@ -79,7 +79,9 @@
     ``None`` if another model is wanted more: hosts may hold what they stand by for.
     """
     model = _first(Counter(held), models)
-    urgencies = {wish.model: wish.urgency for wish in wishes(models, plans.values())}
+    urgencies = {
+        wish.model: wish.urgency for wish in model_demands(models, plans.values())
+    }
     is_wanted = model is not None and urgencies[model] >= max(urgencies.values())
     return model if is_wanted else None
 
--- a/cowslipcourse/groups/situation.py
+++ b/cowslipcourse/groups/situation.py
@@ -1,17 +1,17 @@
 """What follows from the knowledge of a domain for the revision of its plan."""
 
 from cowslipcourse.groups.orders import HEAD_AWAY_S, STALL_MARGIN_S, is_present
-from cowslipcourse.groups.practice import is_practice
-from cowslipcourse.groups.views import EngineView, Wish
+from cowslipcourse.groups.practice import is_warmup_group
+from cowslipcourse.groups.views import EngineView, ModelDemand
 from cowslipcourse.ports import GroupState
 
 __all__ = [
     "broken_groups",
     "engine_views",
     "is_free",
-    "models_waiting",
-    "spares_of",
-    "wishes",
+    "model_demands",
+    "models_awaiting_members",
+    "spare_engines",
 ]
 
 HALF_GROUP = 0.5
@@ -22,7 +22,7 @@
     """Return an :class:`~cowslipcourse.groups.EngineView` of each engine.
 
     :param plan: :class:`~cowslipcourse.groups.DomainPlan`
-    :param knowledge: :class:`~cowslipcourse.groups.DomainKnowledge`
+    :param knowledge: :class:`~cowslipcourse.groups.ObservedDomain`
     :param stall_s: time after which a head that lacks a member is broken.
     :param now: loop time.
     """
@@ -37,13 +37,13 @@
     return EngineView(
         id=engine.id,
         incarnation=engine.incarnation,
-        held=engine.held,
+        warm_models=engine.warm_models,
         is_live=engine.is_live,
         is_free=is_free(plan, knowledge, engine, stall_s),
         is_leaving=engine.is_leaving,
         ready_in_s=0.0 if group is None else engine.ready_in_s(group, now),
         pace=engine.pace,
-        is_listed=engine.listed,
+        is_listed=engine.is_listed,
     )
 
 
@@ -60,22 +60,24 @@
     """
     group = plan.group_of(engine.id, engine.incarnation)
     if group is None:
-        return engine.away_from is not None or is_practice(engine.counted_membership)
+        return engine.ungrouped_since is not None or is_warmup_group(
+            engine.confirmed_membership
+        )
     if not group.is_retired:
         return False
     head = knowledge.engines.get(group.head)
-    if head is not None and not group.holds(head.id, head.incarnation):
+    if head is not None and not group.has_member(head.id, head.incarnation):
         return True
     if head is not None and head.silent_since is None:
-        return head.away_s > HEAD_AWAY_S
-    is_away = engine.away_s > HEAD_AWAY_S or not engine.is_live
+        return head.ungrouped_s > HEAD_AWAY_S
+    is_away = engine.ungrouped_s > HEAD_AWAY_S or not engine.is_live
     return is_away and _has_broken(group, knowledge, stall_s)
 
 
 def _has_broken(group, knowledge, stall_s):
     """Whether a silent head must have broken, as a member left for long enough."""
     engines = [knowledge.engines.get(member) for member in group.members]
-    longest_s = max(engine.away_s for engine in engines if engine is not None)
+    longest_s = max(engine.ungrouped_s for engine in engines if engine is not None)
     return longest_s > stall_s + STALL_MARGIN_S
 
 
@@ -90,7 +92,7 @@
     )
 
 
-def spares_of(plan, knowledge):
+def spare_engines(plan, knowledge):
     """Return the live engines that the plan holds in no group."""
     return [
         engine
@@ -99,7 +101,7 @@
     ]
 
 
-def models_waiting(plan, knowledge):
+def models_awaiting_members(plan, knowledge):
     """Return the models of groups that lack a live member."""
     return {
         group.model
@@ -108,8 +110,8 @@
     }
 
 
-def wishes(models, plans):
-    """Return a :class:`~cowslipcourse.groups.Wish` for each model.
+def model_demands(models, plans):
+    """Return a :class:`~cowslipcourse.groups.ModelDemand` for each model.
 
     A model is wanted more the larger its share of the work is for each group that it
     has in all domains.
@@ -123,6 +125,6 @@
             if group.model in counts and not group.is_retired:
                 counts[group.model] += 1
     return [
-        Wish(m.name, m.size, m.share / m.size / (counts[m.name] + HALF_GROUP))
+        ModelDemand(m.name, m.size, m.share / m.size / (counts[m.name] + HALF_GROUP))
         for m in models
     ]
--- a/cowslipcourse/groups/staging.py
+++ b/cowslipcourse/groups/staging.py
@@ -12,7 +12,7 @@
     replaced only if another spare holds it too.
 
     :param plan: :class:`~cowslipcourse.groups.DomainPlan`
-    :param free: :class:`~cowslipcourse.groups.EngineKnowledge` of free live engines.
+    :param free: :class:`~cowslipcourse.groups.ObservedEngine` of free live engines.
     :param models: iterable of :class:`~cowslipcourse.routes.EngineModel`.
     :param waiting: models of groups that wait for a spare that holds them.
     """
@@ -25,7 +25,7 @@
     chosen = {}
     for engine in sorted(free, key=lambda e: (held[e.id] is not None, e.id)):
         own = held[engine.id]
-        if engine.staging is not None or (own in covering and covering[own] < 2):
+        if engine.staging_model is not None or (own in covering and covering[own] < 2):
             continue
         model = _most_wanted(at_risk, covering, waiting)
         if model is None or model == own or (own in covering and covering[model]):
@@ -39,8 +39,10 @@
 
 def _held(engine, models):
     """Return the model that an engine loads, or can join without a load."""
-    held = [model for model in engine.held if model in models] or engine.held
-    return engine.staging or (held[0] if held else None)
+    held = [
+        model for model in engine.warm_models if model in models
+    ] or engine.warm_models
+    return engine.staging_model or (held[0] if held else None)
 
 
 def _most_wanted(at_risk, covering, waiting):
--- a/cowslipcourse/groups/standby.py
+++ b/cowslipcourse/groups/standby.py
@@ -36,7 +36,7 @@
     :param plans: :class:`~cowslipcourse.groups.DomainPlan` by domain.
     :param places: data centre by domain.
     :param models: iterable of :class:`~cowslipcourse.routes.EngineModel`
-    :param held: see :func:`~cowslipcourse.groups.choose_changes`.
+    :param held: see :func:`~cowslipcourse.groups.choose_reassignments`.
     """
     models = tuple(models)
     standby = {}
--- a/cowslipcourse/groups/views.py
+++ b/cowslipcourse/groups/views.py
@@ -2,9 +2,9 @@
 
 from typing import NamedTuple
 
-__all__ = ["SLOW_PACE", "EngineView", "Wish"]
+__all__ = ["SLOW_PACE_FACTOR", "EngineView", "ModelDemand"]
 
-SLOW_PACE = 2.0
+SLOW_PACE_FACTOR = 2.0
 """Pace from which a member is replaced: at twice its times a group's pauses reach what
 callers bear, and joining again costs two seconds."""
 
@@ -13,7 +13,7 @@
     """An engine as the revision of a plan sees it.
 
     :param id: id of the engine.
-    :param held: models that it can join without a load.
+    :param warm_models: models that it can join without a load.
     :param is_live: whether it can be given work.
     :param is_free: whether it is in no group, or in one that cannot be serving.
     :param is_leaving: whether it still does its work but will leave.
@@ -25,7 +25,7 @@
     """
 
     id: str
-    held: tuple[str, ...]
+    warm_models: tuple[str, ...]
     is_live: bool
     is_free: bool
     is_leaving: bool = False
@@ -37,10 +37,10 @@
     @property
     def is_slow(self):
         """Whether it would slow a group down too much."""
-        return self.pace >= SLOW_PACE
+        return self.pace >= SLOW_PACE_FACTOR
 
 
-class Wish(NamedTuple):
+class ModelDemand(NamedTuple):
     """A model that further groups are wanted of.
 
     :param model: model name.
--- a/cowslipcourse/placement/absence.py
+++ b/cowslipcourse/placement/absence.py
@@ -8,7 +8,7 @@
 import math
 from typing import NamedTuple
 
-__all__ = ["TODAY", "AbsenceKind", "AbsenceModel"]
+__all__ = ["DEFAULT_ABSENCES", "AbsenceKind", "AbsenceModel"]
 
 
 class AbsenceKind(NamedTuple):
@@ -75,7 +75,7 @@
         )
 
 
-TODAY = AbsenceModel(
+DEFAULT_ABSENCES = AbsenceModel(
     (
         AbsenceKind(share=0.50, mean_s=8.0, keeps_weights=True),
         AbsenceKind(share=0.38, mean_s=240.0, keeps_weights=False),
--- a/cowslipcourse/placement/policies.py
+++ b/cowslipcourse/placement/policies.py
@@ -6,7 +6,7 @@
 
 from typing import Protocol
 
-from cowslipcourse.placement.absence import TODAY
+from cowslipcourse.placement.absence import DEFAULT_ABSENCES
 from cowslipcourse.placement.views import Replace, Wait
 
 __all__ = ["CostPolicy", "RepairPolicy", "ReplaceAlways", "WaitAlways"]
@@ -27,7 +27,7 @@
 
     def repair(self, view):
         """Wait, unless a member can never come back and a spare is free."""
-        return _first_fit(view, only_doomed=True)
+        return _first_fit(view, only_unrecoverable=True)
 
 
 class ReplaceAlways:
@@ -35,14 +35,18 @@
 
     def repair(self, view):
         """Replace as long as there are spares."""
-        return _first_fit(view, only_doomed=False)
+        return _first_fit(view, only_unrecoverable=False)
 
 
-def _first_fit(view, only_doomed):
+def _first_fit(view, only_unrecoverable):
     spares = list(view.spares)
     decisions = []
     for group in view.broken:
-        wanted = [n for n in group.absent if n in group.doomed or not only_doomed]
+        wanted = [
+            n
+            for n in group.absent
+            if n in group.unrecoverable or not only_unrecoverable
+        ]
         if not wanted or len(spares) < len(wanted):
             decisions.append(Wait(group.group))
             continue
@@ -62,12 +66,12 @@
     so does waiting, with the broken group's own members, and for as long.
 
     :param absences: :class:`~cowslipcourse.placement.AbsenceModel`
-    :param least_gain: fraction of the cost of waiting that a change must save.
+    :param min_gain_fraction: fraction of the cost of waiting that a change must save.
     """
 
-    def __init__(self, absences=TODAY, least_gain=0.1):
+    def __init__(self, absences=DEFAULT_ABSENCES, min_gain_fraction=0.1):
         self._absences = absences
-        self._least_gain = least_gain
+        self._min_gain_fraction = min_gain_fraction
 
     def repair(self, view):
         """Decide for each broken group, most gain first."""
@@ -97,7 +101,7 @@
     def _wait_s(self, view, group):
         longest = 0.0
         for name, absent_s in group.absent.items():
-            if name in group.doomed:
+            if name in group.unrecoverable:
                 return float("inf")
             back_s = self._absences.expected_return_s(absent_s, view.load_s)
             longest = max(longest, back_s)
@@ -107,7 +111,7 @@
         if len(spares) < len(group.absent):
             merged = self._merge(view, group, spares, decisions)
             return merged or Wait(group.group)
-        worth_s = self._wait_s(view, group) * (1 - self._least_gain)
+        worth_s = self._wait_s(view, group) * (1 - self._min_gain_fraction)
         if worth_s <= view.load_s or self._soon_back(view, group, view.load_s):
             return Wait(group.group)
         return Replace(group.group, dict(zip(group.absent, spares, strict=False)))
@@ -122,7 +126,7 @@
         Waiting a moment costs that moment; it saves the change if the members come
         back with their weights just then.
         """
-        if group.doomed:
+        if group.unrecoverable:
             return False
         rate = min(self._absences.return_rate(s) for s in group.absent.values())
         return rate * replace_s > 1.0
@@ -138,7 +142,7 @@
             if len(given) < len(wanted) or len(donor.absent) < len(wanted):
                 continue
             saved_s = own_wait_s - view.load_s
-            if saved_s <= self._least_gain * view.load_s:
+            if saved_s <= self._min_gain_fraction * view.load_s:
                 continue
             if self._soon_back(view, group, view.load_s):
                 continue
--- a/cowslipcourse/placement/views.py
+++ b/cowslipcourse/placement/views.py
@@ -22,13 +22,13 @@
     :param group: group id.
     :param members: all its VM names.
     :param absent: seconds of absence by name of absent member.
-    :param doomed: absent members that will not come back with this incarnation.
+    :param unrecoverable: absent members that will not come back with this incarnation.
     """
 
     group: str
     members: tuple[str, ...]
     absent: dict[str, float]
-    doomed: frozenset[str] = frozenset()
+    unrecoverable: frozenset[str] = frozenset()
 
     @property
     def healthy(self):
--- a/cowslipcourse/routes/table.py
+++ b/cowslipcourse/routes/table.py
@@ -47,7 +47,7 @@
     pause_limit_s: float = 0.0
 
     @property
-    def may_repeat(self):
+    def is_retryable(self):
         """Whether a request may run more than once."""
         if self.kind is RequestKind.STREAMING:
             return self.is_resumable
--- a/cowslipcourse/routing/affinity.py
+++ b/cowslipcourse/routing/affinity.py
@@ -36,12 +36,12 @@
     """Remembers which targets have seen which prefixes.
 
     :param capacity: most prefixes remembered; the least recently used go first.
-    :param keep_s: seconds after which a hint is no longer believed.
+    :param hint_ttl_s: seconds after which a hint is no longer believed.
     """
 
-    def __init__(self, capacity=20_000, keep_s=300.0):
+    def __init__(self, capacity=20_000, hint_ttl_s=300.0):
         self._capacity = capacity
-        self._keep_s = keep_s
+        self._hint_ttl_s = hint_ttl_s
         self._seen = OrderedDict()
 
     def __len__(self):
@@ -65,7 +65,7 @@
         """Note that a target does not have a prefix after all."""
         self._seen.get(digest, {}).pop(target, None)
 
-    def forget(self, target):
+    def remove_target(self, target):
         """Drop every hint about a target that starts with an empty cache."""
         for targets in self._seen.values():
             targets.pop(target, None)
@@ -79,6 +79,6 @@
         found = {}
         for index, digest in enumerate(hashes, start=1):
             for target, at in self._seen.get(digest, {}).items():
-                if now - at <= self._keep_s:
+                if now - at <= self._hint_ttl_s:
                     found[target] = index * TOKENS_PER_BLOCK
         return found
--- a/cowslipcourse/routing/stragglers.py
+++ b/cowslipcourse/routing/stragglers.py
@@ -11,21 +11,21 @@
 
     :param factor: multiple of its peers' median token time that is too slow.
     :param strikes: consecutive slow reports before it is taken out.
-    :param largest_fraction: most of the targets that may be out at once.
+    :param max_excluded_fraction: most of the targets that may be out at once.
     :param retry_s: seconds until it is tried again; doubles each time.
-    :param longest_retry_s: bound of the doubling.
+    :param max_retry_s: bound of the doubling.
     """
 
     factor: float = 1.8
     strikes: int = 3
-    largest_fraction: float = 0.34
+    max_excluded_fraction: float = 0.34
     retry_s: float = 10.0
-    longest_retry_s: float = 160.0
+    max_retry_s: float = 160.0
 
 
 class _Suspect(NamedTuple):
     strikes: int = 0
-    out_until: float = 0.0
+    excluded_until: float = 0.0
     retry_s: float = 0.0
 
 
@@ -57,7 +57,7 @@
 
     def _judge(self, name, slow, now):
         suspect = self._suspects.get(name, _Suspect())
-        if now < suspect.out_until:
+        if now < suspect.excluded_until:
             return
         if not slow:
             if suspect.strikes or suspect.retry_s:
@@ -68,21 +68,25 @@
             self._suspects[name] = suspect._replace(strikes=strikes)
             return
         retry_s = suspect.retry_s * 2 or self._limits.retry_s
-        retry_s = min(retry_s, self._limits.longest_retry_s)
+        retry_s = min(retry_s, self._limits.max_retry_s)
         self._suspects[name] = _Suspect(0, now + retry_s, retry_s)
 
-    def out(self, now):
+    def excluded_targets(self, now):
         """Return the names of targets that are out, longest out first."""
-        names = [n for n, suspect in self._suspects.items() if now < suspect.out_until]
-        return sorted(names, key=lambda name: -self._suspects[name].out_until)
+        names = [
+            n for n, suspect in self._suspects.items() if now < suspect.excluded_until
+        ]
+        return sorted(names, key=lambda name: -self._suspects[name].excluded_until)
 
-    def keep(self, views, now):
+    def without_stragglers(self, views, now):
         """Return the views without stragglers, never below the floor.
 
         :param views: list of :class:`~cowslipcourse.routing.TargetView`
         :param now: loop time.
         """
-        most = int(len(views) * self._limits.largest_fraction)
+        most = int(len(views) * self._limits.max_excluded_fraction)
         names = {view.name for view in views}
-        excluded = set([name for name in self.out(now) if name in names][:most])
+        excluded = set(
+            [name for name in self.excluded_targets(now) if name in names][:most]
+        )
         return [view for view in views if view.name not in excluded]
--- a/features/steps/balance_steps.py
+++ b/features/steps/balance_steps.py
@@ -12,7 +12,7 @@
 from cowslipcourse.groups import (
     DomainPlan,
     PlannedGroup,
-    choose_changes,
+    choose_reassignments,
     choose_standby,
 )
 from cowslipcourse.ports import GroupState, Membership, TargetEntry
@@ -107,7 +107,7 @@
 
 
 def _changes(context):
-    return choose_changes(
+    return choose_reassignments(
         context.plans,
         context.models,
         lambda group, domain: group.name not in context.lacking,
--- a/features/steps/evidence_steps.py
+++ b/features/steps/evidence_steps.py
@@ -3,9 +3,9 @@
 from behave import given, then, when
 
 from cowslipcourse.groups import (
-    DomainKnowledge,
     DomainPlan,
-    EngineKnowledge,
+    ObservedDomain,
+    ObservedEngine,
     PlannedGroup,
     StepKind,
     next_steps,
@@ -39,40 +39,40 @@
     "an engine whose reports say from {at:f} s that it is in no group, with 5 orders"
 )
 def step_reports_none(context, at):
-    context.engine = EngineKnowledge(_entry(_membership(3)))
-    context.engine.see_report(EngineReport(5, None, ()), at)
+    context.engine = ObservedEngine(_entry(_membership(3)))
+    context.engine.update_from_report(EngineReport(5, None, ()), at)
 
 
 @when("a report asked for at {at:f} s says the same")
 def step_same(context, at):
-    context.engine.see_report(EngineReport(5, None, ()), at)
+    context.engine.update_from_report(EngineReport(5, None, ()), at)
 
 
 @when(
     "a report asked for at {at:f} s says that it is in no group, with {orders:d} orders"
 )
 def step_other_count(context, at, orders):
-    context.engine.see_report(EngineReport(orders, None, ()), at)
+    context.engine.update_from_report(EngineReport(orders, None, ()), at)
 
 
 @then("it has been away for {seconds:f} s")
 def step_away(context, seconds):
-    assert abs(context.engine.away_s - seconds) < 1e-6, context.engine.away_s
+    assert abs(context.engine.ungrouped_s - seconds) < 1e-6, context.engine.ungrouped_s
 
 
 @given("an engine in group g1 at epoch {epoch:d}")
 def step_in_group(context, epoch):
-    context.engine = EngineKnowledge(_entry(_membership(epoch)))
+    context.engine = ObservedEngine(_entry(_membership(epoch)))
 
 
 @when("the list says that it is in no group")
 def step_list(context):
-    context.engine.see_entry(_entry())
+    context.engine.update_from_entry(_entry())
 
 
 @when("a report says that it is in group g1 at epoch {epoch:d}")
 def step_report_group(context, epoch):
-    context.engine.see_report(EngineReport(5, _membership(epoch), ()), 11.0)
+    context.engine.update_from_report(EngineReport(5, _membership(epoch), ()), 11.0)
 
 
 @then("it is known in epoch {epoch:d}")
@@ -82,8 +82,8 @@
 
 @given("a domain whose engine refused an order at {at:f} s as its count differed")
 def step_refused(context, at):
-    context.engine = EngineKnowledge(_entry())
-    context.engine.see_refusal(at)
+    context.engine = ObservedEngine(_entry())
+    context.engine.mark_order_refused(at)
     group = PlannedGroup("g1", "large", 4, ("e1",))
     context.plan = DomainPlan("north", 3, (group,))
 
@@ -106,18 +106,18 @@
 
 @given("a retired group whose head is lost, with {engine} that left at {at:f} s")
 def step_retired(context, engine, at):
-    context.engine = EngineKnowledge(_entry())
-    context.engine.see_report(EngineReport(5, None, ()), at)
+    context.engine = ObservedEngine(_entry())
+    context.engine.update_from_report(EngineReport(5, None, ()), at)
     group = PlannedGroup("g1", "large", 4, ("e0", "e1"), is_retired=True)
     context.plan = DomainPlan("north", 3, (group,))
 
 
 @when("it becomes known at {now:f} s that its group is given up")
 def step_given_up(context, now):
-    domain = DomainKnowledge()
+    domain = ObservedDomain()
     domain.engines["e1"] = context.engine
     group = PlannedGroup("g1", "large", 3, ("e1",), is_retired=True)
-    domain.see_plan(DomainPlan("north", 4, (group,)), now)
+    domain.update_from_plan(DomainPlan("north", 4, (group,)), now)
 
 
 @given(
@@ -127,10 +127,12 @@
     context.engines = {}
     for rank, name in enumerate(("e1", "e2")):
         membership = Membership("g1", epoch, rank, GroupState.READY, "small")
-        engine = EngineKnowledge(_entry(membership)._replace(id=name))
-        engine.see_report(EngineReport(7, membership, ()), 10.0)
+        engine = ObservedEngine(_entry(membership)._replace(id=name))
+        engine.update_from_report(EngineReport(7, membership, ()), 10.0)
         context.engines[name] = engine
-    context.engines["e1"].note_begun(EngineOrder(OrderName.OPEN, 7, "g1", epoch))
+    context.engines["e1"].apply_started_order(
+        EngineOrder(OrderName.OPEN, 7, "g1", epoch)
+    )
 
 
 @when("a plan holds them in g2 instead")
@@ -147,14 +149,14 @@
 
 
 def _domain(context):
-    context.domain = getattr(context, "domain", None) or DomainKnowledge()
+    context.domain = getattr(context, "domain", None) or ObservedDomain()
     context.domain.engines["e1"] = context.engine
     return context.domain
 
 
 @when("another coordinator's plan without groups becomes known at {now:f} s")
 def step_other_plan(context, now):
-    _domain(context).see_plan(DomainPlan("north", 9), now)
+    _domain(context).update_from_plan(DomainPlan("north", 9), now)
 
 
 @then("it is free in a domain without groups")
@@ -179,7 +181,7 @@
         state = GroupState.READY if rank else GroupState.OPEN
         membership = Membership("g1", epoch, rank, state, "small")
         entry = _entry(membership)._replace(id=engine)
-        context.engines[engine] = EngineKnowledge(entry)
+        context.engines[engine] = ObservedEngine(entry)
         context.engines[engine].order_count = 7
     group = PlannedGroup("g2", "small", epoch + 1, ("e1", "e2"))
     context.plan = DomainPlan("north", epoch + 1, (group,))
@@ -194,10 +196,10 @@
 
 @given("an engine that reported group g1 and began to leave it, and no plan")
 def step_left_unknown(context):
-    context.engine = EngineKnowledge(_entry(_membership(3)))
-    context.engine.see_report(EngineReport(5, _membership(3), ()), 10.0)
+    context.engine = ObservedEngine(_entry(_membership(3)))
+    context.engine.update_from_report(EngineReport(5, _membership(3), ()), 10.0)
     leave = EngineOrder(OrderName.LEAVE, 5, group="g1", epoch=3)
-    context.engine.note_begun(leave)
+    context.engine.apply_started_order(leave)
     context.plan = DomainPlan("north")
 
 
@@ -208,7 +210,7 @@
 
 @then("it is free, and not asked any more")
 def step_is_free(context):
-    domain = DomainKnowledge()
+    domain = ObservedDomain()
     domain.engines["e1"] = context.engine
     assert is_free(context.plan, domain, context.engine, STALL_S)
     assert _kinds(context, 12.5) == [], _kinds(context, 12.5)
--- a/features/steps/forwarding_steps.py
+++ b/features/steps/forwarding_steps.py
@@ -58,7 +58,7 @@
     settings = RetrySettings(ratio=ratio, slack=slack, window_s=10.0)
     context.budgets = [SharedRetryBudget(settings) for _ in range(number)]
     for budget in context.budgets:
-        budget.daemons = number
+        budget.daemon_count = number
 
 
 @when("each gets {number:d} requests for one service in 10 s and tries to repeat all")
@@ -68,8 +68,8 @@
     for budget in context.budgets:
         for index in range(number):
             now = index * 10.0 / number
-            budget.request("one", now)
-            context.repeats += budget.take("one", now)
+            budget.record_request("one", now)
+            context.repeats += budget.try_take("one", now)
 
 
 @then("together they repeat at most 0.2 of the requests and 134 more")
--- a/features/steps/life_steps.py
+++ b/features/steps/life_steps.py
@@ -13,13 +13,13 @@
 from cowslipcourse.entry.plan_table import GROUPS_TABLE
 from cowslipcourse.entry.settings import ControlSettings
 from cowslipcourse.groups import (
-    DomainKnowledge,
+    DomainAssignment,
     DomainPlan,
-    DomainShape,
     EngineView,
+    ModelDemand,
+    ObservedDomain,
     PlannedGroup,
-    Wish,
-    revise,
+    revise_plan,
 )
 from cowslipcourse.groups.situation import is_free
 from cowslipcourse.ports import (
@@ -58,27 +58,27 @@
 
 @given("the engine e1, ready in g1 at epoch 4, silent, slow, with 5 orders")
 def step_engine(context):
-    context.domain = DomainKnowledge()
-    context.domain.see_entry(_entry(membership=IN_G1))
+    context.domain = ObservedDomain()
+    context.domain.update_from_entry(_entry(membership=IN_G1))
     report = EngineReport(5, IN_G1, ("large",), pace=3.0, incarnation=FIRST)
-    context.domain.see_report("e1", report, 10.0)
-    context.domain.engines["e1"].see_silence(11.0)
+    context.domain.update_from_report("e1", report, 10.0)
+    context.domain.engines["e1"].mark_silent(11.0)
 
 
 @when("the list tells of a later life of e1 that is in no group")
 def step_later_entry(context):
-    context.domain.see_entry(_entry(incarnation=SECOND))
+    context.domain.update_from_entry(_entry(incarnation=SECOND))
 
 
 @when("the list repeats the entry of the earlier life of e1")
 def step_earlier_entry(context):
-    context.domain.see_entry(_entry(membership=IN_G1))
+    context.domain.update_from_entry(_entry(membership=IN_G1))
 
 
 @when("a report of a later life of e1 says that it is in no group, with 0 orders")
 def step_later_report(context):
     report = EngineReport(0, None, ("large",), incarnation=SECOND)
-    context.domain.see_report("e1", report, 12.0)
+    context.domain.update_from_report("e1", report, 12.0)
 
 
 @when(
@@ -87,13 +87,13 @@
 )
 def step_earlier_report(context, orders):
     report = EngineReport(orders, IN_G1, ("large",), incarnation=FIRST)
-    context.domain.see_report("e1", report, 12.0)
+    context.domain.update_from_report("e1", report, 12.0)
 
 
 @when("a plan holds the later life of e1 in g1 at epoch 5")
 def step_plan(context):
     group = G1._replace(epoch=5, incarnations=(SECOND,))
-    context.domain.see_plan(DomainPlan("d1", 4, (group,)), 12.0)
+    context.domain.update_from_plan(DomainPlan("d1", 4, (group,)), 12.0)
 
 
 @then("e1 has no order count, is not silent, not slow, and was never ready in g1")
@@ -129,9 +129,9 @@
 
 
 def _revise(context):
-    shape, wishes = DomainShape("large", 0), [Wish("large", 4, 1.0)]
+    shape, model_demands = DomainAssignment("large", 0), [ModelDemand("large", 4, 1.0)]
     views = context.views.values()
-    context.groups = revise(context.plan, views, SIZES, wishes, shape)
+    context.groups = revise_plan(context.plan, views, SIZES, model_demands, shape)
 
 
 @when("{engine} starts again")
@@ -165,9 +165,9 @@
 
 @given("a retired group on e1 e2 whose head e1 has started again")
 def step_head_again(context):
-    context.knowledge = DomainKnowledge()
-    context.knowledge.see_entry(_entry("e1", incarnation=SECOND))
-    context.knowledge.see_entry(_entry("e2", IN_G1._replace(rank=1)))
+    context.knowledge = ObservedDomain()
+    context.knowledge.update_from_entry(_entry("e1", incarnation=SECOND))
+    context.knowledge.update_from_entry(_entry("e2", IN_G1._replace(rank=1)))
     group = PlannedGroup("g1", "large", 4, ("e1", "e2"), True, (FIRST, FIRST))
     context.plan = DomainPlan("d1", 7, (group,))
 
@@ -185,7 +185,7 @@
 @when("a report of the new life of e1 says that it is in no group")
 def step_head_reports(context):
     report = EngineReport(0, None, ("large",), incarnation=SECOND)
-    context.knowledge.see_report("e1", report, 12.0)
+    context.knowledge.update_from_report("e1", report, 12.0)
 
 
 @then("e1 and e2 are free")
@@ -281,8 +281,8 @@
     "a planned group g1 of e1 and e2 at epoch 5, and a report from the address of e2"
 )
 def step_address(context):
-    context.knowledge = DomainKnowledge()
-    context.knowledge.see_entry(_entry("e2"))
+    context.knowledge = ObservedDomain()
+    context.knowledge.update_from_entry(_entry("e2"))
     context.group = PlannedGroup("g1", "large", 5, ("e1", "e2"), False, (FIRST, FIRST))
 
 
@@ -290,7 +290,7 @@
 def step_report_rank(context, rank):
     found = Membership("g1", 5, rank, GroupState.READY, "large")
     report = EngineReport(2, found, ("large",), incarnation=FIRST)
-    context.knowledge.see_report("e2", report, 5.0)
+    context.knowledge.update_from_report("e2", report, 5.0)
 
 
 @then("e2 was not ready in g1")
@@ -331,12 +331,12 @@
 
 @then("it is not live when its entry is listed again")
 def step_listed_again(context):
-    context.knowledge.see_gone("e2")
-    context.knowledge.see_entry(_entry("e2"))
+    context.knowledge.mark_unlisted("e2")
+    context.knowledge.update_from_entry(_entry("e2"))
     assert not context.knowledge.engines["e2"].is_live
 
 
 @then("it is live when its entry names another address")
 def step_other_address(context):
-    context.knowledge.see_entry(_entry("e2")._replace(address="10.0.0.2:1"))
+    context.knowledge.update_from_entry(_entry("e2")._replace(address="10.0.0.2:1"))
     assert context.knowledge.engines["e2"].is_live
--- a/features/steps/practice_steps.py
+++ b/features/steps/practice_steps.py
@@ -11,11 +11,11 @@
 from cowslipcourse.entry.fleet import FleetView
 from cowslipcourse.entry.settings import ControlSettings
 from cowslipcourse.groups import (
-    DomainKnowledge,
     DomainPlan,
+    ObservedDomain,
     StepKind,
     next_steps,
-    practice_step,
+    warmup_step,
 )
 from cowslipcourse.groups.situation import is_free
 from cowslipcourse.ports import (
@@ -43,7 +43,7 @@
 
 def _report(context, membership):
     report = EngineReport(1, membership, ("large",), incarnation=1)
-    context.knowledge.see_report("e1", report, 5.0)
+    context.knowledge.update_from_report("e1", report, 5.0)
 
 
 @given(
@@ -51,8 +51,8 @@
 )
 def step_spare(context, held, joined, orders):
     staged = () if held == "nothing" else (held,)
-    context.knowledge = DomainKnowledge()
-    context.knowledge.see_entry(_entry(staged))
+    context.knowledge = ObservedDomain()
+    context.knowledge.update_from_entry(_entry(staged))
     engine = context.knowledge.engines["e1"]
     engine.joined_model = None if joined == "nothing" else joined
     engine.order_count = None if orders == "no" else int(orders)
@@ -60,7 +60,7 @@
 
 @then("in a domain of large it is to {do}")
 def step_is_to(context, do):
-    step = practice_step(PLAN, context.knowledge.engines["e1"], ["large"])
+    step = warmup_step(PLAN, context.knowledge.engines["e1"], ["large"])
     if do == "rest":
         assert step is None, step
     elif do == "be asked for its count":
@@ -73,8 +73,8 @@
 
 @given("a spare that is joining a group of its own")
 def step_joining(context):
-    context.knowledge = DomainKnowledge()
-    context.knowledge.see_entry(_entry())
+    context.knowledge = ObservedDomain()
+    context.knowledge.update_from_entry(_entry())
     _report(context, _alone(GroupState.JOINING))
 
 
@@ -107,9 +107,11 @@
 
 @given("a stray in the group {group} of a domain called {domain}")
 def step_stray(context, group, domain):
-    context.knowledge = DomainKnowledge()
+    context.knowledge = ObservedDomain()
     found = Membership(group, 7, 1, GroupState.READY, "large")
-    context.knowledge.see_entry(_entry()._replace(domain=domain, membership=found))
+    context.knowledge.update_from_entry(
+        _entry()._replace(domain=domain, membership=found)
+    )
 
 
 @then("it does not count as free")
@@ -136,7 +138,7 @@
     while True:
         entries = world.entries()
         present = {entry.id for entry in entries}
-        coordinator.domains.see_gone(listed - present)
+        coordinator.domains.mark_unlisted(listed - present)
         coordinator.domains.see_entries(entries)
         listed = present
         await asyncio.sleep(LIST_S)
--- a/features/steps/question_steps.py
+++ b/features/steps/question_steps.py
@@ -11,7 +11,7 @@
 from cowslipcourse.entry.own_links import OwnLinks
 from cowslipcourse.entry.settings import ControlSettings
 from cowslipcourse.exceptions import TargetUnreachable
-from cowslipcourse.groups import EngineKnowledge
+from cowslipcourse.groups import ObservedEngine
 from cowslipcourse.ports import EngineReport, TargetEntry
 
 TRIP_S = 0.003
@@ -54,7 +54,7 @@
 
 
 def _engine(number):
-    return EngineKnowledge(TargetEntry(f"e{number}", "llm", "a:1", "dc", 13))
+    return ObservedEngine(TargetEntry(f"e{number}", "llm", "a:1", "dc", 13))
 
 
 def _ask_all(context, make_control, seconds):
--- a/features/steps/revision_steps.py
+++ b/features/steps/revision_steps.py
@@ -3,15 +3,15 @@
 from behave import given, then, when
 
 from cowslipcourse.groups import (
-    MIXED,
+    MIXED_ASSIGNMENT,
+    DomainAssignment,
     DomainPlan,
-    DomainShape,
-    EngineKnowledge,
     EngineView,
+    ModelDemand,
+    ObservedEngine,
     PlannedGroup,
-    Wish,
     choose_staging,
-    revise,
+    revise_plan,
 )
 from cowslipcourse.ports import TargetEntry
 from cowslipcourse.routes import EngineModel
@@ -21,17 +21,19 @@
     EngineModel("large", 4, 0.67, 1.0, 16.0, 1.6),
     EngineModel("small", 2, 0.33, 0.6, 12.0, 1.1),
 )
-NO_WISHES = ()
-NO_SPARES = DomainShape(None, 0)
+NO_DEMANDS = ()
+NO_SPARES = DomainAssignment(None, 0)
 
 
 def _view(engine_id, staged=(), is_free=False):
     return EngineView(engine_id, staged, is_live=True, is_free=is_free)
 
 
-def _revise(context, wishes=NO_WISHES, broken=frozenset()):
+def _revise(context, model_demands=NO_DEMANDS, broken=frozenset()):
     views = context.views.values()
-    context.revised = revise(context.plan, views, SIZES, wishes, context.shape, broken)
+    context.revised = revise_plan(
+        context.plan, views, SIZES, model_demands, context.shape, broken
+    )
 
 
 def _add_group(context, model, members):
@@ -46,7 +48,7 @@
 def step_models(context):
     context.plan = DomainPlan("north", 7)
     context.views = {}
-    context.shape = MIXED
+    context.shape = MIXED_ASSIGNMENT
 
 
 @given("a domain with a group of {model} on {members}")
@@ -67,7 +69,7 @@
 
 @given("the domain serves {model} alone")
 def step_one_model(context, model):
-    context.shape = DomainShape(model, 0)
+    context.shape = DomainAssignment(model, 0)
 
 
 @given("the list has never told of {members}")
@@ -80,7 +82,9 @@
 def step_form(context):
     views = [_view(f"e{number}", is_free=True) for number in range(4)]
     context.groups = [
-        revise(DomainPlan(domain), views, SIZES, [Wish("large", 4, 1.0)], NO_SPARES)
+        revise_plan(
+            DomainPlan(domain), views, SIZES, [ModelDemand("large", 4, 1.0)], NO_SPARES
+        )
         for domain in ("north", "south")
     ]
 
@@ -135,8 +139,11 @@
 
 @when("{wanted} is wanted more than {other}")
 def step_wanted_more(context, wanted, other):
-    wishes = [Wish(wanted, SIZES[wanted], 2.0), Wish(other, SIZES[other], 1.0)]
-    _revise(context, wishes)
+    model_demands = [
+        ModelDemand(wanted, SIZES[wanted], 2.0),
+        ModelDemand(other, SIZES[other], 1.0),
+    ]
+    _revise(context, model_demands)
 
 
 @when("that is in force and the spare {engine} that holds {model} comes")
@@ -184,7 +191,7 @@
         engine, _, held = word.partition("=")
         entry = TargetEntry(engine, "llm", "a:1", "dc", 13, domain="north")
         context.free.append(
-            EngineKnowledge(entry._replace(staged=(held,) if held else ()))
+            ObservedEngine(entry._replace(staged=(held,) if held else ()))
         )
 
 
@@ -208,7 +215,7 @@
 
 @when("groups are formed")
 def step_groups_formed(context):
-    _revise(context, wishes=[Wish("large", 4, 1.0)])
+    _revise(context, model_demands=[ModelDemand("large", 4, 1.0)])
 
 
 @then("one group of {model} on {members} is planned")
--- a/features/steps/shape_steps.py
+++ b/features/steps/shape_steps.py
@@ -3,11 +3,11 @@
 from behave import given, then, when
 
 from cowslipcourse.groups import (
-    MIXED,
-    DomainKnowledge,
+    MIXED_ASSIGNMENT,
     DomainPlan,
+    ObservedDomain,
     PlannedGroup,
-    choose_shape,
+    assign_domain,
 )
 from cowslipcourse.groups.situation import is_free
 from cowslipcourse.ports import EngineReport, GroupState, Membership, TargetEntry
@@ -48,7 +48,7 @@
 def step_choose(context):
     context.shapes = {}
     for domain in context.places:
-        shape = choose_shape(domain, context.plans, context.places, context.models)
+        shape = assign_domain(domain, context.plans, context.places, context.models)
         context.shapes[domain] = shape
         if shape.model is not None:
             _plan_group(context, domain, shape.model)
@@ -57,7 +57,7 @@
 @when("each domain is given its models while no other one has any yet")
 def step_choose_at_once(context):
     context.at_once = {
-        domain: choose_shape(domain, {}, context.places, context.models).model
+        domain: assign_domain(domain, {}, context.places, context.models).model
         for domain in context.places
     }
 
@@ -65,7 +65,7 @@
 @then("the domains have the models that they get one after the other")
 def step_as_one(context):
     for domain in sorted(context.places):
-        shape = choose_shape(domain, context.plans, context.places, context.models)
+        shape = assign_domain(domain, context.plans, context.places, context.models)
         _plan_group(context, domain, shape.model)
         assert shape.model == context.at_once[domain], (domain, context.at_once)
 
@@ -88,8 +88,8 @@
 
 @then("every domain serves any model and keeps 2 spares")
 def step_mixed(context):
-    assert set(context.shapes.values()) == {MIXED}
-    assert MIXED.spares == 2
+    assert set(context.shapes.values()) == {MIXED_ASSIGNMENT}
+    assert MIXED_ASSIGNMENT.spares == 2
 
 
 @then("{domain} serves {model} alone")
@@ -102,20 +102,22 @@
     members = ("a", "b", "c", "d")
     group = PlannedGroup("g1", "large", 3, members, is_retired=True)
     context.plan = DomainPlan("north", 3, (group,))
-    context.knowledge = DomainKnowledge()
+    context.knowledge = ObservedDomain()
     for rank, member in enumerate(members):
         membership = Membership("g1", 3, rank, GroupState.READY, "large")
         entry = TargetEntry(
             member, "llm", "a:1", "north", 13, domain="north", membership=membership
         )
-        context.knowledge.see_entry(entry)
-    context.knowledge.engines["a"].see_silence(10.0)
+        context.knowledge.update_from_entry(entry)
+    context.knowledge.engines["a"].mark_silent(10.0)
 
 
 def _report_away(context, members):
     for member in members:
         for at in (10.0, 14.6):
-            context.knowledge.engines[member].see_report(EngineReport(2, None, ()), at)
+            context.knowledge.engines[member].update_from_report(
+                EngineReport(2, None, ()), at
+            )
 
 
 @when("b, c and d have been away for 4.6 s by reports")
@@ -156,7 +158,7 @@
 @when("a domain without groups comes back whose engines hold {model}")
 def step_comes_back(context, model):
     domain = next(d for d in sorted(context.places) if d not in context.plans)
-    context.shape = choose_shape(
+    context.shape = assign_domain(
         domain, context.plans, context.places, context.models, (model,) * 8
     )
 
--- a/features/steps/variant_steps.py
+++ b/features/steps/variant_steps.py
@@ -47,14 +47,14 @@
 
 def _proofs():
     error = TargetUnreachable("reset", sent=True)
-    route = SimpleNamespace(may_repeat=False, max_attempts=2)
+    route = SimpleNamespace(is_retryable=False, max_attempts=2)
     assert not outcomes.may_try_again(route, 1, error)
 
 
 def _budget():
     settings = RetrySettings(ratio=0.0, slack=80.0, window_s=10.0)
     budgets = [SharedRetryBudget(settings) for _ in range(8)]
-    taken = sum(budget.take("s", 0.0) for budget in budgets for _ in range(80))
+    taken = sum(budget.try_take("s", 0.0) for budget in budgets for _ in range(80))
     assert taken <= settings.slack, taken
 
 
--- a/features/support/coordinator_runs.py
+++ b/features/support/coordinator_runs.py
@@ -11,10 +11,10 @@
 from cowslipcourse.entry.fleet import FleetView
 from cowslipcourse.entry.settings import ControlSettings
 from cowslipcourse.exceptions import TargetUnreachable
-from cowslipcourse.groups import EngineKnowledge, situation
+from cowslipcourse.groups import ObservedEngine, situation
 from cowslipcourse.groups import orders as group_orders
 from cowslipcourse.groups import revision as group_revision
-from cowslipcourse.groups.practice import is_practice
+from cowslipcourse.groups.practice import is_warmup_group
 from features.support.engine_world import MODELS, STALL_S, route_table
 
 __all__ = [
@@ -185,7 +185,7 @@
         if site.overloads and rng.random() < OLD_LIST_SHARE:
             await asyncio.sleep(rng.uniform(1.0, OLDEST_LIST_S))
         present = {entry.id for entry in entries}
-        coordinator.domains.see_gone(listed - present)
+        coordinator.domains.mark_unlisted(listed - present)
         coordinator.domains.see_entries(entries)
         fleet.apply(entries, listed - present)
         listed = present
@@ -315,7 +315,9 @@
 
     with (
         mock.patch.object(situation, "is_free", free),
-        mock.patch.object(group_orders, "_free_strays", lambda plan, engines: []),
+        mock.patch.object(
+            group_orders, "_leave_unplanned_groups", lambda plan, engines: []
+        ),
         _join_regardless(),
     ):
         yield
@@ -326,9 +328,9 @@
     """Give a repaired group its old epoch again."""
     make = group_revision._Revision.make
 
-    def keep(self, wishes, changes):
+    def keep(self, model_demands, changes):
         old = {group.name: group.epoch for group in self._groups.values()}
-        groups = make(self, wishes, changes)
+        groups = make(self, model_demands, changes)
         return tuple(
             group._replace(epoch=old.get(group.name, group.epoch)) for group in groups
         )
@@ -364,7 +366,9 @@
 def _old_evidence():
     """Trust reports from before a group's end, and join whoever the plan says."""
     with (
-        mock.patch.object(EngineKnowledge, "watch_from", lambda self, now: None),
+        mock.patch.object(
+            ObservedEngine, "require_evidence_since", lambda self, now: None
+        ),
         _join_regardless(),
     ):
         yield
@@ -387,7 +391,7 @@
 def _lives_unplanned():
     """Plan engines by their ids alone."""
     with mock.patch.object(
-        group_revision._Revision, "_lives", lambda self, members: ()
+        group_revision._Revision, "_incarnations_of", lambda self, members: ()
     ):
         yield
 
@@ -406,11 +410,11 @@
 
     def free(plan, knowledge, engine, stall_s):
         if plan.group_of(engine.id, engine.incarnation) is None:
-            return engine.membership is None or is_practice(engine.membership)
+            return engine.membership is None or is_warmup_group(engine.membership)
         return is_free(plan, knowledge, engine, stall_s)
 
     with (
-        mock.patch.object(group_revision._Revision, "_drop_dead", drop_dead),
+        mock.patch.object(group_revision._Revision, "_drop_unlisted", drop_dead),
         mock.patch.object(situation, "is_free", free),
         _join_regardless(),
     ):
--- a/measurements/balance_cost.py
+++ b/measurements/balance_cost.py
@@ -10,7 +10,7 @@
 from cowslipcourse.groups import (
     DomainPlan,
     PlannedGroup,
-    choose_changes,
+    choose_reassignments,
     choose_standby,
 )
 from cowslipcourse.routes import EngineModel
@@ -54,7 +54,7 @@
     plans = {plan.domain: plan for plan in map(_plan, range(domains))}
     places = {name: f"dc{n % DATA_CENTRES}" for n, name in enumerate(plans)}
     changes_s = _seconds(
-        lambda: choose_changes(plans, MODELS, lambda *_: True, lambda *_: 0)
+        lambda: choose_reassignments(plans, MODELS, lambda *_: True, lambda *_: 0)
     )
     standby_s = _seconds(lambda: choose_standby(plans, places, MODELS, lambda *_: 0))
     share = changes_s / LOOK_S + standby_s / STANDBY_LOOK_S
--- a/measurements/load_driver.py
+++ b/measurements/load_driver.py
@@ -316,7 +316,7 @@
             times = {view.name: view.load.token_s for view in views}
             gateway.stragglers.observe(times, self.now)
         if isinstance(gateway.policy, LeastExpectedWait):
-            views = gateway.stragglers.keep(views, self.now)
+            views = gateway.stragglers.without_stragglers(views, self.now)
         chosen = gateway.policy.choose(views, gateway.rng)
         if hashes:
             gateway.prefixes.add(chosen.name, hashes, self.now)
--- a/measurements/placement.py
+++ b/measurements/placement.py
@@ -25,7 +25,7 @@
     Weights,
     load_order,
 )
-from cowslipcourse.placement.absence import TODAY
+from cowslipcourse.placement.absence import DEFAULT_ABSENCES
 
 DAY_S = 86_400.0
 SEEDS = 20
@@ -91,7 +91,9 @@
             at += rng.expovariate(shape.absences_a_day / DAY_S)
             if at > end:
                 break
-            kind = rng.choices(TODAY.kinds, [kind.share for kind in TODAY.kinds])[0]
+            kind = rng.choices(
+                DEFAULT_ABSENCES.kinds, [kind.share for kind in DEFAULT_ABSENCES.kinds]
+            )[0]
             trace.append((at, vm, at + rng.expovariate(1 / kind.mean_s), kind[2]))
     at = rng.expovariate(1 / shape.dark_every_s)
     while at < end:
