--- a/cowslipcourse/adapters/peer/network.py
+++ b/cowslipcourse/adapters/peer/network.py
@@ -5,7 +5,7 @@
 from cowslipcourse.adapters.peer import codec, peer_pb2, peer_pb2_grpc
 from cowslipcourse.adapters.peer.tls import client_credentials, server_credentials
 from cowslipcourse.exceptions import PeerUnreachable
-from cowslipcourse.ports.peers import ForwardAnswer, ForwardedCall
+from cowslipcourse.ports.peers import ForwardedCall, ForwardResponse
 
 __all__ = ["GrpcPeers"]
 
@@ -72,10 +72,10 @@
         stub = await self._stub(address)
         request = peer_pb2.ForwardRequest(**call._asdict())
         reply = await _call(stub.Forward, request, timeout_s)
-        fields = {name: getattr(reply, name) for name in ForwardAnswer._fields}
-        return ForwardAnswer(**fields)
+        fields = {name: getattr(reply, name) for name in ForwardResponse._fields}
+        return ForwardResponse(**fields)
 
-    async def keep(self, addresses):
+    async def close_connections_except(self, addresses):
         """See :class:`~cowslipcourse.ports.PeerNetwork`."""
         for address in set(self._channels) - set(addresses):
             channel, _ = self._channels.pop(address)
@@ -85,7 +85,7 @@
         """See :class:`~cowslipcourse.ports.PeerNetwork`."""
         if self._server is not None:
             await self._server.stop(STOP_GRACE_S)
-        await self.keep(())
+        await self.close_connections_except(())
 
     async def _stub(self, address):
         await self._reread_tls()
@@ -99,7 +99,7 @@
             return
         contents = self._tls.read()
         if contents != self._tls_contents:
-            await self.keep(())
+            await self.close_connections_except(())
             self._tls_contents = contents
 
     def _open(self, address):
--- a/cowslipcourse/adapters/targets.py
+++ b/cowslipcourse/adapters/targets.py
@@ -16,7 +16,7 @@
     TargetRefused,
     TargetUnreachable,
 )
-from cowslipcourse.ports import EngineLoad, EngineStatus, ServiceAnswer
+from cowslipcourse.ports import EngineLoad, EngineStatus, ServiceResponse
 from cowslipcourse.quarantining import refuses_connections
 
 __all__ = ["END_EVENT", "HttpTargets"]
@@ -116,7 +116,7 @@
         except _NETWORK:
             return
 
-    async def has_ended(self, address):
+    async def refuses_connections(self, address):
         """See :class:`~cowslipcourse.ports.TargetClient`."""
         return await refuses_connections(urlsplit(address).netloc)
 
@@ -143,7 +143,7 @@
             raise MalformedAnswer("answer to another call")
         if response.status == HTTP_REFUSED and "x-not-started" in response.headers:
             raise TargetRefused(_reason(answer))
-        return ServiceAnswer(response.status, response.content_type, answer)
+        return ServiceResponse(response.status, response.content_type, answer)
 
     async def close(self):
         """Close the connections."""
--- a/cowslipcourse/config/__init__.py
+++ b/cowslipcourse/config/__init__.py
@@ -1,7 +1,7 @@
 """The operators' configuration: objects, checks, plans and edits."""
 
 from cowslipcourse.config.documents import parse_documents
-from cowslipcourse.config.edits import Change, Edit, apply_changes, overlapping
+from cowslipcourse.config.edits import Change, Edit, apply_changes, conflicting_changes
 from cowslipcourse.config.objects import (
     Configuration,
     Drain,
@@ -14,28 +14,28 @@
     Site,
     Workspace,
 )
-from cowslipcourse.config.plans import GroupUse, Plan, make_plan
-from cowslipcourse.config.resolve import Resolved, resolve
+from cowslipcourse.config.plans import ExistingGroup, Plan, make_plan
+from cowslipcourse.config.resolve import ResolvedConfiguration, resolve
 
 __all__ = [
     "Change",
     "Configuration",
     "Drain",
     "Edit",
+    "ExistingGroup",
     "Group",
-    "GroupUse",
     "Label",
     "Model",
     "ObjectRef",
     "Placement",
     "Plan",
-    "Resolved",
+    "ResolvedConfiguration",
     "Service",
     "Site",
     "Workspace",
     "apply_changes",
+    "conflicting_changes",
     "make_plan",
-    "overlapping",
     "parse_documents",
     "resolve",
 ]
--- a/cowslipcourse/config/edits.py
+++ b/cowslipcourse/config/edits.py
@@ -5,7 +5,7 @@
 from cowslipcourse.config.objects import KINDS, Configuration, ObjectRef
 from cowslipcourse.exceptions import ConfigurationError, Problem, UnknownObject
 
-__all__ = ["Change", "Edit", "apply_changes", "overlapping"]
+__all__ = ["Change", "Edit", "apply_changes", "conflicting_changes"]
 
 
 class Change(NamedTuple):
@@ -58,7 +58,7 @@
     return Configuration.model_construct(**kinds)
 
 
-def overlapping(changes, history, base_revision):
+def conflicting_changes(changes, history, base_revision):
     """Find objects that were changed by others after the edit's base revision.
 
     :param changes: the edit's changes.
--- a/cowslipcourse/config/plans.py
+++ b/cowslipcourse/config/plans.py
@@ -5,10 +5,10 @@
 import msgspec
 import xxhash
 
-__all__ = ["GroupUse", "Plan", "make_plan"]
+__all__ = ["ExistingGroup", "Plan", "make_plan"]
 
 
-class GroupUse(NamedTuple):
+class ExistingGroup(NamedTuple):
     """A group as it stands now.
 
     :param group: group id.
@@ -101,10 +101,10 @@
     """Work out what changing the configuration does.
 
     :param old: configuration now.
-    :param old_resolved: its :class:`~cowslipcourse.config.Resolved`.
+    :param old_resolved: its :class:`~cowslipcourse.config.ResolvedConfiguration`.
     :param new: configuration wanted.
-    :param new_resolved: its :class:`~cowslipcourse.config.Resolved`.
-    :param groups: iterable of :class:`GroupUse`.
+    :param new_resolved: its :class:`~cowslipcourse.config.ResolvedConfiguration`.
+    :param groups: iterable of :class:`ExistingGroup`.
     :returns: :class:`Plan`
     """
     groups = list(groups)
--- a/cowslipcourse/config/resolve.py
+++ b/cowslipcourse/config/resolve.py
@@ -5,10 +5,10 @@
 from cowslipcourse.exceptions import ConfigurationError, Problem
 from cowslipcourse.fleet import VM, TargetKind, parse_selector
 
-__all__ = ["Resolved", "resolve"]
+__all__ = ["ResolvedConfiguration", "resolve"]
 
 
-class Resolved(NamedTuple):
+class ResolvedConfiguration(NamedTuple):
     """A configuration with its selectors applied to the fleet.
 
     :param vms: labelled VMs by name.
@@ -117,7 +117,7 @@
 
     :param configuration: :class:`~cowslipcourse.config.Configuration`
     :param vms: iterable of :class:`~cowslipcourse.fleet.VM` with platform labels.
-    :returns: :class:`Resolved`
+    :returns: :class:`ResolvedConfiguration`
     :raises ConfigurationError: with every problem found.
     """
     problems = []
@@ -172,7 +172,7 @@
             idle.append(f"drain/{name}")
     unfenced_text = configuration.site_policy.unfenced_targets
     unfenced = _select(unfenced_text, vm_labels) if unfenced_text else ()
-    return Resolved(
+    return ResolvedConfiguration(
         vms={name: vm._replace(labels=vm_labels[name]) for name, vm in by_name.items()},
         workspace_labels=workspace_labels,
         group_vms=claims["group"],
--- a/cowslipcourse/controller/edits.py
+++ b/cowslipcourse/controller/edits.py
@@ -12,11 +12,11 @@
 from cowslipcourse.adapters.log import get_logger
 from cowslipcourse.config import (
     Configuration,
-    GroupUse,
+    ExistingGroup,
     Plan,
     apply_changes,
+    conflicting_changes,
     make_plan,
-    overlapping,
     resolve,
 )
 from cowslipcourse.controller.groups import GROUP_PREFIX
@@ -162,7 +162,7 @@
         if head.configuration_number:
             row = await self._table.read(document_key(head.configuration_number))
             history = row.value["history"]
-        clashes = overlapping(edit.changes, history, edit.base_revision)
+        clashes = conflicting_changes(edit.changes, history, edit.base_revision)
         clashes = [clash for clash in clashes if clash[1] != edit.edit_id]
         if clashes:
             names = [name for name, _ in clashes]
@@ -172,7 +172,7 @@
         vms = await self._vm_list.list_vms()
         rows = await self._table.scan(GROUP_PREFIX)
         specs = [msgspec.convert(row.value, GroupSpec) for row in rows]
-        groups = [GroupUse(s.group, s.declaration, s.vm_names) for s in specs]
+        groups = [ExistingGroup(s.group, s.declaration, s.vm_names) for s in specs]
         new_resolved = resolve(new, vms)
         plan = make_plan(old, resolve(old, vms), new, new_resolved, groups)
         return Draft(head, version, history, new, plan)
--- a/cowslipcourse/controller/fleet_watch.py
+++ b/cowslipcourse/controller/fleet_watch.py
@@ -47,7 +47,7 @@
 
     @property
     def resolved(self):
-        """The configuration over the fleet, :class:`~cowslipcourse.config.Resolved`."""
+        """The configuration over the fleet, :class:`~cowslipcourse.config.ResolvedConfiguration`."""
         return self._resolved
 
     @property
--- a/cowslipcourse/controller/reports.py
+++ b/cowslipcourse/controller/reports.py
@@ -22,7 +22,7 @@
     :param spec: :class:`~cowslipcourse.fleet.GroupSpec`
     :param prober: :class:`~cowslipcourse.controller.health.Prober`
     :param probed_at: loop time before the probes of this round were sent.
-    :param resolved: :class:`~cowslipcourse.config.Resolved`
+    :param resolved: :class:`~cowslipcourse.config.ResolvedConfiguration`
     """
     for member in spec.members:
         status = prober.fresh(member.vm, probed_at)
--- a/cowslipcourse/daemon/agent.py
+++ b/cowslipcourse/daemon/agent.py
@@ -300,4 +300,6 @@
         while True:
             await asyncio.sleep(self.times.eviction_s)
             self.records.drop_old(now())
-            await self._peers.keep({member.peer_address for member in self._node.peers})
+            await self._peers.close_connections_except(
+                {member.peer_address for member in self._node.peers}
+            )
--- a/cowslipcourse/emulator/callers.py
+++ b/cowslipcourse/emulator/callers.py
@@ -9,7 +9,7 @@
 from cowslipcourse.emulator.site_file import KindSettings
 from cowslipcourse.entry.calls import Call
 from cowslipcourse.exceptions import RequestError, RequestQuarantined
-from cowslipcourse.platform.edge import CallerFields
+from cowslipcourse.platform.edge import CallerHeaders
 from cowslipcourse.quarantine import fingerprint
 from cowslipcourse.routes import RequestKind, Route
 
@@ -177,8 +177,10 @@
             headers=(),
             body=content,
             fingerprint=fingerprint(None, b"/", content),
-            fields=CallerFields(
-                budget_s=left_s, model=kind.model, last_event=seen.last_event or None
+            fields=CallerHeaders(
+                time_budget_s=left_s,
+                model=kind.model,
+                last_event_id=seen.last_event or None,
             ),
             route=_route(kind),
             workspace=None,
--- a/cowslipcourse/emulator/connections.py
+++ b/cowslipcourse/emulator/connections.py
@@ -9,8 +9,8 @@
 from cowslipcourse.entry.attempts import CONNECT_TIMEOUT_S, Attempt
 from cowslipcourse.entry.urgency import urgency
 from cowslipcourse.exceptions import TargetUnreachable
-from cowslipcourse.exchange import AnswerHead
-from cowslipcourse.platform.edge import MISDIRECTED, unexecuted_head
+from cowslipcourse.exchange import ResponseHead
+from cowslipcourse.platform.edge import MISDIRECTED_REQUEST, not_executed_head
 
 __all__ = ["EmulatedAttempts", "Heads"]
 
@@ -65,7 +65,7 @@
     """Meets what streams use of :class:`~cowslipcourse.exchange.TargetConnection`."""
 
     def __init__(self, head):
-        self.heard_at = 0.0
+        self.last_received_at = 0.0
         self.request = None
         self._head = head
         self._chunks = deque()
@@ -107,7 +107,7 @@
 
     def deliver(self, number, is_last):
         """Take an event from the engine."""
-        self.heard_at = asyncio.get_running_loop().time()
+        self.last_received_at = asyncio.get_running_loop().time()
         self._chunks.append(b"id: %d\ndata: x\n\n" % number)
         self._is_complete = is_last
         self._changed.set()
@@ -145,7 +145,7 @@
         self._heads = heads
 
     @asynccontextmanager
-    async def open(self, call, run, last_event=None):
+    async def open(self, call, run, last_event_id=None):
         """See :class:`~cowslipcourse.entry.attempts.Attempts`."""
         entry = run.entry
         self._fleet.started(entry.id)
@@ -159,7 +159,7 @@
                 await asyncio.sleep(CONNECT_TIMEOUT_S)
                 raise TargetUnreachable("dark", sent=False)
             await asyncio.sleep(LINK_S)
-            connection = run.connection = self._send(call, engine, last_event)
+            connection = run.connection = self._send(call, engine, last_event_id)
             yield Attempt(entry, connection, asyncio.get_running_loop().time())
         finally:
             self._fleet.ended(entry.id)
@@ -167,19 +167,19 @@
                 run.ended_by_target = connection.ended_by_target
                 connection.request.is_cancelled = True
 
-    def _send(self, call, engine, last_event):
+    def _send(self, call, engine, last_event_id):
         if engine.is_closing_head:
-            return _EmulatedConnection(unexecuted_head(FULL))
+            return _EmulatedConnection(not_executed_head(FULL))
         if not engine.is_open_head:
-            return _EmulatedConnection(AnswerHead(MISDIRECTED, ()))
+            return _EmulatedConnection(ResponseHead(MISDIRECTED_REQUEST, ()))
         batch = self._heads.batch(engine)
         if batch.is_full:
-            return _EmulatedConnection(unexecuted_head(FULL))
+            return _EmulatedConnection(not_executed_head(FULL))
         if call.size.ends_targets:
             self._heads.crashing.note_arrival(call.fingerprint, self._name)
         spent_s = call.spent_s(asyncio.get_running_loop().time())
-        connection = _EmulatedConnection(AnswerHead(200, ()))
-        passed = last_event or call.fields.last_event or 0
+        connection = _EmulatedConnection(ResponseHead(200, ()))
+        passed = last_event_id or call.fields.last_event_id or 0
         connection.request = BatchedRequest(
             call.size.prompt_tokens + passed * call.size.event_tokens,
             passed + 1,
--- a/cowslipcourse/emulator/engines.py
+++ b/cowslipcourse/emulator/engines.py
@@ -4,12 +4,12 @@
 from collections import deque
 
 from cowslipcourse.ports import (
-    UNTOLD,
+    UNKNOWN_INCARNATION,
     EngineReport,
+    GroupMembership,
     GroupState,
-    Membership,
-    OrderAnswer,
-    OrderName,
+    OrderOperation,
+    OrderResult,
     TargetEntry,
 )
 
@@ -65,7 +65,7 @@
         )
 
     def _told_life(self):
-        return self.incarnation if self._world.tells_lives else UNTOLD
+        return self.incarnation if self._world.tells_lives else UNKNOWN_INCARNATION
 
     def report(self):
         """Return what it would report if reports did not lag."""
@@ -89,29 +89,32 @@
 
     def take(self, order):
         """Carry out an order and return the answer."""
-        if self._world.faults.checks_count and order.expected_count != self.order_count:
-            return OrderAnswer.STATE_DIFFERS
-        if order.name is OrderName.JOIN:
+        if (
+            self._world.faults.checks_count
+            and order.expected_order_count != self.order_count
+        ):
+            return OrderResult.STATE_DIFFERS
+        if order.operation is OrderOperation.JOIN:
             return self._join(order)
-        if order.name is OrderName.STAGE:
+        if order.operation is OrderOperation.STAGE:
             self._stage(order.model)
             return self._begun()
         if not self._is_in(order.group, order.epoch):
-            return OrderAnswer.DONE
-        if order.name is OrderName.LEAVE:
+            return OrderResult.DONE
+        if order.operation is OrderOperation.LEAVE:
             self.membership = None
             self._begun()
-            return OrderAnswer.DONE
-        if order.name is OrderName.CLOSE:
+            return OrderResult.DONE
+        if order.operation is OrderOperation.CLOSE:
             return self._close()
         if self.membership.state is not GroupState.READY:
-            return OrderAnswer.STATE_DIFFERS
+            return OrderResult.STATE_DIFFERS
         self._later(OPEN_S, self._begin_to_serve)
         return self._begun()
 
     def _close(self):
         if self.membership.state is not GroupState.OPEN:
-            return OrderAnswer.STATE_DIFFERS
+            return OrderResult.STATE_DIFFERS
         self._set_state(GroupState.CLOSING)
         return self._begun()
 
@@ -130,13 +133,13 @@
 
     def _begun(self):
         self.order_count += 1
-        return OrderAnswer.BEGUN
+        return OrderResult.BEGUN
 
     def _join(self, order):
         if order.epoch < self._highest_epoch:
-            return OrderAnswer.EPOCH_TOO_OLD
+            return OrderResult.EPOCH_TOO_OLD
         if self._is_in(order.group, order.epoch) and order.members != self.members:
-            return OrderAnswer.EPOCH_TOO_OLD
+            return OrderResult.EPOCH_TOO_OLD
         self._world.check_join(self, order)
         same = self._last_model() == order.model
         self._joined_model = order.model
@@ -145,7 +148,7 @@
         self.members = order.members
         if not same:
             self.staged = (order.model,)
-        self.membership = Membership(
+        self.membership = GroupMembership(
             order.group,
             order.epoch,
             order.members.index(self.id),
--- a/cowslipcourse/emulator/world.py
+++ b/cowslipcourse/emulator/world.py
@@ -17,12 +17,12 @@
     TargetUnreachable,
 )
 from cowslipcourse.ports import (
-    OrderAnswer,
+    OrderResult,
     RowChanges,
     StoredRow,
     era_of,
-    store_point,
-    version_in,
+    pack_version,
+    unpack_version,
 )
 
 __all__ = ["Faults", "World"]
@@ -241,7 +241,7 @@
         return RowChanges(tuple(rows), self._point(self._version))
 
     def _point(self, version):
-        return store_point(self.era, version)
+        return pack_version(self.era, version)
 
     def _copy(self, now):
         if not self._copies or now - self._copies[-1][0] >= COPY_S:
@@ -267,7 +267,7 @@
         key = row_write.table, row_write.key
         known = self._rows[key].version if key in self._rows else 0
         expected = row_write.expected
-        if expected is not None and version_in(expected) != known:
+        if expected is not None and unpack_version(expected) != known:
             raise ConditionFailed([row_write.key])
         self._version += 1
         self._rows[key] = StoredRow(row_write.key, row_write.value, self._version)
@@ -327,5 +327,5 @@
         if engine is None:
             return None
         if engine.id != entry.id:
-            return OrderAnswer.OTHER_ENGINE
+            return OrderResult.OTHER_ENGINE
         return engine.take(order)
--- a/cowslipcourse/entry/attempts.py
+++ b/cowslipcourse/entry/attempts.py
@@ -7,7 +7,7 @@
 from cowslipcourse.entry.urgency import urgency
 from cowslipcourse.exceptions import TargetUnreachable
 from cowslipcourse.exchange import ConnectionPool, TargetRequest
-from cowslipcourse.platform.edge import attempt_header, target_headers
+from cowslipcourse.platform.edge import attempt_id_header, target_headers
 
 __all__ = ["Attempt", "Attempts", "TargetRun"]
 
@@ -66,12 +66,12 @@
         self._pool = ConnectionPool(CONNECT_TIMEOUT_S)
 
     @asynccontextmanager
-    async def open(self, call, run, last_event=None):
+    async def open(self, call, run, last_event_id=None):
         """Send a request to a target and yield the :class:`Attempt`.
 
         :param call: :class:`~cowslipcourse.entry.calls.Call`
         :param run: :class:`TargetRun` at the target.
-        :param last_event: id of the last event of a stream that is resumed.
+        :param last_event_id: id of the last event of a stream that is resumed.
         :raises TargetUnreachable: ``sent`` tells whether it may run.
         """
         loop = asyncio.get_running_loop()
@@ -86,7 +86,7 @@
             if left_s <= 0:
                 raise TargetUnreachable("no time is left", sent=False)
             spent_s = call.spent_s(loop.time())
-            request = _target_request(call, entry, left_s, spent_s, last_event)
+            request = _target_request(call, entry, left_s, spent_s, last_event_id)
             connection.send(request)
             run.connection = connection
             yield Attempt(entry, connection, loop.time())
@@ -99,7 +99,7 @@
     def sweep(self):
         """Close connections that are too old or lead to targets that left."""
         entries = self._fleet.entries.values()
-        self._pool.sweep({_connection_key(entry) for entry in entries})
+        self._pool.close_stale({_connection_key(entry) for entry in entries})
 
 
 def _connection_key(entry):
@@ -107,11 +107,11 @@
     return entry.id, entry.incarnation, entry.address
 
 
-def _target_request(call, entry, left_s, spent_s, last_event):
+def _target_request(call, entry, left_s, spent_s, last_event_id):
     level = urgency(call.route, call.workspace, spent_s)
     headers = target_headers(
-        call.headers, entry, left_s, level, call.workspace_name, last_event
+        call.headers, entry, left_s, level, call.workspace_name, last_event_id
     )
     return TargetRequest(
-        call.method, call.path, headers, call.body, attempt_header(call.fields)
+        call.method, call.path, headers, call.body, attempt_id_header(call.fields)
     )
--- a/cowslipcourse/entry/calls.py
+++ b/cowslipcourse/entry/calls.py
@@ -10,7 +10,7 @@
     HeadTooLarge,
     NoConfiguration,
 )
-from cowslipcourse.platform.edge import header_bytes, read_caller_fields
+from cowslipcourse.platform.edge import header_bytes, parse_caller_headers
 from cowslipcourse.quarantine import fingerprint
 
 __all__ = ["Call", "Responder", "read_call"]
@@ -29,7 +29,7 @@
     :param headers: ``(lower-case name, value)`` pairs as sent.
     :param body: whole body.
     :param fingerprint: what it has in common with its repeats, as bytes.
-    :param fields: :class:`~cowslipcourse.platform.edge.CallerFields`
+    :param fields: :class:`~cowslipcourse.platform.edge.CallerHeaders`
     :param route: :class:`~cowslipcourse.routes.Route`
     :param workspace: :class:`~cowslipcourse.routes.Workspace` or ``None``.
     :param arrived_at: loop time at which the head was there.
@@ -74,7 +74,7 @@
     headers = tuple(scope["headers"])
     if header_bytes(headers) > table.limits.header_bytes:
         raise HeadTooLarge("the head is too long")
-    fields = read_caller_fields(headers)
+    fields = parse_caller_headers(headers)
     host = dict(headers).get(b"host", b"").decode("latin-1")
     raw_path = scope["raw_path"]
     try:
@@ -86,7 +86,7 @@
     query = scope["query_string"]
     path = raw_path + b"?" + query if query else raw_path
     name = None if workspace is None else workspace.name
-    budget_s = NO_BUDGET_S if fields.budget_s is None else fields.budget_s
+    budget_s = NO_BUDGET_S if fields.time_budget_s is None else fields.time_budget_s
     return Call(
         id=fields.attempt_id.decode("latin-1"),
         method=scope["method"],
--- a/cowslipcourse/entry/coordinator.py
+++ b/cowslipcourse/entry/coordinator.py
@@ -33,7 +33,7 @@
     wishes,
 )
 from cowslipcourse.peers import GroupNews, OpenedHead
-from cowslipcourse.ports import EngineOrder, OrderName
+from cowslipcourse.ports import EngineOrder, OrderOperation
 
 __all__ = ["Coordinator"]
 
@@ -283,7 +283,7 @@
             and self._load_limit.take(spec.loads_per_s, self._scope.coordinators, now)
         ):
             engine.staging = model
-            order = EngineOrder(OrderName.STAGE, engine.order_count, model=model)
+            order = EngineOrder(OrderOperation.STAGE, engine.order_count, model=model)
             self._spawn_order(domain, engine.id, order, {})
 
     def _practise(self, plan, knowledge, shape, models):
--- a/cowslipcourse/entry/engine_calls.py
+++ b/cowslipcourse/entry/engine_calls.py
@@ -6,7 +6,7 @@
 from cowslipcourse.exceptions import MalformedAnswer, TargetError
 from cowslipcourse.groups.orders import REJOIN_S
 from cowslipcourse.groups.views import SLOW_PACE
-from cowslipcourse.ports import OrderAnswer, OrderName
+from cowslipcourse.ports import OrderOperation, OrderResult
 
 __all__ = ["EngineCalls"]
 
@@ -129,31 +129,31 @@
         try:
             answer = await self._control.order(engine.entry, order)
         except TargetError as error:
-            log.info("order-lost", engine=engine.id, order=order.name, why=error)
+            log.info("order-lost", engine=engine.id, order=order.operation, why=error)
             _note_not_begun(engine, order)
             return
         log.info(
             "order",
             engine=engine.id,
-            order=order.name,
+            order=order.operation,
             group=order.group,
             epoch=order.epoch,
-            expected=order.expected_count,
+            expected=order.expected_order_count,
             answer=answer,
         )
-        if answer is OrderAnswer.BEGUN:
+        if answer is OrderResult.BEGUN:
             engine.note_begun(order)
             _note_begun(engine, order, models, sent_at)
-            if order.name is OrderName.OPEN:
+            if order.operation is OrderOperation.OPEN:
                 self._on_opened(engine, order)
-        elif answer is OrderAnswer.DONE:
+        elif answer is OrderResult.DONE:
             # It may have counted up or not.
             _note_not_begun(engine, order)
-            if order.name is OrderName.LEAVE:
+            if order.operation is OrderOperation.LEAVE:
                 engine.membership = None
         else:
             _note_not_begun(engine, order)
-            if answer is OrderAnswer.OTHER_ENGINE:
+            if answer is OrderResult.OTHER_ENGINE:
                 engine.see_other_engine(asyncio.get_running_loop().time())
             else:
                 engine.see_refusal(asyncio.get_running_loop().time())
@@ -166,12 +166,12 @@
 def _note_not_begun(engine, order):
     """Forget the order count: it must be asked for before the next order."""
     engine.order_count = None
-    if order.name is OrderName.STAGE:
+    if order.operation is OrderOperation.STAGE:
         engine.staging = None
 
 
 def _note_begun(engine, order, models, sent_at):
-    if order.name is OrderName.JOIN:
+    if order.operation is OrderOperation.JOIN:
         engine.joined_at[order.epoch] = sent_at
         model = models[order.model]
         if engine.joined_model == order.model:
@@ -181,9 +181,9 @@
         else:
             engine.join_s[order.epoch] = model.load_s
         engine.joined_model = order.model
-    elif order.name is OrderName.OPEN:
+    elif order.operation is OrderOperation.OPEN:
         engine.opened_at[order.epoch] = sent_at
-    elif order.name is OrderName.CLOSE:
+    elif order.operation is OrderOperation.CLOSE:
         engine.closed_at[order.epoch] = sent_at
-    elif order.name is OrderName.LEAVE:
+    elif order.operation is OrderOperation.LEAVE:
         engine.membership = None
--- a/cowslipcourse/entry/forwarding.py
+++ b/cowslipcourse/entry/forwarding.py
@@ -34,7 +34,7 @@
         :raises RequestError: the answer that the caller is to get instead.
         """
         loop = asyncio.get_running_loop()
-        elsewhere_s = self._patience.note(call.route, call.fields.budget_s)
+        elsewhere_s = self._patience.note(call.route, call.fields.time_budget_s)
         call = call._replace(elsewhere_s=elsewhere_s)
         service = self._tools.choose_service(call.route)
         self._tools.budget.request(service, loop.time())
--- a/cowslipcourse/entry/front.py
+++ b/cowslipcourse/entry/front.py
@@ -9,7 +9,7 @@
 from cowslipcourse.entry.calls import Responder, read_call
 from cowslipcourse.entry.stopping import RequestDurations, can_end
 from cowslipcourse.exceptions import CallerGone, GatewayDraining, RequestError
-from cowslipcourse.platform.edge import attempt_id, come_back_header
+from cowslipcourse.platform.edge import attempt_id, retry_after_header
 
 __all__ = ["FrontApp"]
 
@@ -134,7 +134,7 @@
         if responder.started:
             # Ending without the last chunk tells the caller that it is not whole.
             raise error
-        headers = come_back_header(error.retry_after_s)
+        headers = retry_after_header(error.retry_after_s)
         if self.is_draining:
             headers["Connection"] = "close"
         await problem_answer(error, headers)(scope, receive, send)
--- a/cowslipcourse/entry/heads.py
+++ b/cowslipcourse/entry/heads.py
@@ -9,7 +9,7 @@
 
 from typing import NamedTuple
 
-from cowslipcourse.ports import UNTOLD, GroupState, Membership
+from cowslipcourse.ports import UNKNOWN_INCARNATION, GroupMembership, GroupState
 
 __all__ = ["GroupHeads"]
 
@@ -112,11 +112,13 @@
         listed, opened = entry.membership, self._opened.get(entry.id)
         if opened is None or not opened.from_s <= now < opened.from_s + NEWS_S:
             return listed
-        if opened.incarnation not in (UNTOLD, entry.incarnation):
+        if opened.incarnation not in (UNKNOWN_INCARNATION, entry.incarnation):
             return listed
         if listed is not None and _is_newer(listed, opened):
             return listed
-        return Membership(opened.group, opened.epoch, 0, GroupState.OPEN, opened.model)
+        return GroupMembership(
+            opened.group, opened.epoch, 0, GroupState.OPEN, opened.model
+        )
 
     def _is_current(self, membership):
         group, epoch = membership.group, membership.epoch
--- a/cowslipcourse/entry/plain.py
+++ b/cowslipcourse/entry/plain.py
@@ -8,7 +8,7 @@
 from cowslipcourse.entry.outcomes import NOT_RUN_STATUSES
 from cowslipcourse.entry.retrying import try_targets
 from cowslipcourse.exceptions import AnswerBroken, TargetError, TargetRefused
-from cowslipcourse.platform.edge import answer_headers, failed_unexecuted
+from cowslipcourse.platform.edge import is_not_executed, response_headers
 
 __all__ = ["PlainForwarder"]
 
@@ -35,7 +35,7 @@
         async def attempt(run, is_last):
             nonlocal head
             head, body = await self._attempt(call, run, is_last)
-            await responder.start(head.status, answer_headers(head.headers))
+            await responder.start(head.status, response_headers(head.headers))
             await responder.finish(body)
 
         head = None
@@ -56,7 +56,7 @@
             run.has_begun = True
             try:
                 head = await attempt.connection.head()
-                if failed_unexecuted(head):
+                if is_not_executed(head):
                     raise TargetRefused(f"answered {head.status}")
                 body = await attempt.connection.read_all()
             except (TargetError, asyncio.CancelledError):
--- a/cowslipcourse/entry/silence.py
+++ b/cowslipcourse/entry/silence.py
@@ -71,7 +71,9 @@
     def look(self, now):
         """End the streams of targets that are silent at a loop time."""
         for target, streams in list(self._streams.items()):
-            heard_at = max(stream.attempt.connection.heard_at for stream in streams)
+            heard_at = max(
+                stream.attempt.connection.last_received_at for stream in streams
+            )
             heard_at = max(heard_at, self._trusted_from)
             for stream in list(streams):
                 silent_s = now - max(heard_at, stream.attempt.sent_at)
--- a/cowslipcourse/entry/streaming.py
+++ b/cowslipcourse/entry/streaming.py
@@ -9,7 +9,7 @@
 from cowslipcourse.entry.retrying import try_targets
 from cowslipcourse.entry.silence import WatchedStream
 from cowslipcourse.exceptions import AnswerBroken, TargetError, TargetRefused
-from cowslipcourse.platform.edge import answer_headers, failed_unexecuted
+from cowslipcourse.platform.edge import is_not_executed, response_headers
 from cowslipcourse.streams import EventSplitter, StreamPosition
 
 __all__ = ["StreamForwarder"]
@@ -27,7 +27,7 @@
     def __init__(self, call, responder):
         self.call = call
         self.responder = responder
-        self.position = StreamPosition(call.fields.last_event)
+        self.position = StreamPosition(call.fields.last_event_id)
         self.first_s = None
         self.longest_pause_s = 0.0
         self.place_s = 0.0
@@ -95,7 +95,7 @@
         responder = progress.responder
         head = await attempt.connection.head()
         run.has_begun = True
-        if failed_unexecuted(head):
+        if is_not_executed(head):
             raise TargetRefused(f"answered {head.status}")
         if head.status != 200:
             await self._pass_failure(head, attempt, responder)
@@ -131,7 +131,7 @@
         body = await attempt.connection.read_all()
         if responder.started or head.status in NOT_RUN_STATUSES:
             raise AnswerBroken(f"answered {head.status}")
-        await responder.start(head.status, answer_headers(head.headers))
+        await responder.start(head.status, response_headers(head.headers))
         await responder.finish(body)
 
 
@@ -159,5 +159,5 @@
 
 def _stream_headers(head):
     """Return the headers of a stream; its length may differ if it goes on elsewhere."""
-    headers = answer_headers(head.headers)
+    headers = response_headers(head.headers)
     return [(name, value) for name, value in headers if name != b"content-length"]
--- a/cowslipcourse/entry/target_list.py
+++ b/cowslipcourse/entry/target_list.py
@@ -11,7 +11,7 @@
 from cowslipcourse.adapters.log import get_logger
 from cowslipcourse.exceptions import MalformedAnswer
 from cowslipcourse.platform import decode_entry
-from cowslipcourse.ports import UNTOLD
+from cowslipcourse.ports import UNKNOWN_INCARNATION
 
 __all__ = ["EntryChanges", "TargetList"]
 
@@ -72,10 +72,10 @@
         """Take one entry; return what it changes, or ``None``."""
         if self._contents.get(target) == content:
             return None
-        newest = self._incarnations.get(target, UNTOLD)
+        newest = self._incarnations.get(target, UNKNOWN_INCARNATION)
         try:
             entry = decode_entry(target, content)
-            if entry.incarnation == UNTOLD != newest:
+            if entry.incarnation == UNKNOWN_INCARNATION != newest:
                 raise MalformedAnswer("it no longer tells its life")
         except MalformedAnswer as error:
             self._contents[target] = content
--- a/cowslipcourse/exchange/connection.py
+++ b/cowslipcourse/exchange/connection.py
@@ -15,14 +15,14 @@
 from cowslipcourse.exceptions import AnswerBroken, MalformedAnswer, TargetUnreachable
 from cowslipcourse.exchange.request import encode_request
 
-__all__ = ["AnswerHead", "TargetConnection"]
+__all__ = ["ResponseHead", "TargetConnection"]
 
 READ_AHEAD_BYTES = 256 * 1024
 """Bytes of an answer that may wait for a slow caller before reading pauses."""
 _NO_BODY = (204, 304)
 
 
-class AnswerHead(NamedTuple):
+class ResponseHead(NamedTuple):
     """Status line and headers of an answer.
 
     :param status: HTTP status.
@@ -62,7 +62,7 @@
         self.address = address
         self.idle_since = 0.0
         self.keep_alive_s = None
-        self.heard_at = 0.0
+        self.last_received_at = 0.0
         self._loop = asyncio.get_running_loop()
         self._transport = None
         self._answer = None
@@ -124,12 +124,12 @@
         self._expected = request.echoed
         self._method = request.method
         self._answer = None
-        self.heard_at = 0.0
+        self.last_received_at = 0.0
         self._parser = httptools.HttpResponseParser(self)
         self._transport.write(encode_request(request))
 
     async def head(self):
-        """Return the :class:`AnswerHead` of the answer to the request sent.
+        """Return the :class:`ResponseHead` of the answer to the request sent.
 
         :raises TargetUnreachable: the connection ended before the head.
         :raises MalformedAnswer: what came is not an answer.
@@ -201,7 +201,7 @@
 
     def data_received(self, data):
         """See :class:`asyncio.Protocol`."""
-        self.heard_at = self._loop.time()
+        self.last_received_at = self._loop.time()
         if self._parser is None or (self._answer is not None and self._answer.complete):
             # Bytes that belong to no request.
             self._dirty = True
@@ -248,7 +248,7 @@
         """Take the answer if it is the one that is waited for."""
         incoming = self._incoming
         status = self._parser.get_status_code()
-        head = AnswerHead(status, tuple(incoming.headers))
+        head = ResponseHead(status, tuple(incoming.headers))
         if status < 200 or (self._answer is not None and self._answer.complete):
             return
         if not self._is_ours(head):
--- a/cowslipcourse/exchange/pool.py
+++ b/cowslipcourse/exchange/pool.py
@@ -53,7 +53,7 @@
         if len(kept) > MOST_IDLE:
             kept.popleft().abort()
 
-    def sweep(self, live_keys):
+    def close_stale(self, live_keys):
         """Close what is too old to be used, and what leads to targets that left."""
         now = asyncio.get_running_loop().time()
         for key in list(self._idle):
@@ -65,7 +65,7 @@
 
     def close(self):
         """Close all idle connections."""
-        self.sweep(frozenset())
+        self.close_stale(frozenset())
 
 
 def _usable_until(connection):
--- a/cowslipcourse/gateway/fleet_view.py
+++ b/cowslipcourse/gateway/fleet_view.py
@@ -67,7 +67,7 @@
 
     @property
     def resolved(self):
-        """Placements and access, :class:`~cowslipcourse.config.Resolved`."""
+        """Placements and access, :class:`~cowslipcourse.config.ResolvedConfiguration`."""
         return self._resolved
 
     @property
--- a/cowslipcourse/gateway/generation.py
+++ b/cowslipcourse/gateway/generation.py
@@ -20,7 +20,7 @@
 from cowslipcourse.gateway.quarantine_ports import GroupRun, Leader, SuspectCall
 from cowslipcourse.ports import GenerateRequest
 from cowslipcourse.quarantine import fingerprint
-from cowslipcourse.requests import AnswerRelay
+from cowslipcourse.requests import StreamRelay
 
 __all__ = ["Generation"]
 
@@ -57,7 +57,7 @@
             call.request_id, fingerprint(call.workspace, PATH, body)
         )
         self._run = None
-        self._relay = AnswerRelay()
+        self._relay = StreamRelay()
         self._tried = set()
         self._started = False
         self._group = ""
@@ -154,11 +154,11 @@
                             continue
                         if attempt_id not in self.attempts:
                             self._begin(spec, attempt_id, granted_at, checked_at)
-                        piece = self._relay.take(attempt_id, events)
+                        piece = self._relay.filter_events(attempt_id, events)
                         self._run.note_events(len(events), self._relay.offset)
                         if piece:
                             yield piece
-                        self._relay.check()
+                        self._relay.raise_for_malformed()
             ended = True
             if not self._relay.complete:
                 raise TargetUnreachable("the stream ended without its end event")
--- a/cowslipcourse/gateway/main.py
+++ b/cowslipcourse/gateway/main.py
@@ -22,7 +22,7 @@
 from cowslipcourse.gateway.services import ServiceRequests
 from cowslipcourse.gateway.tools import GatewayTools, Spawner
 from cowslipcourse.membership import Role
-from cowslipcourse.requests import Outcomes
+from cowslipcourse.requests import OutcomeStore
 from cowslipcourse.settings import GatewaySettings
 
 __all__ = ["Gateway", "main"]
@@ -95,7 +95,7 @@
             retries=RetryBudget(settings.limits.retry_ratio),
             resumes=RetryBudget(settings.limits.resume_ratio, RESUME_BURST),
             quarantine=make_quarantine(agent, view, targets, platform),
-            outcomes=Outcomes(settings.limits, now()),
+            outcomes=OutcomeStore(settings.limits, now()),
             metrics=open_metrics(settings.statsd),
             rng=rng,
             spawn=Spawner(),
--- a/cowslipcourse/gateway/quarantine_ports.py
+++ b/cowslipcourse/gateway/quarantine_ports.py
@@ -193,7 +193,7 @@
     """
     peers = RecordPeers(agent)
     ends = TargetEnds(
-        lambda leader: not view.is_departing(leader.id), targets.has_ended
+        lambda leader: not view.is_departing(leader.id), targets.refuses_connections
     )
     kept = KeptVerdicts(TableRows(table), time.time)
     quarantine = Quarantine(peers, ends, kept)
--- a/cowslipcourse/gateway/sealing.py
+++ b/cowslipcourse/gateway/sealing.py
@@ -4,7 +4,7 @@
 
 from cowslipcourse.adapters.log import get_logger
 from cowslipcourse.exceptions import OutcomeUnknown, StoreError
-from cowslipcourse.requests.outcomes import seal
+from cowslipcourse.requests.outcomes import encode_outcomes
 
 __all__ = ["read_sealed", "seal_outcomes"]
 
@@ -27,12 +27,12 @@
     :param tools: :class:`~cowslipcourse.gateway.tools.GatewayTools`
     """
     tools.outcomes.close()
-    await tools.outcomes.finish()
+    await tools.outcomes.wait_until_finished()
     member = tools.agent.member
     name = _name(member.name, member.incarnation)
     for _ in range(TRIES):
         try:
-            await tools.objects.put(name, seal(tools.outcomes))
+            await tools.objects.put(name, encode_outcomes(tools.outcomes))
             return
         except StoreError as error:
             log.warning("not-sealed", code=error.code)
--- a/cowslipcourse/gateway/services.py
+++ b/cowslipcourse/gateway/services.py
@@ -19,9 +19,9 @@
 from cowslipcourse.gateway.claims import Claim, claim_key
 from cowslipcourse.gateway.sealing import read_sealed
 from cowslipcourse.gateway.service_calls import ServiceCall
-from cowslipcourse.ports.peers import ForwardAnswer, ForwardedCall
+from cowslipcourse.ports.peers import ForwardedCall, ForwardResponse
 from cowslipcourse.requests import Completed, parse_minted_key
-from cowslipcourse.requests.outcomes import error_from, unseal
+from cowslipcourse.requests.outcomes import decode_outcome, error_from_code
 
 __all__ = ["ServiceRequests"]
 
@@ -110,7 +110,7 @@
         """Run a call that another gateway handed to this one, its home.
 
         :param forwarded: :class:`~cowslipcourse.ports.peers.ForwardedCall`
-        :returns: :class:`~cowslipcourse.ports.peers.ForwardAnswer`
+        :returns: :class:`~cowslipcourse.ports.peers.ForwardResponse`
         """
         job = _Job(
             forwarded.key,
@@ -125,8 +125,8 @@
                 raise OutcomeUnknown("the home of the key was restarted")
             completed, remembered = await self._run_here(job, forwarded.window)
         except RequestError as error:
-            return ForwardAnswer(error.code, error.detail, error.retry_after_s or 0.0)
-        return ForwardAnswer(
+            return ForwardResponse(error.code, error.detail, error.retry_after_s or 0.0)
+        return ForwardResponse(
             status=completed.status,
             content_type=completed.content_type,
             body=completed.body,
@@ -194,7 +194,7 @@
             detail = f"the home of the key does not answer: {error.detail}"
             raise OutcomeUnknown(detail, 2.0) from error
         if reply.error_code:
-            raise error_from(
+            raise error_from_code(
                 reply.error_code, reply.detail, reply.retry_after_s or None
             )
         completed = Completed(reply.status, reply.content_type, reply.body)
@@ -203,7 +203,7 @@
     async def _from_sealed(self, job, home):
         """Answer for a home that is gone, from what it left behind."""
         content = await read_sealed(self._tools, home)
-        completed = unseal(content, job.scoped_key, job.fingerprint)
+        completed = decode_outcome(content, job.scoped_key, job.fingerprint)
         if completed is None:
             raise KeyHomeStopped("the home of the key has stopped; use a new key")
         return completed, True
--- a/cowslipcourse/gateway/tools.py
+++ b/cowslipcourse/gateway/tools.py
@@ -34,7 +34,7 @@
     :param resumes: :class:`~cowslipcourse.admission.RetryBudget` of broken streams;
         it is larger, since a whole group's streams break at once.
     :param quarantine: :class:`~cowslipcourse.quarantining.Quarantine`
-    :param outcomes: :class:`~cowslipcourse.requests.Outcomes`
+    :param outcomes: :class:`~cowslipcourse.requests.OutcomeStore`
     :param metrics: metrics sink.
     :param rng: :class:`random.Random`
     :param spawn: :class:`Spawner`
--- a/cowslipcourse/groups/knowledge.py
+++ b/cowslipcourse/groups/knowledge.py
@@ -1,6 +1,11 @@
 """What a coordinator knows of the engines of a fabric domain."""
 
-from cowslipcourse.ports import UNTOLD, GroupState, Membership, OrderName
+from cowslipcourse.ports import (
+    UNKNOWN_INCARNATION,
+    GroupMembership,
+    GroupState,
+    OrderOperation,
+)
 
 __all__ = ["DomainKnowledge", "EngineKnowledge"]
 
@@ -166,21 +171,27 @@
 
         :param order: :class:`~cowslipcourse.ports.EngineOrder`
         """
-        self.order_count = order.expected_count + 1
-        if order.name is OrderName.JOIN:
+        self.order_count = order.expected_order_count + 1
+        if order.operation is OrderOperation.JOIN:
             rank = order.members.index(self.id)
-            self.counted_membership = Membership(
+            self.counted_membership = GroupMembership(
                 order.group, order.epoch, rank, GroupState.JOINING, order.model
             )
             # Whether what it was loading stays on its host, its reports will tell.
             self.staging = None
-        elif order.name is OrderName.OPEN and self.counted_membership is not None:
+        elif (
+            order.operation is OrderOperation.OPEN
+            and self.counted_membership is not None
+        ):
             opened = self.counted_membership._replace(state=GroupState.OPEN)
             self.counted_membership = opened
-        elif order.name is OrderName.CLOSE and self.counted_membership is not None:
+        elif (
+            order.operation is OrderOperation.CLOSE
+            and self.counted_membership is not None
+        ):
             closing = self.counted_membership._replace(state=GroupState.CLOSING)
             self.counted_membership = closing
-        elif order.name is OrderName.LEAVE:
+        elif order.operation is OrderOperation.LEAVE:
             self.counted_membership = None
 
     @property
@@ -273,7 +284,7 @@
         known = self.engines.get(entry.id)
         if known is None or known.incarnation < entry.incarnation:
             self.engines[entry.id] = EngineKnowledge(entry)
-        elif entry.incarnation in (UNTOLD, known.incarnation):
+        elif entry.incarnation in (UNKNOWN_INCARNATION, known.incarnation):
             known.see_entry(entry._replace(incarnation=known.incarnation))
 
     def see_report(self, engine_id, report, asked_at):
@@ -287,7 +298,7 @@
         if report.incarnation > known.incarnation:
             known = known.next_life(report.incarnation)
             self.engines[engine_id] = known
-        if report.incarnation in (UNTOLD, known.incarnation):
+        if report.incarnation in (UNKNOWN_INCARNATION, known.incarnation):
             known.see_report(report, asked_at)
 
     def see_plan(self, plan, now, is_own=False):
--- a/cowslipcourse/groups/orders.py
+++ b/cowslipcourse/groups/orders.py
@@ -5,7 +5,7 @@
 from cowslipcourse.groups.knowledge import REPORT_LAG_S
 from cowslipcourse.groups.practice import is_practice, practises
 from cowslipcourse.groups.steps import Step, StepKind
-from cowslipcourse.ports import EngineOrder, GroupState, OrderName
+from cowslipcourse.ports import EngineOrder, GroupState, OrderOperation
 
 __all__ = ["is_present", "next_steps"]
 
@@ -67,7 +67,7 @@
     members = [engines[member] for member in group.members]
     busy = _serving_elsewhere(group, members, engines)
     if busy:
-        return [_order(e, OrderName.LEAVE, _Stray.of(found)) for e, found in busy]
+        return [_order(e, OrderOperation.LEAVE, _Stray.of(found)) for e, found in busy]
     waiting = [engine for engine in members if not engine.was_ready(group)]
     if waiting:
         steps = (_join(group, engine, models, now) for engine in waiting)
@@ -134,9 +134,9 @@
             return None
         if asked_at <= due_at or now - asked_at >= JOIN_AGAIN_S:
             if asked_at > joined_at and engine.state_in(group) is None:
-                return _order(engine, OrderName.JOIN, group)
+                return _order(engine, OrderOperation.JOIN, group)
             return Step(StepKind.ASK, engine.id)
-    return _order(engine, OrderName.JOIN, group)
+    return _order(engine, OrderOperation.JOIN, group)
 
 
 def _join_s(group, engine, models):
@@ -155,17 +155,17 @@
     if opened_at is not None and now - opened_at < OPEN_AGAIN_S:
         return []
     if state is GroupState.READY:
-        return [_order(head, OrderName.OPEN, group)]
+        return [_order(head, OrderOperation.OPEN, group)]
     return [Step(StepKind.ASK, head.id)] if state is None else []
 
 
-def _order(engine, name, group):
+def _order(engine, operation, group):
     """Return the order, or the question for the count that it must carry."""
     if engine.order_count is None:
         return Step(StepKind.ASK, engine.id)
-    is_join = name is OrderName.JOIN
+    is_join = operation is OrderOperation.JOIN
     order = EngineOrder(
-        name,
+        operation,
         engine.order_count,
         group.name,
         group.epoch,
@@ -218,7 +218,7 @@
 def _drain(group, head, now):
     """Let a head that serves finish what it has and take no more."""
     if head.state_in(group) is GroupState.OPEN and group.epoch not in head.closed_at:
-        return [_order(head, OrderName.CLOSE, group)]
+        return [_order(head, OrderOperation.CLOSE, group)]
     is_due = now - (head.reported_at or 0.0) >= ASK_AGAIN_S
     return [Step(StepKind.ASK, head.id)] if is_due else []
 
@@ -226,7 +226,7 @@
 def _leave(group, engine, away_s, now):
     """Make an engine leave a group, and ask it when it may have been away for long."""
     if engine.state_in(group) is not None:
-        return [_order(engine, OrderName.LEAVE, group)]
+        return [_order(engine, OrderOperation.LEAVE, group)]
     if engine.away_from is not None and engine.away_s <= away_s:
         due_at = engine.away_from + away_s + ASK_MARGIN_S
     else:
@@ -245,7 +245,7 @@
             continue
         if practises(engine):
             continue
-        steps.append(_order(engine, OrderName.LEAVE, _Stray.of(found)))
+        steps.append(_order(engine, OrderOperation.LEAVE, _Stray.of(found)))
     return steps
 
 
@@ -270,5 +270,5 @@
 
     @classmethod
     def of(cls, membership):
-        """Return the group of a :class:`~cowslipcourse.ports.Membership`."""
+        """Return the group of a :class:`~cowslipcourse.ports.GroupMembership`."""
         return cls(membership.group, membership.epoch)
--- a/cowslipcourse/groups/plan.py
+++ b/cowslipcourse/groups/plan.py
@@ -10,7 +10,7 @@
 
 from cowslipcourse.decoding import decoded
 from cowslipcourse.exceptions import MalformedAnswer
-from cowslipcourse.ports import UNTOLD
+from cowslipcourse.ports import UNKNOWN_INCARNATION
 
 __all__ = ["DomainPlan", "PlannedGroup", "decode_plan", "encode_plan"]
 
@@ -49,9 +49,9 @@
         return self.members[0]
 
     def incarnation_of(self, engine):
-        """Return the life of a member that is meant; :data:`~.ports.UNTOLD` for any."""
+        """Return the life of a member that is meant; :data:`~.ports.UNKNOWN_INCARNATION` for any."""
         lives = dict(zip(self.members, self.incarnations, strict=False))
-        return lives.get(engine, UNTOLD)
+        return lives.get(engine, UNKNOWN_INCARNATION)
 
     def holds(self, engine, incarnation):
         """Whether a life of an engine is a member.
@@ -60,7 +60,7 @@
         :param incarnation: life that is asked about.
         """
         meant = self.incarnation_of(engine)
-        return engine in self.members and meant in (UNTOLD, incarnation)
+        return engine in self.members and meant in (UNKNOWN_INCARNATION, incarnation)
 
 
 class DomainPlan(NamedTuple):
--- a/cowslipcourse/groups/practice.py
+++ b/cowslipcourse/groups/practice.py
@@ -8,7 +8,7 @@
 """
 
 from cowslipcourse.groups.steps import Step, StepKind
-from cowslipcourse.ports import EngineOrder, GroupState, OrderName
+from cowslipcourse.ports import EngineOrder, GroupState, OrderOperation
 
 __all__ = ["is_practice", "practice_step", "practises"]
 
@@ -19,7 +19,7 @@
 def is_practice(membership):
     """Whether an engine is in a group of its own.
 
-    :param membership: :class:`~cowslipcourse.ports.Membership` or ``None``.
+    :param membership: :class:`~cowslipcourse.ports.GroupMembership` or ``None``.
     """
     return membership is not None and membership.group.endswith(_END)
 
@@ -47,7 +47,7 @@
         return Step(StepKind.ASK, engine.id)
     # The epoch is lower than that of any group that is planned later.
     order = EngineOrder(
-        OrderName.JOIN,
+        OrderOperation.JOIN,
         engine.order_count,
         group=f"{plan.domain}-{engine.id}{_END}",
         epoch=plan.version,
--- a/cowslipcourse/platform/edge.py
+++ b/cowslipcourse/platform/edge.py
@@ -3,19 +3,19 @@
 from typing import NamedTuple
 
 from cowslipcourse.exceptions import BadRequest
-from cowslipcourse.exchange import AnswerHead
+from cowslipcourse.exchange import ResponseHead
 
 __all__ = [
-    "CallerFields",
-    "answer_headers",
-    "attempt_header",
+    "CallerHeaders",
     "attempt_id",
-    "come_back_header",
-    "failed_unexecuted",
+    "attempt_id_header",
     "header_bytes",
-    "read_caller_fields",
+    "is_not_executed",
+    "not_executed_head",
+    "parse_caller_headers",
+    "response_headers",
+    "retry_after_header",
     "target_headers",
-    "unexecuted_head",
 ]
 
 MS = 1000.0
@@ -48,25 +48,25 @@
 )
 # Set by the system alone, whatever a caller sends.
 _OWN = frozenset((_KEY, _WORKSPACE, _EXPECTED_ID, _BUDGET, _URGENCY, b"content-length"))
-MISDIRECTED = 421
+MISDIRECTED_REQUEST = 421
 """Status of a target that is not the one that was meant; it has run nothing."""
 
 
-class CallerFields(NamedTuple):
+class CallerHeaders(NamedTuple):
     """What the headers of a caller's request say.
 
     :param attempt_id: id of the caller's attempt; empty if there is none.
-    :param budget_s: seconds that the caller will wait, or ``None``.
+    :param time_budget_s: seconds that the caller will wait, or ``None``.
     :param key: the caller's key, or ``None``.
     :param model: model that is asked for, or empty.
-    :param last_event: id of the last event that the caller has, or ``None``.
+    :param last_event_id: id of the last event that the caller has, or ``None``.
     """
 
     attempt_id: bytes = b""
-    budget_s: float | None = None
+    time_budget_s: float | None = None
     key: str | None = None
     model: str = ""
-    last_event: int | None = None
+    last_event_id: int | None = None
 
 
 def header_bytes(headers):
@@ -74,8 +74,8 @@
     return sum(len(name) + len(value) + 4 for name, value in headers)
 
 
-def read_caller_fields(headers):
-    """Return the :class:`CallerFields` in a request's headers.
+def parse_caller_headers(headers):
+    """Return the :class:`CallerHeaders` in a request's headers.
 
     :param headers: ``(lower-case name, value)`` pairs.
     :raises BadRequest: a header cannot be read.
@@ -83,13 +83,13 @@
     found = dict(headers)
     try:
         budget = found.get(_BUDGET)
-        last_event = found.get(_LAST_EVENT)
-        return CallerFields(
+        last_event_id = found.get(_LAST_EVENT)
+        return CallerHeaders(
             attempt_id=found.get(_ATTEMPT, b""),
-            budget_s=None if budget is None else float(budget) / MS,
+            time_budget_s=None if budget is None else float(budget) / MS,
             key=_key(found.get(_KEY)),
             model=found.get(_MODEL, b"").decode("latin-1"),
-            last_event=int(last_event) if last_event else None,
+            last_event_id=int(last_event_id) if last_event_id else None,
         )
     except ValueError as error:
         raise BadRequest(f"a header cannot be read: {error}") from error
@@ -106,15 +106,15 @@
     return value[len(_KEY_SCHEME) :].strip().decode("latin-1")
 
 
-def attempt_header(fields):
+def attempt_id_header(fields):
     """Return the header that the answer to a request bears too.
 
-    :param fields: :class:`CallerFields`
+    :param fields: :class:`CallerHeaders`
     """
     return _ATTEMPT, fields.attempt_id
 
 
-def target_headers(headers, entry, left_s, urgency, workspace, last_event=None):
+def target_headers(headers, entry, left_s, urgency, workspace, last_event_id=None):
     """Return the headers of the request to a target.
 
     :param headers: the caller's ``(lower-case name, value)`` pairs.
@@ -122,7 +122,7 @@
     :param left_s: seconds left for the answer.
     :param urgency: from 0, the most urgent, to 9.
     :param workspace: name of the caller's workspace, or ``None``.
-    :param last_event: id of the last event of a stream that is resumed; ``None`` to
+    :param last_event_id: id of the last event of a stream that is resumed; ``None`` to
         leave it as the caller sent it.
     """
     dropped = _HOP_BY_HOP | _OWN | _named_by_connection(headers)
@@ -132,9 +132,9 @@
     kept.append((_URGENCY, b"%d" % urgency))
     if workspace is not None:
         kept.append((_WORKSPACE, workspace.encode()))
-    if last_event is not None:
+    if last_event_id is not None:
         kept = [(name, value) for name, value in kept if name != _LAST_EVENT]
-        kept.append((_LAST_EVENT, b"%d" % last_event))
+        kept.append((_LAST_EVENT, b"%d" % last_event_id))
     return tuple(kept)
 
 
@@ -144,12 +144,12 @@
     return {part.strip() for value in values for part in value.split(b",")}
 
 
-def answer_headers(headers):
+def response_headers(headers):
     """Return the headers of a target's answer that go to the caller."""
     return [(name, value) for name, value in headers if name not in _HOP_BY_HOP]
 
 
-def come_back_header(seconds):
+def retry_after_header(seconds):
     """Return the header that tells a caller when to come back, as a dictionary.
 
     Callers here take fractions, and count them against what is left of their time.
@@ -159,14 +159,14 @@
     return {} if seconds is None else {_COME_BACK: f"{seconds:.3f}"}
 
 
-def unexecuted_head(status):
+def not_executed_head(status):
     """Return the head of an answer which says that the request has not run."""
-    return AnswerHead(status, ((_NOT_EXECUTED, b"1"),))
+    return ResponseHead(status, ((_NOT_EXECUTED, b"1"),))
 
 
-def failed_unexecuted(head):
+def is_not_executed(head):
     """Whether an answer proves that the request has not run and will not.
 
-    :param head: :class:`~cowslipcourse.exchange.AnswerHead`
+    :param head: :class:`~cowslipcourse.exchange.ResponseHead`
     """
-    return head.status == MISDIRECTED or head.get(_NOT_EXECUTED) is not None
+    return head.status == MISDIRECTED_REQUEST or head.get(_NOT_EXECUTED) is not None
--- a/cowslipcourse/platform/engines.py
+++ b/cowslipcourse/platform/engines.py
@@ -7,17 +7,17 @@
 
 from cowslipcourse.exceptions import TargetUnreachable
 from cowslipcourse.platform.entries import decode_report
-from cowslipcourse.ports import OrderAnswer, OrderName
+from cowslipcourse.ports import OrderOperation, OrderResult
 
 __all__ = ["HttpEngineControl"]
 
 _NETWORK = (aiohttp.ClientError, asyncio.TimeoutError, OSError)
 _ANSWERS = {
-    202: OrderAnswer.BEGUN,
-    200: OrderAnswer.DONE,
-    409: OrderAnswer.STATE_DIFFERS,
-    412: OrderAnswer.EPOCH_TOO_OLD,
-    421: OrderAnswer.OTHER_ENGINE,
+    202: OrderResult.BEGUN,
+    200: OrderResult.DONE,
+    409: OrderResult.STATE_DIFFERS,
+    412: OrderResult.EPOCH_TOO_OLD,
+    421: OrderResult.OTHER_ENGINE,
 }
 _EXPECTED_ID = "X-Expect-Instance"
 
@@ -43,12 +43,15 @@
 
     async def order(self, entry, order):
         """See :class:`~cowslipcourse.ports.EngineControl`."""
-        body = {"operation": order.name.value, "expected": order.expected_count}
+        body = {
+            "operation": order.operation.value,
+            "expected": order.expected_order_count,
+        }
         if order.group:
             body |= {"group": order.group, "epoch": order.epoch}
         if order.model:
             body["model"] = order.model
-        if order.name is OrderName.CLOSE:
+        if order.operation is OrderOperation.CLOSE:
             # What waits at the head is still served.
             body["closeMode"] = "queue"
         if order.members:
@@ -60,7 +63,7 @@
             msgspec.json.encode(body),
             self.settings.order_timeout_s,
         )
-        return _ANSWERS.get(status, OrderAnswer.REFUSED)
+        return _ANSWERS.get(status, OrderResult.REFUSED)
 
     async def close(self):
         """Close the connections."""
--- a/cowslipcourse/platform/entries.py
+++ b/cowslipcourse/platform/entries.py
@@ -7,10 +7,10 @@
 from cowslipcourse.exceptions import MalformedAnswer
 from cowslipcourse.platform.wire import Count, Name, Positive, Quantity, decode_as
 from cowslipcourse.ports import (
-    UNTOLD,
+    UNKNOWN_INCARNATION,
     EngineReport,
+    GroupMembership,
     GroupState,
-    Membership,
     TargetEntry,
 )
 from cowslipcourse.ports.addresses import Address
@@ -89,7 +89,7 @@
         domain=fields.domain,
         staged=fields.staged,
         membership=_membership(fields, what),
-        incarnation=fields.born or UNTOLD,
+        incarnation=fields.born or UNKNOWN_INCARNATION,
     )
 
 
@@ -107,7 +107,7 @@
         waiting=fields.waiting,
         # Absent or 0 where the platform declares none.
         pace=fields.pace or 1.0,
-        incarnation=fields.born or UNTOLD,
+        incarnation=fields.born or UNKNOWN_INCARNATION,
     )
 
 
@@ -115,7 +115,7 @@
     group = fields.group
     if group is None or not group.name:
         return None
-    return Membership(
+    return GroupMembership(
         group=group.name,
         epoch=group.epoch,
         rank=group.rank,
--- a/cowslipcourse/platform/store.py
+++ b/cowslipcourse/platform/store.py
@@ -20,8 +20,8 @@
     RowChanges,
     StoredRow,
     era_of,
-    store_point,
-    version_in,
+    pack_version,
+    unpack_version,
 )
 
 __all__ = [
@@ -81,7 +81,7 @@
     All rows have the empty ``part``: a part's rate limits are far above what is
     written. ``ver`` of an answer is the newest version of the whole store, ``ver`` of
     a row that of the transaction which wrote it. Here both are points, in the order of
-    the eras that the store tells: see :func:`~cowslipcourse.ports.store_point`.
+    the eras that the store tells: see :func:`~cowslipcourse.ports.pack_version`.
 
     :param settings: :class:`~cowslipcourse.entry.settings.StoreSettings`
     """
@@ -116,7 +116,7 @@
         self._check_era(after)
         query = {
             "table": table,
-            "after": str(version_in(after)),
+            "after": str(unpack_version(after)),
             "waitMs": str(int(wait_s * 1000)),
         }
         page = await self._get(
@@ -139,7 +139,7 @@
         if row_write.expected and era_of(row_write.expected) != self._eras.newest:
             raise ConditionFailed([name])
         if row_write.expected is not None:
-            expected = [{**row, "ver": version_in(row_write.expected)}]
+            expected = [{**row, "ver": unpack_version(row_write.expected)}]
         body = {"expected": expected, "puts": [{**row, "value": value}], "deletes": []}
         try:
             async with self._client().post(
@@ -166,7 +166,7 @@
         if row_write.expected and era_of(row_write.expected) != era:
             # The version that was expected has been given out again.
             raise ReplyLost(f"written in era {era}")
-        return store_point(era, version)
+        return pack_version(era, version)
 
     async def close(self):
         """Close the connections."""
@@ -208,13 +208,13 @@
     """
     fields = decode_as(_WireRows, content, "rows")
     rows = tuple(_row(row, era) for row in fields.rows)
-    return RowPage(rows, store_point(era, fields.ver), bool(fields.hasMore))
+    return RowPage(rows, pack_version(era, fields.ver), bool(fields.hasMore))
 
 
 def _row(fields, era):
     return StoredRow(
         key=fields.key,
         value=fields.value or b"",
-        version=store_point(era, fields.ver),
+        version=pack_version(era, fields.ver),
         deleted=bool(fields.deleted),
     )
--- a/cowslipcourse/ports/__init__.py
+++ b/cowslipcourse/ports/__init__.py
@@ -1,14 +1,14 @@
 """Interfaces between the system and everything outside its processes."""
 
 from cowslipcourse.ports.engines import (
-    UNTOLD,
+    UNKNOWN_INCARNATION,
     EngineControl,
     EngineOrder,
     EngineReport,
+    GroupMembership,
     GroupState,
-    Membership,
-    OrderAnswer,
-    OrderName,
+    OrderOperation,
+    OrderResult,
     TargetEntry,
 )
 from cowslipcourse.ports.platform import (
@@ -18,7 +18,7 @@
     Transaction,
     VmList,
 )
-from cowslipcourse.ports.points import era_of, store_point, version_in
+from cowslipcourse.ports.points import era_of, pack_version, unpack_version
 from cowslipcourse.ports.rows import RowChanges, RowStore, RowWrite, StoredRow
 from cowslipcourse.ports.targets import (
     EngineLoad,
@@ -26,30 +26,30 @@
     GenerateRequest,
     Order,
     OrderKind,
-    ServiceAnswer,
+    ServiceResponse,
     TargetClient,
 )
 
 __all__ = [
-    "UNTOLD",
+    "UNKNOWN_INCARNATION",
     "EngineControl",
     "EngineLoad",
     "EngineOrder",
     "EngineReport",
     "EngineStatus",
     "GenerateRequest",
+    "GroupMembership",
     "GroupState",
-    "Membership",
     "ObjectStore",
     "Order",
-    "OrderAnswer",
     "OrderKind",
-    "OrderName",
+    "OrderOperation",
+    "OrderResult",
     "Row",
     "RowChanges",
     "RowStore",
     "RowWrite",
-    "ServiceAnswer",
+    "ServiceResponse",
     "StoredRow",
     "TableService",
     "TargetClient",
@@ -57,6 +57,6 @@
     "Transaction",
     "VmList",
     "era_of",
-    "store_point",
-    "version_in",
+    "pack_version",
+    "unpack_version",
 ]
--- a/cowslipcourse/ports/engines.py
+++ b/cowslipcourse/ports/engines.py
@@ -4,19 +4,19 @@
 from typing import NamedTuple, Protocol
 
 __all__ = [
-    "UNTOLD",
+    "UNKNOWN_INCARNATION",
     "EngineControl",
     "EngineOrder",
     "EngineReport",
+    "GroupMembership",
     "GroupState",
-    "Membership",
-    "OrderAnswer",
-    "OrderName",
+    "OrderOperation",
+    "OrderResult",
     "TargetEntry",
 ]
 
 
-UNTOLD = 0
+UNKNOWN_INCARNATION = 0
 """Incarnation of a target that does not tell its lives apart."""
 
 
@@ -30,7 +30,7 @@
     BROKEN = "broken"
 
 
-class Membership(NamedTuple):
+class GroupMembership(NamedTuple):
     """The group that an engine belongs to.
 
     :param group: group name.
@@ -60,7 +60,7 @@
     :param staged: models whose weights are on its host.
     :param membership: its group, or ``None``.
     :param incarnation: Unix time in ms at which this life of the target began, or
-        :data:`UNTOLD`.
+        :data:`UNKNOWN_INCARNATION`.
     """
 
     id: str
@@ -71,8 +71,8 @@
     is_leaving: bool = False
     domain: str = ""
     staged: tuple[str, ...] = ()
-    membership: Membership | None = None
-    incarnation: int = UNTOLD
+    membership: GroupMembership | None = None
+    incarnation: int = UNKNOWN_INCARNATION
 
 
 class EngineReport(NamedTuple):
@@ -88,15 +88,15 @@
     """
 
     order_count: int
-    membership: Membership | None
+    membership: GroupMembership | None
     staged: tuple[str, ...]
     running: int = 0
     waiting: int = 0
     pace: float = 1.0
-    incarnation: int = UNTOLD
+    incarnation: int = UNKNOWN_INCARNATION
 
 
-class OrderName(StrEnum):
+class OrderOperation(StrEnum):
     """What an order asks for."""
 
     JOIN = "join"
@@ -109,23 +109,23 @@
 class EngineOrder(NamedTuple):
     """An order to one engine.
 
-    :param name: see :class:`OrderName`.
-    :param expected_count: order count the engine must have; it refuses otherwise.
+    :param operation: see :class:`OrderOperation`.
+    :param expected_order_count: order count the engine must have; it refuses otherwise.
     :param group: group that is meant.
     :param epoch: epoch of the group.
     :param model: model to serve or to stage.
     :param members: ids of the members, the head first.
     """
 
-    name: OrderName
-    expected_count: int
+    operation: OrderOperation
+    expected_order_count: int
     group: str = ""
     epoch: int = 0
     model: str = ""
     members: tuple[str, ...] = ()
 
 
-class OrderAnswer(StrEnum):
+class OrderResult(StrEnum):
     """How an engine answered an order.
 
     ``BEGUN`` counts up the engine's order count. ``DONE`` says that what was asked
@@ -152,7 +152,7 @@
         """
 
     async def order(self, entry, order):
-        """Give an order and return an :class:`OrderAnswer`.
+        """Give an order and return an :class:`OrderResult`.
 
         :param entry: :class:`TargetEntry`
         :param order: :class:`EngineOrder`
--- a/cowslipcourse/ports/peers.py
+++ b/cowslipcourse/ports/peers.py
@@ -2,7 +2,7 @@
 
 from typing import Any, NamedTuple, Protocol
 
-__all__ = ["ForwardAnswer", "ForwardedCall", "PeerHandler", "PeerNetwork"]
+__all__ = ["ForwardResponse", "ForwardedCall", "PeerHandler", "PeerNetwork"]
 
 
 class ForwardedCall(NamedTuple):
@@ -28,7 +28,7 @@
     incarnation: str
 
 
-class ForwardAnswer(NamedTuple):
+class ForwardResponse(NamedTuple):
     """How a forwarded call ended.
 
     :param error_code: code of the error, empty if the call completed.
@@ -55,7 +55,7 @@
     async def heartbeat(self, heartbeat: Any) -> Any:
         """Return the answer to a :class:`~cowslipcourse.membership.Heartbeat`."""
 
-    async def forward(self, call: ForwardedCall) -> ForwardAnswer:
+    async def forward(self, call: ForwardedCall) -> ForwardResponse:
         """Run a forwarded call."""
 
 
@@ -73,13 +73,13 @@
 
     async def forward(
         self, address: str, call: ForwardedCall, timeout_s: float
-    ) -> ForwardAnswer:
+    ) -> ForwardResponse:
         """Hand over a call.
 
         :raises PeerUnreachable: it may have been run there.
         """
 
-    async def keep(self, addresses: set[str]) -> None:
+    async def close_connections_except(self, addresses: set[str]) -> None:
         """Close connections to any other address."""
 
     async def close(self) -> None:
--- a/cowslipcourse/ports/points.py
+++ b/cowslipcourse/ports/points.py
@@ -5,14 +5,14 @@
 number: points are in the order in which they came to be, and none comes twice.
 """
 
-__all__ = ["era_of", "store_point", "version_in"]
+__all__ = ["era_of", "pack_version", "unpack_version"]
 
 ERA_SHIFT = 40
 """Bits of a version: a thousand writes a second for 34 years."""
 _VERSIONS = (1 << ERA_SHIFT) - 1
 
 
-def store_point(era, version):
+def pack_version(era, version):
     """Return the point of a version.
 
     :param era: number of the store's era; 0 as long as it tells none.
@@ -26,6 +26,6 @@
     return point >> ERA_SHIFT
 
 
-def version_in(point):
+def unpack_version(point):
     """Return the version that the store knows a point by."""
     return point & _VERSIONS
--- a/cowslipcourse/ports/rows.py
+++ b/cowslipcourse/ports/rows.py
@@ -49,7 +49,7 @@
 class RowStore(Protocol):
     """The platform's transactional store.
 
-    Versions are points in its history: see :func:`~cowslipcourse.ports.store_point`.
+    Versions are points in its history: see :func:`~cowslipcourse.ports.pack_version`.
     """
 
     @property
--- a/cowslipcourse/ports/targets.py
+++ b/cowslipcourse/ports/targets.py
@@ -10,7 +10,7 @@
     "GenerateRequest",
     "Order",
     "OrderKind",
-    "ServiceAnswer",
+    "ServiceResponse",
     "TargetClient",
 ]
 
@@ -110,7 +110,7 @@
     body: bytes
 
 
-class ServiceAnswer(NamedTuple):
+class ServiceResponse(NamedTuple):
     """A plain service's answer.
 
     :param status: HTTP status.
@@ -155,12 +155,12 @@
     async def cancel(self, address: str, attempt_id: str) -> None:
         """Ask the engine to stop an attempt; failures are ignored."""
 
-    async def has_ended(self, address: str) -> bool:
+    async def refuses_connections(self, address: str) -> bool:
         """Return whether its host answers, and nobody listens there."""
 
     async def call(
         self, address: str, operation: str, attempt_id: str, body: bytes
-    ) -> ServiceAnswer:
+    ) -> ServiceResponse:
         """Run one operation of a plain service.
 
         :raises TargetRefused: nothing was started.
--- a/cowslipcourse/requests/__init__.py
+++ b/cowslipcourse/requests/__init__.py
@@ -1,14 +1,14 @@
 """The life of one request: keys, outcomes and whole answers."""
 
 from cowslipcourse.requests.keys import MintedKey, parse_minted_key
-from cowslipcourse.requests.outcomes import Completed, Ended, Outcomes
-from cowslipcourse.requests.relay import AnswerRelay
+from cowslipcourse.requests.outcomes import Completed, Ended, OutcomeStore
+from cowslipcourse.requests.relay import StreamRelay
 
 __all__ = [
-    "AnswerRelay",
     "Completed",
     "Ended",
     "MintedKey",
-    "Outcomes",
+    "OutcomeStore",
+    "StreamRelay",
     "parse_minted_key",
 ]
--- a/cowslipcourse/requests/outcomes.py
+++ b/cowslipcourse/requests/outcomes.py
@@ -18,7 +18,14 @@
     RequestError,
 )
 
-__all__ = ["Completed", "Ended", "Outcomes", "error_from", "seal", "unseal"]
+__all__ = [
+    "Completed",
+    "Ended",
+    "OutcomeStore",
+    "decode_outcome",
+    "encode_outcomes",
+    "error_from_code",
+]
 
 CROWDED_RETRY_S = 5.0
 
@@ -63,13 +70,13 @@
 _ERRORS_BY_CODE = _codes()
 
 
-def error_from(code, detail, retry_after_s=None):
+def error_from_code(code, detail, retry_after_s=None):
     """Return the error with a code, as it was before it was written down."""
     error_type = _ERRORS_BY_CODE.get(code, OutcomeUnknown)
     return error_type(detail, retry_after_s)
 
 
-class Outcomes:
+class OutcomeStore:
     """Runs keyed requests at most once and remembers how they ended.
 
     :param limits: :class:`~cowslipcourse.settings.LimitSettings`
@@ -126,12 +133,12 @@
             raise ended
         return ended, remembered
 
-    async def finish(self):
+    async def wait_until_finished(self):
         """Wait until nothing runs any more."""
         tasks = [e.task for entries in self._windows.values() for e in entries.values()]
         await asyncio.gather(*tasks, return_exceptions=True)
 
-    def settled(self):
+    def finished(self):
         """Return ``(window, key, fingerprint, ended)`` of every finished request."""
         return [
             (window, key, entry.fingerprint, entry.task.result())
@@ -181,13 +188,13 @@
     ended: Ended | None
 
 
-def seal(outcomes):
+def encode_outcomes(outcomes):
     """Return all outcomes as bytes, for repeats that come after a planned stop.
 
-    :param outcomes: :class:`Outcomes` that was closed and finished.
+    :param outcomes: :class:`OutcomeStore` that was closed and finished.
     """
     sealed = []
-    for window, key, fingerprint, ended in outcomes.settled():
+    for window, key, fingerprint, ended in outcomes.finished():
         if isinstance(ended, RequestError):
             item = _Sealed(
                 window, key, fingerprint, None, Ended(ended.code, ended.detail)
@@ -198,10 +205,10 @@
     return msgspec.json.encode(sealed)
 
 
-def unseal(content, key, fingerprint):
+def decode_outcome(content, key, fingerprint):
     """Return the sealed outcome of a key.
 
-    :param content: bytes made by :func:`seal`.
+    :param content: bytes made by :func:`encode_outcomes`.
     :returns: :class:`Completed`, or ``None`` if the key was never run there.
     :raises RequestError: how it ended.
     """
@@ -211,6 +218,6 @@
         if item.fingerprint != fingerprint:
             raise KeyReused("the key was used with another request")
         if item.completed is None:
-            raise error_from(item.ended.code, item.ended.detail)
+            raise error_from_code(item.ended.code, item.ended.detail)
         return item.completed
     return None
--- a/cowslipcourse/requests/relay.py
+++ b/cowslipcourse/requests/relay.py
@@ -5,13 +5,13 @@
 
 from cowslipcourse.exceptions import MalformedAnswer
 
-__all__ = ["END_DATA", "AnswerRelay"]
+__all__ = ["END_DATA", "StreamRelay"]
 
 END_DATA = b"data: [DONE]"
 _ID = b"id: "
 
 
-class AnswerRelay:
+class StreamRelay:
     """Position in one answer, over all attempts.
 
     :ivar offset: number of tokens passed on so far.
@@ -23,11 +23,11 @@
         self.complete = False
         self._fault = None
 
-    def take(self, attempt_id, events):
+    def filter_events(self, attempt_id, events):
         """Check events and return what is to be passed on, as one piece.
 
         Tokens that came before are dropped. At the first event that is out of place
-        the rest is left alone; :meth:`check` then raises, once the good events before
+        the rest is left alone; :meth:`raise_for_malformed` then raises, once the good events before
         it have been passed on.
 
         :param attempt_id: attempt that the events must belong to.
@@ -47,7 +47,7 @@
                 passed.append(b"\n\n")
         return b"".join(passed)
 
-    def check(self):
+    def raise_for_malformed(self):
         """Raise if an event was out of place.
 
         :raises MalformedAnswer: an event of another attempt, a gap, an early end.
--- a/features/steps/accounting_steps.py
+++ b/features/steps/accounting_steps.py
@@ -12,7 +12,7 @@
 from cowslipcourse.entry.census import CensusWatch
 from cowslipcourse.entry.fleet import FleetView, Place
 from cowslipcourse.entry.metrics import EntryMetrics
-from cowslipcourse.ports import GroupState, Membership, TargetEntry
+from cowslipcourse.ports import GroupMembership, GroupState, TargetEntry
 from cowslipcourse.routes import (
     CallerLimits,
     EngineModel,
@@ -36,7 +36,7 @@
 
 
 def _entry(target, state=GroupState.OPEN):
-    found = Membership(f"g-{target}", 3, 0, state, "small")
+    found = GroupMembership(f"g-{target}", 3, 0, state, "small")
     return TargetEntry(
         target, "llm", f"{target}:1", "n", SLOTS, domain="d", membership=found
     )
--- a/features/steps/answer_steps.py
+++ b/features/steps/answer_steps.py
@@ -6,7 +6,7 @@
 from hypothesis import strategies as st
 
 from cowslipcourse.emulator.clock import run_paused
-from cowslipcourse.requests import AnswerRelay
+from cowslipcourse.requests import StreamRelay
 from cowslipcourse.requests.relay import END_DATA
 from features.support.group_runs import AnswerFaults, fixed_secrets, group_run
 from features.support.group_variants import VARIANTS
@@ -64,11 +64,11 @@
     @settings(max_examples=EXAMPLES, derandomize=True, deadline=None, database=None)
     @given_values(attempts())
     def holds(made):
-        relay, passed = AnswerRelay(), b""
+        relay, passed = StreamRelay(), b""
         for attempt_id, events in made:
             # An engine that lies about its offsets cannot be found out.
             events = [event for event in events if _honest(attempt_id, event)]
-            passed += relay.take(attempt_id, events)
+            passed += relay.filter_events(attempt_id, events)
         tokens = passed.split(b"\n\n")[:-1]
         assert tokens == TRUTH[: len(tokens)]
         if relay.complete:
--- a/features/steps/balance_steps.py
+++ b/features/steps/balance_steps.py
@@ -15,7 +15,7 @@
     choose_changes,
     choose_standby,
 )
-from cowslipcourse.ports import GroupState, Membership, TargetEntry
+from cowslipcourse.ports import GroupMembership, GroupState, TargetEntry
 from cowslipcourse.routes import CallerLimits, EngineModel, RouteTable, ServiceSpec
 
 DATA_CENTRES = ("north", "south", "west")
@@ -225,7 +225,7 @@
 def _members(plan):
     """Return the entries of all members of a plan's groups."""
     return [
-        _entry(member, plan.domain, Membership(g.name, 1, rank, GroupState.READY))
+        _entry(member, plan.domain, GroupMembership(g.name, 1, rank, GroupState.READY))
         for g in plan.groups
         for rank, member in enumerate(g.members)
     ]
--- a/features/steps/door_steps.py
+++ b/features/steps/door_steps.py
@@ -25,7 +25,7 @@
 from cowslipcourse.fleet import parse_selector
 from cowslipcourse.gateway.chat import parse_chat_body
 from cowslipcourse.membership import Heartbeat, HeartbeatAnswer
-from cowslipcourse.requests import AnswerRelay, parse_minted_key
+from cowslipcourse.requests import StreamRelay, parse_minted_key
 from cowslipcourse.settings import GatewaySettings
 from cowslipcourse.settings_file import load_settings
 from features.steps.site_steps import CREW_KEY
@@ -209,9 +209,9 @@
 
 
 def _relay(content):
-    relay = AnswerRelay()
-    relay.take("a", content.split(b"\n\n"))
-    relay.check()
+    relay = StreamRelay()
+    relay.filter_events("a", content.split(b"\n\n"))
+    relay.raise_for_malformed()
 
 
 TOML_WORDS = st.sampled_from(
--- a/features/steps/evidence_steps.py
+++ b/features/steps/evidence_steps.py
@@ -14,9 +14,9 @@
 from cowslipcourse.ports import (
     EngineOrder,
     EngineReport,
+    GroupMembership,
     GroupState,
-    Membership,
-    OrderName,
+    OrderOperation,
     TargetEntry,
 )
 from cowslipcourse.routes import EngineModel
@@ -32,7 +32,7 @@
 
 
 def _membership(epoch):
-    return Membership("g1", epoch, 0, GroupState.READY, "large")
+    return GroupMembership("g1", epoch, 0, GroupState.READY, "large")
 
 
 @given(
@@ -126,11 +126,11 @@
 def step_told_to_open(context, epoch):
     context.engines = {}
     for rank, name in enumerate(("e1", "e2")):
-        membership = Membership("g1", epoch, rank, GroupState.READY, "small")
+        membership = GroupMembership("g1", epoch, rank, GroupState.READY, "small")
         engine = EngineKnowledge(_entry(membership)._replace(id=name))
         engine.see_report(EngineReport(7, membership, ()), 10.0)
         context.engines[name] = engine
-    context.engines["e1"].note_begun(EngineOrder(OrderName.OPEN, 7, "g1", epoch))
+    context.engines["e1"].note_begun(EngineOrder(OrderOperation.OPEN, 7, "g1", epoch))
 
 
 @when("a plan holds them in g2 instead")
@@ -142,8 +142,10 @@
 @then("e1 and e2 are told to leave g1 and nobody is joined")
 def step_both_leave(context):
     steps = next_steps(context.plan, context.engines, {}, STALL_S, 10.1)
-    orders = [(step.engine, step.order.name, step.order.group) for step in steps]
-    assert orders == [(name, OrderName.LEAVE, "g1") for name in ("e1", "e2")], orders
+    orders = [(step.engine, step.order.operation, step.order.group) for step in steps]
+    assert orders == [(name, OrderOperation.LEAVE, "g1") for name in ("e1", "e2")], (
+        orders
+    )
 
 
 def _domain(context):
@@ -177,7 +179,7 @@
     context.engines = {}
     for rank, engine in enumerate(("e1", "e2")):
         state = GroupState.READY if rank else GroupState.OPEN
-        membership = Membership("g1", epoch, rank, state, "small")
+        membership = GroupMembership("g1", epoch, rank, state, "small")
         entry = _entry(membership)._replace(id=engine)
         context.engines[engine] = EngineKnowledge(entry)
         context.engines[engine].order_count = 7
@@ -188,15 +190,15 @@
 @then("e1 is told to leave g1 and nobody is joined")
 def step_only_leave(context):
     steps = next_steps(context.plan, context.engines, {}, STALL_S, 30.0)
-    orders = [(step.engine, step.order.name, step.order.group) for step in steps]
-    assert orders == [("e1", OrderName.LEAVE, "g1")], orders
+    orders = [(step.engine, step.order.operation, step.order.group) for step in steps]
+    assert orders == [("e1", OrderOperation.LEAVE, "g1")], orders
 
 
 @given("an engine that reported group g1 and began to leave it, and no plan")
 def step_left_unknown(context):
     context.engine = EngineKnowledge(_entry(_membership(3)))
     context.engine.see_report(EngineReport(5, _membership(3), ()), 10.0)
-    leave = EngineOrder(OrderName.LEAVE, 5, group="g1", epoch=3)
+    leave = EngineOrder(OrderOperation.LEAVE, 5, group="g1", epoch=3)
     context.engine.note_begun(leave)
     context.plan = DomainPlan("north")
 
--- a/features/steps/forwarding_steps.py
+++ b/features/steps/forwarding_steps.py
@@ -18,7 +18,7 @@
 from cowslipcourse.entry.settings import EntrySettings, RetrySettings
 from cowslipcourse.entry.silence import SilenceWatch, WatchedStream
 from cowslipcourse.exceptions import SettingsError, TargetUnreachable
-from cowslipcourse.ports import GroupState, Membership, TargetEntry
+from cowslipcourse.ports import GroupMembership, GroupState, TargetEntry
 from cowslipcourse.routes import RequestKind, Route
 from cowslipcourse.settings_file import load_settings
 
@@ -83,7 +83,7 @@
 
 
 def _entry(target, epoch=3, rank=0, group="g1"):
-    found = Membership(group, epoch, rank, GroupState.OPEN, "large")
+    found = GroupMembership(group, epoch, rank, GroupState.OPEN, "large")
     return TargetEntry(
         target, SERVICE, f"{target}:1", "n", SLOTS, domain="d", membership=found
     )
@@ -93,7 +93,7 @@
     """A connection of which only its silence matters."""
 
     def __init__(self, heard_at):
-        self.heard_at = heard_at
+        self.last_received_at = heard_at
         self.error = None
 
     def abort(self, error):
--- a/features/steps/head_steps.py
+++ b/features/steps/head_steps.py
@@ -4,7 +4,7 @@
 
 from cowslipcourse.entry.heads import GroupHeads
 from cowslipcourse.peers import GroupNews, OpenedHead
-from cowslipcourse.ports import GroupState, Membership, TargetEntry
+from cowslipcourse.ports import GroupMembership, GroupState, TargetEntry
 
 FIRST, SECOND = 100, 200
 OPENS_IN_S = 0.05
@@ -18,7 +18,7 @@
         "dc",
         13,
         domain="d1",
-        membership=Membership(group, epoch, 0, GroupState(state), "large"),
+        membership=GroupMembership(group, epoch, 0, GroupState(state), "large"),
         incarnation=incarnation,
     )
 
--- a/features/steps/knowledge_steps.py
+++ b/features/steps/knowledge_steps.py
@@ -13,7 +13,7 @@
     encode_state,
 )
 from cowslipcourse.platform.store import CONFIGURATION_TABLE
-from cowslipcourse.ports import RowChanges, store_point
+from cowslipcourse.ports import RowChanges, pack_version
 from features.support.knowledge import FlakyStore, heartbeat, make_knowledge, member
 from features.support.wire import entry_content
 
@@ -60,7 +60,7 @@
 def step_older(context):
     async def change(store):
         store.targets = {"t1"}
-        store.version = store_point(1, 1)
+        store.version = pack_version(1, 1)
         store.drops_history = True
 
     _play(context, change, (1, 4))
--- a/features/steps/life_steps.py
+++ b/features/steps/life_steps.py
@@ -25,10 +25,10 @@
 from cowslipcourse.ports import (
     EngineOrder,
     EngineReport,
+    GroupMembership,
     GroupState,
-    Membership,
-    OrderAnswer,
-    OrderName,
+    OrderOperation,
+    OrderResult,
     RowWrite,
     TargetEntry,
 )
@@ -38,7 +38,7 @@
 FIRST, SECOND = 100, 200
 STALL_S = 4.0
 SIZES = {"large": 4, "small": 2}
-IN_G1 = Membership("g1", 4, 0, GroupState.READY, "large")
+IN_G1 = GroupMembership("g1", 4, 0, GroupState.READY, "large")
 G1 = PlannedGroup("g1", "large", 4, ("e1",))
 
 
@@ -288,7 +288,7 @@
 
 @when("the report says that its engine is ready in g1 at epoch 5 with rank {rank:d}")
 def step_report_rank(context, rank):
-    found = Membership("g1", 5, rank, GroupState.READY, "large")
+    found = GroupMembership("g1", 5, rank, GroupState.READY, "large")
     report = EngineReport(2, found, ("large",), incarnation=FIRST)
     context.knowledge.see_report("e2", report, 5.0)
 
@@ -307,14 +307,14 @@
     """An engine control whose orders another engine refuses."""
 
     async def order(self, entry, order):
-        return OrderAnswer.OTHER_ENGINE
+        return OrderResult.OTHER_ENGINE
 
 
 @when("an order to e2 is answered by another engine")
 def step_other_engine(context):
     async def run():
         calls = EngineCalls(_OtherEngine(), ControlSettings(), None, None, None)
-        order = EngineOrder(OrderName.JOIN, 0, "g1", 5, "large", ("e1", "e2"))
+        order = EngineOrder(OrderOperation.JOIN, 0, "g1", 5, "large", ("e1", "e2"))
         calls.order(context.knowledge.engines["e2"], order, {"large": LARGE})
         await asyncio.sleep(0.1)
 
--- a/features/steps/practice_steps.py
+++ b/features/steps/practice_steps.py
@@ -20,9 +20,9 @@
 from cowslipcourse.groups.situation import is_free
 from cowslipcourse.ports import (
     EngineReport,
+    GroupMembership,
     GroupState,
-    Membership,
-    OrderName,
+    OrderOperation,
     TargetEntry,
 )
 from cowslipcourse.routes import CallerLimits, RouteTable, ServiceSpec
@@ -38,7 +38,7 @@
 
 
 def _alone(state):
-    return Membership("d1-e1.alone", 7, 0, state, "large")
+    return GroupMembership("d1-e1.alone", 7, 0, state, "large")
 
 
 def _report(context, membership):
@@ -67,7 +67,9 @@
         assert step.kind is StepKind.ASK, step
     else:
         order = step.order
-        assert order.name is OrderName.JOIN and order.members == ("e1",), order
+        assert order.operation is OrderOperation.JOIN and order.members == ("e1",), (
+            order
+        )
         assert order.epoch == PLAN.version and order.model == "large", order
 
 
@@ -95,7 +97,7 @@
 @then("it is told to leave that group")
 def step_leave(context):
     (step,) = _steps(context)
-    assert step.order.name is OrderName.LEAVE, step
+    assert step.order.operation is OrderOperation.LEAVE, step
     assert step.order.group == "d1-e1.alone", step
 
 
@@ -108,7 +110,7 @@
 @given("a stray in the group {group} of a domain called {domain}")
 def step_stray(context, group, domain):
     context.knowledge = DomainKnowledge()
-    found = Membership(group, 7, 1, GroupState.READY, "large")
+    found = GroupMembership(group, 7, 1, GroupState.READY, "large")
     context.knowledge.see_entry(_entry()._replace(domain=domain, membership=found))
 
 
--- a/features/steps/route_steps.py
+++ b/features/steps/route_steps.py
@@ -3,7 +3,7 @@
 from behave import given, then, when
 
 from cowslipcourse.exceptions import NotAuthorised, UnknownRoute
-from cowslipcourse.platform.edge import read_caller_fields, target_headers
+from cowslipcourse.platform.edge import parse_caller_headers, target_headers
 from cowslipcourse.ports import TargetEntry
 from cowslipcourse.routes import (
     CallerLimits,
@@ -81,8 +81,8 @@
 
 @then("the target gets the workspace of the key, its own instance and the time left")
 def step_target_headers(context):
-    fields = read_caller_fields(context.headers)
-    assert (fields.key, fields.budget_s) == ("k1", 9.0)
+    fields = parse_caller_headers(context.headers)
+    assert (fields.key, fields.time_budget_s) == ("k1", 9.0)
     entry = TargetEntry("i-1", "s", "a:1", "dc", 1)
     sent = dict(target_headers(context.headers, entry, 2.5, 3, "north"))
     assert sent == {
--- a/features/steps/shape_steps.py
+++ b/features/steps/shape_steps.py
@@ -10,7 +10,7 @@
     choose_shape,
 )
 from cowslipcourse.groups.situation import is_free
-from cowslipcourse.ports import EngineReport, GroupState, Membership, TargetEntry
+from cowslipcourse.ports import EngineReport, GroupMembership, GroupState, TargetEntry
 from cowslipcourse.routes import EngineModel
 
 DATA_CENTRES = ("north", "south", "west")
@@ -104,7 +104,7 @@
     context.plan = DomainPlan("north", 3, (group,))
     context.knowledge = DomainKnowledge()
     for rank, member in enumerate(members):
-        membership = Membership("g1", 3, rank, GroupState.READY, "large")
+        membership = GroupMembership("g1", 3, rank, GroupState.READY, "large")
         entry = TargetEntry(
             member, "llm", "a:1", "north", 13, domain="north", membership=membership
         )
--- a/features/support/booking_variants.py
+++ b/features/support/booking_variants.py
@@ -8,7 +8,7 @@
 from cowslipcourse.gateway.claims import ClaimDesk
 from cowslipcourse.gateway.service_calls import ServiceCall
 from cowslipcourse.gateway.services import ServiceRequests
-from cowslipcourse.requests import Outcomes
+from cowslipcourse.requests import OutcomeStore
 
 __all__ = ["VARIANTS"]
 
@@ -36,7 +36,7 @@
 
     @contextlib.contextmanager
     def patched():
-        run_once = Outcomes.run_once
+        run_once = OutcomeStore.run_once
 
         async def forgetful(self, key, window, fingerprint, execute, now):
             current = self.window(now)
@@ -44,7 +44,7 @@
                 window = current
             return await run_once(self, key, window, fingerprint, execute, now)
 
-        with mock.patch.object(Outcomes, "run_once", forgetful):
+        with mock.patch.object(OutcomeStore, "run_once", forgetful):
             yield
 
     return patched()
--- a/features/support/fakes.py
+++ b/features/support/fakes.py
@@ -19,7 +19,7 @@
     TargetUnreachable,
 )
 from cowslipcourse.fleet import VM, TargetKind, VmState
-from cowslipcourse.ports import EngineLoad, EngineStatus, Row, ServiceAnswer
+from cowslipcourse.ports import EngineLoad, EngineStatus, Row, ServiceResponse
 from cowslipcourse.standin.engine import Refused
 
 __all__ = ["FakeNetwork", "FakePeers", "FakePlatform", "FakeTargets", "Gate"]
@@ -198,7 +198,7 @@
             if b"data: [DONE]" in event:
                 return
 
-    async def has_ended(self, address):
+    async def refuses_connections(self, address):
         await self._gate.trip()
         target = self._world.find(address.rsplit("/", 1)[1])
         return target is not None and target.faults["dead"]
@@ -223,7 +223,7 @@
         if _take(target.faults, "wrong_attempt"):
             raise MalformedAnswer("another call's answer")
         await self._gate.trip()
-        return ServiceAnswer(200, "application/json", str(answer).encode())
+        return ServiceResponse(200, "application/json", str(answer).encode())
 
 
 def _take(faults, name):
@@ -273,7 +273,7 @@
     async def forward(self, address, call, timeout_s):
         return await self._call(address, "forward", call, timeout_s)
 
-    async def keep(self, addresses):
+    async def close_connections_except(self, addresses):
         """Nothing to close."""
 
     async def close(self):
--- a/features/support/group_variants.py
+++ b/features/support/group_variants.py
@@ -7,7 +7,7 @@
 from cowslipcourse.gateway.fleet_view import FleetView
 from cowslipcourse.leases import HeldLease, ObservedLease
 from cowslipcourse.ports.platform import Transaction
-from cowslipcourse.requests import AnswerRelay
+from cowslipcourse.requests import StreamRelay
 from cowslipcourse.requests.relay import END_DATA
 
 __all__ = ["VARIANTS"]
@@ -72,7 +72,7 @@
 def _blind_relay():
     """Pass on tokens without looking at their attempt and offset."""
 
-    def take(self, attempt_id, events):
+    def filter_events(self, attempt_id, events):
         passed = []
         for event in events:
             data = event.partition(b"\n")[2]
@@ -83,7 +83,7 @@
             passed.append(data + b"\n\n")
         return b"".join(passed)
 
-    return _patched(mock.patch.object(AnswerRelay, "take", take))
+    return _patched(mock.patch.object(StreamRelay, "filter_events", filter_events))
 
 
 VARIANTS = {
--- a/features/support/platform_site.py
+++ b/features/support/platform_site.py
@@ -23,7 +23,7 @@
 
 from cowslipcourse.adapters.web import WebServer
 from cowslipcourse.emulator import Faults, World
-from cowslipcourse.ports import EngineOrder, OrderAnswer, OrderName
+from cowslipcourse.ports import EngineOrder, OrderOperation, OrderResult
 from features.support.engine_world import LARGE, SERVICE, SMALL
 from features.support.platform_store import Store
 from features.support.wire import entry_content, entry_fields
@@ -58,10 +58,10 @@
     SMALL._replace(load_s=1.0, warm_s=0.3),
 )
 STATUS = {
-    OrderAnswer.BEGUN: 202,
-    OrderAnswer.DONE: 200,
-    OrderAnswer.STATE_DIFFERS: 409,
-    OrderAnswer.EPOCH_TOO_OLD: 412,
+    OrderResult.BEGUN: 202,
+    OrderResult.DONE: 200,
+    OrderResult.STATE_DIFFERS: 409,
+    OrderResult.EPOCH_TOO_OLD: 412,
 }
 
 
@@ -357,7 +357,7 @@
         engine = await self._present(engine_id)
         body = await request.json()
         order = EngineOrder(
-            OrderName(body["operation"]),
+            OrderOperation(body["operation"]),
             body["expected"],
             body.get("group", ""),
             body.get("epoch", 0),
--- a/features/support/small_site.py
+++ b/features/support/small_site.py
@@ -22,7 +22,7 @@
 from cowslipcourse.gateway.services import ServiceRequests
 from cowslipcourse.gateway.tools import GatewayTools, Spawner
 from cowslipcourse.membership import Role
-from cowslipcourse.requests import Outcomes
+from cowslipcourse.requests import OutcomeStore
 from cowslipcourse.settings import ControllerSettings, GatewaySettings, StandinSettings
 from cowslipcourse.standin.world import World
 from features.support.fakes import (
@@ -135,7 +135,7 @@
             quarantine=make_quarantine(
                 self.agent, self.view, self.targets, self.platform
             ),
-            outcomes=Outcomes(limits, now()),
+            outcomes=OutcomeStore(limits, now()),
             metrics=site.metrics,
             rng=rng,
             spawn=Spawner(),
