--- a/cowslipcourse/controller/fleet_watch.py
+++ b/cowslipcourse/controller/fleet_watch.py
@@ -47,7 +47,7 @@
 
     @property
     def resolved(self):
-        """The configuration over the fleet, :class:`~cowslipcourse.config.ResolvedConfiguration`."""
+        """The :class:`~cowslipcourse.config.ResolvedConfiguration` of the fleet."""
         return self._resolved
 
     @property
--- a/cowslipcourse/gateway/fleet_view.py
+++ b/cowslipcourse/gateway/fleet_view.py
@@ -67,7 +67,7 @@
 
     @property
     def resolved(self):
-        """Placements and access, :class:`~cowslipcourse.config.ResolvedConfiguration`."""
+        """The :class:`~cowslipcourse.config.ResolvedConfiguration` of the fleet."""
         return self._resolved
 
     @property
--- a/cowslipcourse/groups/plan.py
+++ b/cowslipcourse/groups/plan.py
@@ -49,7 +49,7 @@
         return self.members[0]
 
     def incarnation_of(self, engine):
-        """Return the life of a member that is meant; :data:`~.ports.UNKNOWN_INCARNATION` for any."""
+        """Return a member's incarnation, or ``UNKNOWN_INCARNATION`` for any."""
         lives = dict(zip(self.members, self.incarnations, strict=False))
         return lives.get(engine, UNKNOWN_INCARNATION)
 
--- a/cowslipcourse/requests/relay.py
+++ b/cowslipcourse/requests/relay.py
@@ -26,9 +26,9 @@
     def filter_events(self, attempt_id, events):
         """Check events and return what is to be passed on, as one piece.
 
-        Tokens that came before are dropped. At the first event that is out of place
-        the rest is left alone; :meth:`raise_for_malformed` then raises, once the good events before
-        it have been passed on.
+        Drops tokens that were forwarded before. Stops at the first malformed event;
+        :meth:`raise_for_malformed` then raises, once the caller has forwarded the
+        valid events before it.
 
         :param attempt_id: attempt that the events must belong to.
         :param events: raw events in order.
