--- a/cowslipcourse/entry/coordinator.py
+++ b/cowslipcourse/entry/coordinator.py
@@ -33,7 +33,7 @@
     warmup_step,
 )
 from cowslipcourse.peers import GroupNews, OpenedHead
-from cowslipcourse.ports import EngineOrder, OrderName
+from cowslipcourse.ports import EngineOrder, OrderOperation
 
 __all__ = ["Coordinator"]
 
@@ -285,7 +285,7 @@
             )
         ):
             engine.staging_model = model
-            order = EngineOrder(OrderName.STAGE, engine.order_count, model=model)
+            order = EngineOrder(OrderOperation.STAGE, engine.order_count, model=model)
             self._spawn_order(domain, engine.id, order, {})
 
     def _practise(self, plan, knowledge, shape, models):
--- a/cowslipcourse/groups/knowledge.py
+++ b/cowslipcourse/groups/knowledge.py
@@ -1,6 +1,11 @@
 """What a coordinator knows of the engines of a fabric domain."""
 
-from cowslipcourse.ports import UNTOLD, GroupState, Membership, OrderName
+from cowslipcourse.ports import (
+    UNKNOWN_INCARNATION,
+    GroupMembership,
+    GroupState,
+    OrderOperation,
+)
 
 __all__ = ["ObservedDomain", "ObservedEngine"]
 
@@ -168,21 +173,27 @@
 
         :param order: :class:`~cowslipcourse.ports.EngineOrder`
         """
-        self.order_count = order.expected_count + 1
-        if order.name is OrderName.JOIN:
+        self.order_count = order.expected_order_count + 1
+        if order.operation is OrderOperation.JOIN:
             rank = order.members.index(self.id)
-            self.confirmed_membership = Membership(
+            self.confirmed_membership = GroupMembership(
                 order.group, order.epoch, rank, GroupState.JOINING, order.model
             )
             # Whether what it was loading stays on its host, its reports will tell.
             self.staging_model = None
-        elif order.name is OrderName.OPEN and self.confirmed_membership is not None:
+        elif (
+            order.operation is OrderOperation.OPEN
+            and self.confirmed_membership is not None
+        ):
             opened = self.confirmed_membership._replace(state=GroupState.OPEN)
             self.confirmed_membership = opened
-        elif order.name is OrderName.CLOSE and self.confirmed_membership is not None:
+        elif (
+            order.operation is OrderOperation.CLOSE
+            and self.confirmed_membership is not None
+        ):
             closing = self.confirmed_membership._replace(state=GroupState.CLOSING)
             self.confirmed_membership = closing
-        elif order.name is OrderName.LEAVE:
+        elif order.operation is OrderOperation.LEAVE:
             self.confirmed_membership = None
 
     @property
@@ -275,7 +286,7 @@
         known = self.engines.get(entry.id)
         if known is None or known.incarnation < entry.incarnation:
             self.engines[entry.id] = ObservedEngine(entry)
-        elif entry.incarnation in (UNTOLD, known.incarnation):
+        elif entry.incarnation in (UNKNOWN_INCARNATION, known.incarnation):
             known.update_from_entry(entry._replace(incarnation=known.incarnation))
 
     def update_from_report(self, engine_id, report, asked_at):
@@ -289,7 +300,7 @@
         if report.incarnation > known.incarnation:
             known = known.next_incarnation(report.incarnation)
             self.engines[engine_id] = known
-        if report.incarnation in (UNTOLD, known.incarnation):
+        if report.incarnation in (UNKNOWN_INCARNATION, known.incarnation):
             known.update_from_report(report, asked_at)
 
     def update_from_plan(self, plan, now, is_own=False):
