--- a/cowslipcourse/groups/__init__.py
+++ b/cowslipcourse/groups/__init__.py
@@ -20,7 +20,7 @@
     models_awaiting_members,
     spare_engines,
 )
-from cowslipcourse.groups.staging_model import choose_staging
+from cowslipcourse.groups.staging import choose_staging
 from cowslipcourse.groups.standby import choose_standby
 from cowslipcourse.groups.steps import Step, StepKind
 from cowslipcourse.groups.views import EngineView, ModelDemand
