--- a/cowslipcourse/emulator/callers.py
+++ b/cowslipcourse/emulator/callers.py
@@ -80,7 +80,7 @@
     async def start(self, status, headers):
         self.started = True
 
-    async def pass_on(self, content):
+    async def send_chunk(self, content):
         now = asyncio.get_running_loop().time()
         if self.first_at is None:
             self.first_at = now
--- a/cowslipcourse/emulator/connections.py
+++ b/cowslipcourse/emulator/connections.py
@@ -12,7 +12,7 @@
 from cowslipcourse.exchange import AnswerHead
 from cowslipcourse.platform.edge import MISDIRECTED, unexecuted_head
 
-__all__ = ["EmulatedAttempts", "Heads"]
+__all__ = ["EmulatedAttemptSender", "Heads"]
 
 LINK_S = 0.001
 """One way between a daemon and an engine."""
@@ -131,8 +131,8 @@
             raise self._error
 
 
-class EmulatedAttempts:
-    """Meets :class:`~cowslipcourse.entry.attempts.Attempts`.
+class EmulatedAttemptSender:
+    """Meets :class:`~cowslipcourse.entry.attempts.AttemptSender`.
 
     :param name: name of the daemon.
     :param fleet: :class:`~cowslipcourse.entry.fleet.FleetView` of the daemon.
@@ -146,9 +146,9 @@
 
     @asynccontextmanager
     async def open(self, call, run, last_event=None):
-        """See :class:`~cowslipcourse.entry.attempts.Attempts`."""
+        """See :class:`~cowslipcourse.entry.attempts.AttemptSender`."""
         entry = run.entry
-        self._fleet.started(entry.id)
+        self._fleet.request_started(entry.id)
         connection = None
         try:
             engine = self._heads.world.engines.get(entry.id)
@@ -162,7 +162,7 @@
             connection = run.connection = self._send(call, engine, last_event)
             yield Attempt(entry, connection, asyncio.get_running_loop().time())
         finally:
-            self._fleet.ended(entry.id)
+            self._fleet.request_ended(entry.id)
             if connection is not None and connection.request is not None:
                 run.ended_by_target = connection.ended_by_target
                 connection.request.is_cancelled = True
@@ -177,14 +177,14 @@
             return _EmulatedConnection(unexecuted_head(FULL))
         if call.size.ends_targets:
             self._heads.crashing.note_arrival(call.fingerprint, self._name)
-        spent_s = call.spent_s(asyncio.get_running_loop().time())
+        waited_s = call.waited_s(asyncio.get_running_loop().time())
         connection = _EmulatedConnection(AnswerHead(200, ()))
         passed = last_event or call.fields.last_event or 0
         connection.request = BatchedRequest(
             call.size.prompt_tokens + passed * call.size.event_tokens,
             passed + 1,
             call.size.events,
-            urgency(call.route, call.workspace, spent_s),
+            urgency(call.route, call.workspace, waited_s),
             connection.deliver,
             connection.break_off,
             self._crash(call, connection) if call.size.ends_targets else None,
--- a/cowslipcourse/emulator/daemons.py
+++ b/cowslipcourse/emulator/daemons.py
@@ -3,13 +3,13 @@
 import random
 
 from cowslipcourse.admission import SharedRetryBudget
-from cowslipcourse.emulator.connections import EmulatedAttempts
+from cowslipcourse.emulator.connections import EmulatedAttemptSender
 from cowslipcourse.entry.coordinator import Coordinator
 from cowslipcourse.entry.fleet import FleetView
 from cowslipcourse.entry.forwarding import Forwarder
 from cowslipcourse.entry.settings import EntrySettings
-from cowslipcourse.entry.silence import SilenceWatch
-from cowslipcourse.entry.tools import EntryTools
+from cowslipcourse.entry.silence import SilenceDetector
+from cowslipcourse.entry.tools import DaemonContext
 from cowslipcourse.quarantine import KeptVerdicts
 from cowslipcourse.quarantining import Quarantine, TargetEnds
 
@@ -74,25 +74,25 @@
         settings = _settings(name, data_centre)
         self.fleet = FleetView()
         self.coordinators = ()
-        self._silence = SilenceWatch(self.fleet, self._on_suspect)
-        tools = EntryTools(
+        self._silence = SilenceDetector(self.fleet, self._on_suspect)
+        context = DaemonContext(
             settings,
             self.fleet,
-            EmulatedAttempts(name, self.fleet, heads),
+            EmulatedAttemptSender(name, self.fleet, heads),
             SharedRetryBudget(settings.retries),
             self._silence,
             None,
             random.Random(seed),
         )
-        tools.table = table
+        context.table = table
         self.name = name
-        self._tools = tools
+        self._context = context
         self._network = network
         self._heads = heads
         self.forget()
-        self.forwarder = Forwarder(tools)
+        self.forwarder = Forwarder(context)
         self.coordinator = Coordinator(
-            tools,
+            context,
             heads.world,
             heads.world,
             settings.control,
@@ -105,10 +105,10 @@
         """Lose what it knows of requests that end engines, as in a new start."""
         heads = self._heads
         peers = self._network.peers(self.name)
-        ends = TargetEnds(self.fleet.expects, heads.refuses)
+        ends = TargetEnds(self.fleet.is_expected, heads.refuses)
         kept = KeptVerdicts(heads.world, heads.now)
-        self._tools.quarantine = Quarantine(peers, ends, kept)
-        self._network.attach(self.name, self._tools.quarantine)
+        self._context.quarantine = Quarantine(peers, ends, kept)
+        self._network.attach(self.name, self._context.quarantine)
 
     def coroutines(self):
         """Return the coroutines that keep it going."""
--- a/cowslipcourse/emulator/policies.py
+++ b/cowslipcourse/emulator/policies.py
@@ -56,7 +56,7 @@
 
 def _without_silence():
     """Wait for the engine's own word that a stream has failed."""
-    return _replaced(silence.SilenceWatch, "look", lambda self, now: None)
+    return _replaced(silence.SilenceDetector, "check", lambda self, now: None)
 
 
 def _without_urgency():
--- a/cowslipcourse/emulator/site.py
+++ b/cowslipcourse/emulator/site.py
@@ -182,7 +182,7 @@
                     if other != own:
                         for target, number in in_flight.items():
                             total[target] = total.get(target, 0) + number
-                daemon.fleet.note_peers(total)
+                daemon.fleet.set_peers_in_flight(total)
 
     async def _list(self):
         """Bring all daemons the list as it was a moment ago."""
--- a/cowslipcourse/entry/accounting.py
+++ b/cowslipcourse/entry/accounting.py
@@ -3,7 +3,14 @@
 from enum import StrEnum
 from typing import NamedTuple
 
-__all__ = ["SERVED", "LossCause", "Placement", "StreamTimes", "late_cause", "shortage"]
+__all__ = [
+    "SERVED",
+    "LossCause",
+    "StreamTimes",
+    "TargetChoice",
+    "late_cause",
+    "no_target_cause",
+]
 
 SERVED = "served"
 """Stands for a request that was answered on time, where others have a cause."""
@@ -27,7 +34,7 @@
     LATE_PAUSE = "late-pause"
 
 
-class Placement(NamedTuple):
+class TargetChoice(NamedTuple):
     """The target that was chosen for a request, or why there is none.
 
     :param entry: :class:`~cowslipcourse.ports.TargetEntry` or ``None``.
@@ -41,22 +48,22 @@
 class StreamTimes(NamedTuple):
     """How a stream went, in seconds.
 
-    :param place_s: time for which it waited for a place.
+    :param slot_wait_s: time for which it waited for a place.
     :param first_s: time from its arrival to its first event.
     :param pause_s: longest pause between two events.
     :param attempts: targets that it was sent to.
     """
 
-    place_s: float
+    slot_wait_s: float
     first_s: float
     pause_s: float
     attempts: int
 
 
-def shortage(places, tried):
+def no_target_cause(places, tried):
     """Return the :class:`LossCause` of a request for which no place was found.
 
-    :param places: list of :class:`~cowslipcourse.entry.fleet.Place` that serve it.
+    :param places: list of :class:`~cowslipcourse.entry.fleet.Candidate` that serve it.
     :param tried: ids of targets that it was sent to already.
     """
     if not places:
@@ -73,7 +80,7 @@
     :param times: :class:`StreamTimes`
     """
     if times.first_s > route.objective_s:
-        if times.place_s > route.objective_s * LONG_WAIT_SHARE:
+        if times.slot_wait_s > route.objective_s * LONG_WAIT_SHARE:
             return LossCause.LATE_PLACE
         return LossCause.LATE_RETRY if times.attempts > 1 else LossCause.LATE_FIRST
     if route.pause_limit_s and times.pause_s > route.pause_limit_s:
--- a/cowslipcourse/entry/attempts.py
+++ b/cowslipcourse/entry/attempts.py
@@ -9,7 +9,7 @@
 from cowslipcourse.exchange import ConnectionPool, TargetRequest
 from cowslipcourse.platform.edge import attempt_header, target_headers
 
-__all__ = ["Attempt", "Attempts", "TargetRun"]
+__all__ = ["Attempt", "AttemptSender", "TargetRun"]
 
 CONNECT_TIMEOUT_S = 0.4
 """A sound target accepts within some ms; a dropped packet costs a second or more."""
@@ -38,24 +38,24 @@
         self.entry = entry
         self.connection = None
         """:class:`~cowslipcourse.exchange.TargetConnection` that it was sent on."""
-        self.has_begun = False
+        self.answer_started = False
         """Whether the head of an answer has come."""
-        self.events = 0
+        self.relayed_events = 0
         """Events of a stream that were passed on."""
-        self.reached = 0
+        self.last_event = 0
         """Number of the last event that the caller has; 0 for none."""
         self.ended_by_target = False
         """Whether the target closed or reset the connection under it."""
         self.succeeded = False
         """Whether the target has answered whole, and with success."""
 
-    def stop(self, error):
+    def abort(self, error):
         """Break it off; whoever reads the answer gets the error."""
         if self.connection is not None:
             self.connection.abort(error)
 
 
-class Attempts:
+class AttemptSender:
     """Makes attempts and counts them in flight.
 
     :param fleet: :class:`~cowslipcourse.entry.fleet.FleetView`
@@ -78,20 +78,20 @@
         entry = run.entry
         fresh = not call.route.may_repeat
         key = _connection_key(entry)
-        self._fleet.started(entry.id)
+        self._fleet.request_started(entry.id)
         connection = None
         try:
             connection = await self._pool.acquire(key, entry.address, fresh)
             left_s = call.deadline - loop.time()
             if left_s <= 0:
                 raise TargetUnreachable("no time is left", sent=False)
-            spent_s = call.spent_s(loop.time())
-            request = _target_request(call, entry, left_s, spent_s, last_event)
+            waited_s = call.waited_s(loop.time())
+            request = _target_request(call, entry, left_s, waited_s, last_event)
             connection.send(request)
             run.connection = connection
             yield Attempt(entry, connection, loop.time())
         finally:
-            self._fleet.ended(entry.id)
+            self._fleet.request_ended(entry.id)
             if connection is not None:
                 run.ended_by_target = connection.ended_by_target
                 self._pool.release(key, connection)
@@ -107,8 +107,8 @@
     return entry.id, entry.incarnation, entry.address
 
 
-def _target_request(call, entry, left_s, spent_s, last_event):
-    level = urgency(call.route, call.workspace, spent_s)
+def _target_request(call, entry, left_s, waited_s, last_event):
+    level = urgency(call.route, call.workspace, waited_s)
     headers = target_headers(
         call.headers, entry, left_s, level, call.workspace_name, last_event
     )
--- a/cowslipcourse/entry/balancing.py
+++ b/cowslipcourse/entry/balancing.py
@@ -28,13 +28,13 @@
 class Balancing:
     """Looks at the groups of all domains, and chooses for those of this daemon.
 
-    :param tools: :class:`~cowslipcourse.entry.tools.EntryTools`
+    :param context: :class:`~cowslipcourse.entry.tools.DaemonContext`
     :param domains: :class:`~cowslipcourse.entry.domains.Domains`
     :param table: :class:`~cowslipcourse.entry.plan_table.PlanTable`
     """
 
-    def __init__(self, tools, domains, table):
-        self._tools = tools
+    def __init__(self, context, domains, table):
+        self._context = context
         self._domains = domains
         self._table = table
         self._looked_at = float("-inf")
@@ -125,9 +125,11 @@
 
     def _serving(self, spec, now):
         """Return the number of groups that serve, by model, in this daemon's view."""
-        fleet = self._tools.fleet
+        fleet = self._context.fleet
         return {
-            model.name: len(fleet.group_places(spec.name, model.name, spec.slots, now))
+            model.name: len(
+                fleet.group_candidates(spec.name, model.name, spec.slots, now)
+            )
             for model in spec.models
         }
 
--- a/cowslipcourse/entry/calls.py
+++ b/cowslipcourse/entry/calls.py
@@ -34,7 +34,7 @@
     :param workspace: :class:`~cowslipcourse.routes.Workspace` or ``None``.
     :param arrived_at: loop time at which the head was there.
     :param deadline: loop time at which the caller or the operator gives up.
-    :param elsewhere_s: seconds that the caller has waited before it came here.
+    :param waited_elsewhere_s: seconds that the caller has waited before it came here.
     """
 
     id: str
@@ -48,11 +48,11 @@
     workspace: object
     arrived_at: float
     deadline: float
-    elsewhere_s: float = 0.0
+    waited_elsewhere_s: float = 0.0
 
-    def spent_s(self, now):
+    def waited_s(self, now):
         """Return the seconds that the caller has waited at a loop time."""
-        return self.elsewhere_s + now - self.arrived_at
+        return self.waited_elsewhere_s + now - self.arrived_at
 
     @property
     def workspace_name(self):
@@ -138,7 +138,7 @@
             {"type": "http.response.start", "status": status, "headers": headers}
         )
 
-    async def pass_on(self, body):
+    async def send_chunk(self, body):
         """Send a piece of the body."""
         await self._send(
             {"type": "http.response.body", "body": body, "more_body": True}
--- a/cowslipcourse/entry/census.py
+++ b/cowslipcourse/entry/census.py
@@ -44,7 +44,7 @@
         groups = {}
         for spec in table.services.values():
             for model in spec.models:
-                places = fleet.group_places(spec.name, model.name, spec.slots, now)
+                places = fleet.group_candidates(spec.name, model.name, spec.slots, now)
                 groups[model.name] = len(places)
         engines = Counter(
             _place_of(entry) for entry in fleet.entries.values() if entry.domain
--- a/cowslipcourse/entry/coordinator.py
+++ b/cowslipcourse/entry/coordinator.py
@@ -13,7 +13,7 @@
 from cowslipcourse.adapters.log import get_logger
 from cowslipcourse.entry.balancing import Balancing
 from cowslipcourse.entry.domains import Domains
-from cowslipcourse.entry.engine_calls import EngineCalls
+from cowslipcourse.entry.engine_calls import EngineClient
 from cowslipcourse.entry.own_links import OwnLinks
 from cowslipcourse.entry.pauses import ticks
 from cowslipcourse.entry.plan_table import PlanTable
@@ -52,7 +52,7 @@
 class Coordinator:
     """Keeps the groups of its domains as they should be.
 
-    :param tools: :class:`~cowslipcourse.entry.tools.EntryTools`
+    :param context: :class:`~cowslipcourse.entry.tools.DaemonContext`
     :param store: :class:`~cowslipcourse.ports.RowStore`
     :param control: :class:`~cowslipcourse.ports.EngineControl`
     :param settings: :class:`~cowslipcourse.entry.settings.ControlSettings`
@@ -60,10 +60,10 @@
     :param tell: called with :class:`~cowslipcourse.peers.GroupNews` for all daemons.
     """
 
-    def __init__(self, tools, store, control, settings, scope, tell):
-        self.domains = Domains(tools)
-        self._tools = tools
-        self._calls = EngineCalls(
+    def __init__(self, context, store, control, settings, scope, tell):
+        self.domains = Domains(context)
+        self._context = context
+        self._calls = EngineClient(
             control,
             settings,
             self.domains.see_report,
@@ -75,7 +75,7 @@
         self._scope = scope
         self._tell = tell
         self._table = PlanTable(store, self.domains.see_plan)
-        self._balancing = Balancing(tools, self.domains, self._table)
+        self._balancing = Balancing(context, self.domains, self._table)
         self._load_limit = LoadLimit()
         self._investigated = {}
         self._tended = frozenset()
@@ -133,7 +133,7 @@
         tended = frozenset(
             name
             for name, domain in self.domains.by_name.items()
-            if self._tools.table is not None and self._scope.tends(domain.data_centre)
+            if self._context.table is not None and self._scope.tends(domain.data_centre)
         )
         if bool(tended) != bool(self._tended):
             log.info("coordinating" if tended else "not-coordinating")
@@ -198,7 +198,7 @@
 
     def _spec(self, knowledge):
         for engine in knowledge.engines.values():
-            spec = self._tools.table.services.get(engine.entry.service)
+            spec = self._context.table.services.get(engine.entry.service)
             if spec is not None and spec.models:
                 return spec
         return None
@@ -229,7 +229,7 @@
 
     def _note_opened(self, engine, order):
         """Tell which head begins to serve; the list says so up to a second later."""
-        spec = self._tools.table.services.get(engine.entry.service)
+        spec = self._context.table.services.get(engine.entry.service)
         plan = self._table.plans.get(engine.entry.domain)
         group = plan and plan.group_of(engine.id, engine.incarnation)
         if spec is None or not group or group.epoch != order.epoch:
@@ -248,7 +248,7 @@
     def _spawn_ask(self, domain, engine_id):
         engine = self.domains.engine(domain, engine_id)
         if engine is not None:
-            self._calls.ask(engine)
+            self._calls.request_report(engine)
 
     def _look_at_links(self):
         self._links.look(self._tended, asyncio.get_running_loop().time())
@@ -257,7 +257,7 @@
         engine = self.domains.engine(domain, engine_id)
         now = asyncio.get_running_loop().time()
         if engine is not None and self._table.is_confirmed(now):
-            self._calls.order(engine, order, models)
+            self._calls.send_order(engine, order, models)
 
     def _stage(self, plan, knowledge, spec, shape, now):
         free = spares_of(plan, knowledge)
--- a/cowslipcourse/entry/daemon.py
+++ b/cowslipcourse/entry/daemon.py
@@ -9,7 +9,7 @@
 from cowslipcourse.adapters.log import get_logger
 from cowslipcourse.adapters.web import WebServer
 from cowslipcourse.admission import SMALLEST_SITE, SharedRetryBudget
-from cowslipcourse.entry.attempts import Attempts
+from cowslipcourse.entry.attempts import AttemptSender
 from cowslipcourse.entry.census import CensusWatch
 from cowslipcourse.entry.coordinator import Coordinator
 from cowslipcourse.entry.fleet import FleetView
@@ -22,8 +22,8 @@
 from cowslipcourse.entry.reloading import SettingsWatch
 from cowslipcourse.entry.roles import Roles
 from cowslipcourse.entry.side_apps import metrics_app, peer_app
-from cowslipcourse.entry.silence import SilenceWatch
-from cowslipcourse.entry.tools import EntryTools
+from cowslipcourse.entry.silence import SilenceDetector
+from cowslipcourse.entry.tools import DaemonContext
 from cowslipcourse.peers import Heartbeat, Member, PeerRegistry
 from cowslipcourse.platform import (
     HttpEngineControl,
@@ -75,26 +75,26 @@
         logging.getLogger().addHandler(self._metrics.event_counter())
         self._store = HttpRowStore(settings.store)
         self._control = HttpEngineControl(settings.control)
-        attempts = Attempts(self._fleet)
+        attempts = AttemptSender(self._fleet)
         budget = SharedRetryBudget(settings.retries)
-        silence = SilenceWatch(self._fleet, self._on_suspect)
+        silence = SilenceDetector(self._fleet, self._on_suspect)
         self._registry = PeerRegistry(settings.peers, settings.data_centre)
-        self._fleet.note_peers(self._registry.in_flight)
+        self._fleet.set_peers_in_flight(self._registry.in_flight)
         self._link = PeerLink(settings, self._registry, self)
-        ends = TargetEnds(self._fleet.expects)
+        ends = TargetEnds(self._fleet.is_expected)
         kept = KeptVerdicts(self._store, time.time)
         self.quarantine = Quarantine(self._link, ends, kept)
-        self._tools = EntryTools(
+        self._context = DaemonContext(
             settings, self._fleet, attempts, budget, silence, self.quarantine, rng
         )
-        self._front = FrontApp(self._tools, Forwarder(self._tools), self._metrics)
+        self._front = FrontApp(self._context, Forwarder(self._context), self._metrics)
         self._registering = Registering(settings, self._store, self._learn, rng)
         self.knowledge = Knowledge(settings, self._store, self._registry, rng, self)
         self._roles = Roles(
             settings, self._registry, self._registering, self.knowledge, self
         )
         self._coordinator = Coordinator(
-            self._tools,
+            self._context,
             self._store,
             self._control,
             settings.control,
@@ -123,7 +123,7 @@
         for coroutine in (
             self._link.run(),
             *self.knowledge.coroutines(),
-            self._tools.silence.run(),
+            self._context.silence_detector.run(),
             self.quarantine.run(),
             self._coordinator.run(),
             self._registering.run(),
@@ -165,7 +165,7 @@
     def _take_settings(self, settings):
         """Put changed settings in force."""
         self._settings = settings
-        self._tools.budget.settings = settings.retries
+        self._context.retry_budget.settings = settings.retries
         self._coordinator.settings = settings.control
         self._control.settings = settings.control
 
@@ -178,7 +178,7 @@
 
     def take_configuration(self, table):
         """Put a newer configuration in force."""
-        self._tools.table = table
+        self._context.table = table
         self._is_ready = not self._front.is_draining
         log.info("configuration", version=table.version, routes=len(table))
         # Which entries name engines follows from the services.
@@ -237,7 +237,7 @@
 
     def _count_daemons(self, now):
         known = self._registry.number_known(now) + 1
-        self._tools.budget.daemons = max(known, SMALLEST_SITE)
+        self._context.retry_budget.daemons = max(known, SMALLEST_SITE)
 
     def take_news(self, news):
         """Take in what a coordinator has decided about a group."""
@@ -264,7 +264,7 @@
         found = [member.front_address for member in ready]
         if self._is_ready:
             found.append(self._settings.listen.front)
-        self._tools.rng.shuffle(found)
+        self._context.rng.shuffle(found)
         return found
 
     def _learn(self, registrations):
@@ -280,10 +280,10 @@
         while True:
             await asyncio.sleep(SWEEP_S)
             self._count_daemons(asyncio.get_running_loop().time())
-            self._tools.attempts.sweep()
+            self._context.attempt_sender.sweep()
             self._metrics.state("in_flight", self._front.in_flight)
             self._metrics.state("quarantined", self.quarantine.size)
-            self._metrics.fleet(census.look(self._tools.table, self._fleet))
+            self._metrics.fleet(census.look(self._context.table, self._fleet))
             self._look_at_era()
 
     def _look_at_era(self):
--- a/cowslipcourse/entry/domains.py
+++ b/cowslipcourse/entry/domains.py
@@ -18,11 +18,11 @@
 class Domains:
     """What is known of engines, by domain.
 
-    :param tools: :class:`~cowslipcourse.entry.tools.EntryTools`
+    :param context: :class:`~cowslipcourse.entry.tools.DaemonContext`
     """
 
-    def __init__(self, tools):
-        self._tools = tools
+    def __init__(self, context):
+        self._context = context
         self._domain_of = {}
         self._grown_at = {}
         self._first_heard_at = {}
@@ -102,7 +102,7 @@
 
     def _is_engine(self, entry):
         """Whether an entry names an engine: its service is one that serves models."""
-        table = self._tools.table
+        table = self._context.table
         spec = None if table is None else table.services.get(entry.service)
         return bool(entry.domain) and spec is not None and bool(spec.models)
 
--- a/cowslipcourse/entry/engine_calls.py
+++ b/cowslipcourse/entry/engine_calls.py
@@ -8,14 +8,14 @@
 from cowslipcourse.groups.views import SLOW_PACE
 from cowslipcourse.ports import OrderAnswer, OrderName
 
-__all__ = ["EngineCalls"]
+__all__ = ["EngineClient"]
 
 QUESTIONS = 2
 """Questions without an answer after which an engine counts as silent: packets are lost,
 and a group is taken apart for it."""
 MOST_QUESTIONS = 6
 """Questions to one engine at most, where own delays say nothing about it."""
-MOST_AT_ONCE = 24
+MAX_CONCURRENT_REPORTS = 24
 """Questions under way at once; orders wait for none of them. A call costs a small VM
 some 5 ms of its processor time, and an answer that is read after 0.15 s counts as none:
 a coordinator that asked hundreds of engines at once called 7,855 sound ones silent in
@@ -27,7 +27,7 @@
 log = get_logger(__name__)
 
 
-class EngineCalls:
+class EngineClient:
     """Calls engines, one call at a time for each life, and notes what they answer.
 
     What an engine answers is noted for the life that was called. If it has started
@@ -49,7 +49,7 @@
         self._busy = set()
         self._tasks = set()
         self._heard_at = float("-inf")
-        self._places = asyncio.Semaphore(MOST_AT_ONCE)
+        self._places = asyncio.Semaphore(MAX_CONCURRENT_REPORTS)
 
     @property
     def heard_at(self):
@@ -60,15 +60,15 @@
         """Whether a call to an engine is under way."""
         return _life(engine) in self._busy
 
-    def ask(self, engine):
+    def request_report(self, engine):
         """Ask for a report unless a call is under way.
 
         :param engine: :class:`~cowslipcourse.groups.EngineKnowledge`
         """
         if not self.is_busy(engine):
-            self._spawn(engine, self._ask(engine))
+            self._spawn(engine, self._request_report(engine))
 
-    def order(self, engine, order, models):
+    def send_order(self, engine, order, models):
         """Give an order unless a call is under way.
 
         :param engine: :class:`~cowslipcourse.groups.EngineKnowledge`
@@ -76,7 +76,7 @@
         :param models: :class:`~cowslipcourse.routes.EngineModel` by name.
         """
         if not self.is_busy(engine):
-            self._spawn(engine, self._order(engine, order, models))
+            self._spawn(engine, self._send_order(engine, order, models))
 
     def _spawn(self, engine, coroutine):
         self._busy.add(_life(engine))
@@ -90,7 +90,7 @@
         if not task.cancelled() and task.exception() is not None:
             log.warning("call-failed", engine=engine.id, why=repr(task.exception()))
 
-    async def _ask(self, engine):
+    async def _request_report(self, engine):
         loop = asyncio.get_running_loop()
         first_asked_at, unanswered = None, 0
         for _ in range(MOST_QUESTIONS):
@@ -124,7 +124,7 @@
             log.info("engine-slow", engine=engine.id, pace=report.pace)
         self._on_report(engine, report, asked_at)
 
-    async def _order(self, engine, order, models):
+    async def _send_order(self, engine, order, models):
         sent_at = asyncio.get_running_loop().time()
         try:
             answer = await self._control.order(engine.entry, order)
--- a/cowslipcourse/entry/fleet.py
+++ b/cowslipcourse/entry/fleet.py
@@ -4,7 +4,7 @@
 
 from cowslipcourse.entry.heads import GroupHeads
 
-__all__ = ["FleetView", "Place"]
+__all__ = ["Candidate", "FleetView"]
 
 FIRST_SUSPECT_S = 1.0
 """A repair takes 2.5 s and changes the group, which ends a suspicion before that."""
@@ -19,7 +19,7 @@
     length_s: float
 
 
-class Place(NamedTuple):
+class Candidate(NamedTuple):
     """A target that can take a request now.
 
     :param entry: :class:`~cowslipcourse.ports.TargetEntry`
@@ -57,7 +57,7 @@
         """This daemon's requests in flight by target id."""
         return self._in_flight
 
-    def expects(self, entry):
+    def is_expected(self, entry):
         """Whether a target is listed in this life and is not about to leave."""
         listed = self._entries.get(entry.id)
         return (
@@ -85,11 +85,11 @@
         """
         self._heads.take_news(news, self._entries.values(), now)
 
-    def started(self, target):
+    def request_started(self, target):
         """Count a request that was sent to a target."""
         self._in_flight[target] = self._in_flight.get(target, 0) + 1
 
-    def ended(self, target):
+    def request_ended(self, target):
         """Count a request that is over."""
         left = self._in_flight[target] - 1
         if left:
@@ -97,7 +97,7 @@
         else:
             del self._in_flight[target]
 
-    def note_peers(self, in_flight):
+    def set_peers_in_flight(self, in_flight):
         """Take the other daemons' requests in flight by target id."""
         self._peers_in_flight = in_flight
 
@@ -136,10 +136,10 @@
         """Return the requests that all daemons have at a target."""
         return self._in_flight.get(target, 0) + self._peers_in_flight.get(target, 0)
 
-    def service_places(self, service, now):
-        """Return the :class:`Place` list of a plain service."""
+    def service_candidates(self, service, now):
+        """Return the :class:`Candidate` list of a plain service."""
         places = [
-            Place(entry, self.load(entry.id), entry.slots)
+            Candidate(entry, self.load(entry.id), entry.slots)
             for entry in self._entries.values()
             if entry.service == service and not entry.is_leaving
         ]
@@ -150,10 +150,10 @@
         suspects = self.suspects(now)
         return [p for p in places if p.entry.id not in suspects] or places
 
-    def group_places(self, service, model, slots, now):
-        """Return the :class:`Place` list of a model: heads of its open groups."""
+    def group_candidates(self, service, model, slots, now):
+        """Return the :class:`Candidate` list of a model: heads of its open groups."""
         places = [
-            Place(entry, self.load(entry.id), slots)
+            Candidate(entry, self.load(entry.id), slots)
             for entry in self._heads.serving(service, model, now)
         ]
         return self._trusted(places, now)
--- a/cowslipcourse/entry/forwarding.py
+++ b/cowslipcourse/entry/forwarding.py
@@ -3,8 +3,8 @@
 import asyncio
 
 from cowslipcourse.adapters.log import get_logger
-from cowslipcourse.entry.patience import CallerPatience
-from cowslipcourse.entry.plain import PlainForwarder
+from cowslipcourse.entry.patience import PriorWaitEstimator
+from cowslipcourse.entry.plain import UnaryForwarder
 from cowslipcourse.entry.streaming import StreamForwarder
 from cowslipcourse.exceptions import DeadlineWhileRunning
 from cowslipcourse.routes import RequestKind
@@ -17,14 +17,14 @@
 class Forwarder:
     """Brings calls to targets and their answers back, within their deadline.
 
-    :param tools: :class:`~cowslipcourse.entry.tools.EntryTools`
+    :param context: :class:`~cowslipcourse.entry.tools.DaemonContext`
     """
 
-    def __init__(self, tools):
-        self._tools = tools
-        self._plain = PlainForwarder(tools)
-        self._streams = StreamForwarder(tools)
-        self._patience = CallerPatience()
+    def __init__(self, context):
+        self._context = context
+        self._plain = UnaryForwarder(context)
+        self._streams = StreamForwarder(context)
+        self._prior_waits = PriorWaitEstimator()
 
     async def forward(self, call, responder):
         """Bring a call to a target and its answer to the caller.
@@ -34,21 +34,21 @@
         :raises RequestError: the answer that the caller is to get instead.
         """
         loop = asyncio.get_running_loop()
-        elsewhere_s = self._patience.note(call.route, call.fields.budget_s)
-        call = call._replace(elsewhere_s=elsewhere_s)
-        service = self._tools.choose_service(call.route)
-        self._tools.budget.request(service, loop.time())
+        waited_elsewhere_s = self._prior_waits.observe(call.route, call.fields.budget_s)
+        call = call._replace(waited_elsewhere_s=waited_elsewhere_s)
+        service = self._context.choose_service(call.route)
+        self._context.retry_budget.request(service, loop.time())
         is_stream = call.route.kind is RequestKind.STREAMING
         forwarder = self._streams if is_stream else self._plain
         try:
             async with asyncio.timeout_at(call.deadline):
                 # Repeats of a request that ends its targets come at any daemon. When
                 # each was sent to two targets, 17 and 23 ended under two requests.
-                await self._tools.quarantine.admit(call)
+                await self._context.quarantine.admit(call)
                 await forwarder.forward(call, service, responder)
         except TimeoutError as error:
             waited_s = round(loop.time() - call.arrived_at, 3)
             log.info("deadline", request=call.id, seconds=waited_s)
             raise DeadlineWhileRunning("no answer in time") from error
         finally:
-            self._tools.quarantine.note_over(call)
+            self._context.quarantine.note_over(call)
--- a/cowslipcourse/entry/front.py
+++ b/cowslipcourse/entry/front.py
@@ -31,13 +31,13 @@
 class FrontApp:
     """Serves callers.
 
-    :param tools: :class:`~cowslipcourse.entry.tools.EntryTools`
+    :param context: :class:`~cowslipcourse.entry.tools.DaemonContext`
     :param forwarder: :class:`~cowslipcourse.entry.forwarding.Forwarder`
     :param metrics: :class:`~cowslipcourse.entry.metrics.EntryMetrics`
     """
 
-    def __init__(self, tools, forwarder, metrics):
-        self._tools = tools
+    def __init__(self, context, forwarder, metrics):
+        self._context = context
         self._forwarder = forwarder
         self._metrics = metrics
         self._durations = RequestDurations()
@@ -81,7 +81,7 @@
             self._metrics.account(ended.route, ended.model, ended.cause)
 
     async def _serve(self, scope, receive, responder, ended):
-        call = await read_call(scope, receive, self._tools.table)
+        call = await read_call(scope, receive, self._context.table)
         ended.route, ended.model = call.route.name, call.fields.model
         self._check_time_left(call)
         forwarding = asyncio.create_task(self._forwarder.forward(call, responder))
--- a/cowslipcourse/entry/outcomes.py
+++ b/cowslipcourse/entry/outcomes.py
@@ -10,7 +10,7 @@
     TargetUnreachable,
 )
 
-__all__ = ["NOT_RUN_STATUSES", "failure", "may_have_run", "may_try_again"]
+__all__ = ["NOT_RUN_STATUSES", "final_error", "may_have_run", "may_retry"]
 
 NOT_RUN_STATUSES = (408, 421, 429, 503)
 """Callers read these as proof that a request has not run and never will."""
@@ -31,7 +31,7 @@
     return isinstance(error, AnswerBroken | MalformedAnswer | TargetSilent)
 
 
-def may_try_again(route, runs, error):
+def may_retry(route, runs, error):
     """Whether a request may be sent to another target.
 
     :param route: :class:`~cowslipcourse.routes.Route`
@@ -43,7 +43,7 @@
     return route.may_repeat and runs < route.max_attempts
 
 
-def failure(runs, cause=""):
+def final_error(runs, cause=""):
     """Return the error that the caller gets if there are no attempts left.
 
     :param runs: attempts in which the request may have run.
--- a/cowslipcourse/entry/own_links.py
+++ b/cowslipcourse/entry/own_links.py
@@ -24,7 +24,7 @@
     """Doubts this daemon's own links if too many engines seem silent at once.
 
     :param domains: :class:`~cowslipcourse.entry.domains.Domains`
-    :param calls: :class:`~cowslipcourse.entry.engine_calls.EngineCalls`
+    :param calls: :class:`~cowslipcourse.entry.engine_calls.EngineClient`
     """
 
     def __init__(self, domains, calls):
@@ -57,7 +57,7 @@
         if self._calls.heard_at >= self._compared_at:
             self._compared_at = now
             for engine in self._others(tended):
-                self._calls.ask(engine)
+                self._calls.request_report(engine)
         elif now - self._compared_at >= ANSWER_S:
             log.warning("engines-unreachable", silent=len(silent), listed=len(listed))
             self._unfit_until = now + UNFIT_S
--- a/cowslipcourse/entry/patience.py
+++ b/cowslipcourse/entry/patience.py
@@ -2,11 +2,11 @@
 
 from collections import deque
 
-__all__ = ["CallerPatience"]
+__all__ = ["PriorWaitEstimator"]
 
 PATIENCE_SPREAD = 0.15
 """Part of a route's time by which callers may differ in how long they wait."""
-KEPT_BUDGETS = 64
+MAX_BUDGETS_PER_ROUTE = 64
 """Requests of a route from which it is told whether its callers differ."""
 KEPT_ROUTES = 1000
 """Routes of which budgets are kept: configurations come with new ones all the time."""
@@ -19,7 +19,7 @@
 outage most requests come again, with less time left."""
 
 
-class CallerPatience:
+class PriorWaitEstimator:
     """The budgets that callers of each route say, and what a short one means.
 
     A caller that comes again says how long it will still wait, so what it has waited
@@ -34,7 +34,7 @@
         """Return the number of routes of which budgets are kept."""
         return len(self._budgets)
 
-    def note(self, route, budget_s):
+    def observe(self, route, budget_s):
         """Note a request; return the seconds that its caller has waited elsewhere.
 
         :param route: :class:`~cowslipcourse.routes.Route`
@@ -51,7 +51,7 @@
         if route.name not in self._budgets:
             while len(self._budgets) >= KEPT_ROUTES:
                 del self._budgets[next(iter(self._budgets))]
-            self._budgets[route.name] = deque(maxlen=KEPT_BUDGETS)
+            self._budgets[route.name] = deque(maxlen=MAX_BUDGETS_PER_ROUTE)
         return self._budgets[route.name]
 
 
--- a/cowslipcourse/entry/placing.py
+++ b/cowslipcourse/entry/placing.py
@@ -3,11 +3,11 @@
 import asyncio
 
 from cowslipcourse.adapters.log import get_logger
-from cowslipcourse.entry.accounting import Placement, shortage
+from cowslipcourse.entry.accounting import TargetChoice, no_target_cause
 from cowslipcourse.entry.choosing import choose_group
-from cowslipcourse.entry.urgency import can_be_on_time
+from cowslipcourse.entry.urgency import can_meet_objective
 
-__all__ = ["StreamPlacing"]
+__all__ = ["StreamTargetChooser"]
 
 LOOK_AGAIN_S = 0.02
 """Interval at which a request that waits for a place looks again."""
@@ -17,17 +17,17 @@
 log = get_logger(__name__)
 
 
-class StreamPlacing:
+class StreamTargetChooser:
     """Chooses targets of streams.
 
-    :param tools: :class:`~cowslipcourse.entry.tools.EntryTools`
+    :param context: :class:`~cowslipcourse.entry.tools.DaemonContext`
     """
 
-    def __init__(self, tools):
-        self._tools = tools
+    def __init__(self, context):
+        self._context = context
 
     async def place(self, progress, service, tried):
-        """Return the :class:`~cowslipcourse.entry.accounting.Placement` of a stream.
+        """Return the :class:`~cowslipcourse.entry.accounting.TargetChoice` of a stream.
 
         :param progress: how far the stream has come.
         :param service: name of the service.
@@ -41,28 +41,28 @@
             places = self._places(call, service, now)
             place = self._choose(progress, places, tried, now)
             if place is not None:
-                progress.place_s += now - began_at
-                return Placement(place.entry)
+                progress.slot_wait_s += now - began_at
+                return TargetChoice(place.entry)
             if now >= give_up_at:
-                cause = shortage(places, tried)
+                cause = no_target_cause(places, tried)
                 _note_no_place(call, cause, places, tried)
-                return Placement(None, cause)
+                return TargetChoice(None, cause)
             await asyncio.sleep(LOOK_AGAIN_S)
 
     def _places(self, call, service, now):
-        spec = self._tools.service_spec(service)
+        spec = self._context.service_spec(service)
         if spec.models:
             model = call.fields.model
-            return self._tools.fleet.group_places(service, model, spec.slots, now)
-        return self._tools.fleet.service_places(service, now)
+            return self._context.fleet.group_candidates(service, model, spec.slots, now)
+        return self._context.fleet.service_candidates(service, now)
 
     def _choose(self, progress, places, tried, now):
         """Return a place with room; a stream that has begun goes on at once."""
         call = progress.call
         is_late = not (
-            progress.has_begun or can_be_on_time(call.route, call.spent_s(now))
+            progress.has_begun or can_meet_objective(call.route, call.waited_s(now))
         )
-        return choose_group(places, tried, self._tools.rng, is_late=is_late)
+        return choose_group(places, tried, self._context.rng, is_late=is_late)
 
 
 def _note_no_place(call, cause, places, tried):
--- a/cowslipcourse/entry/plain.py
+++ b/cowslipcourse/entry/plain.py
@@ -3,28 +3,28 @@
 import asyncio
 
 from cowslipcourse.adapters.log import get_logger
-from cowslipcourse.entry.accounting import Placement, shortage
+from cowslipcourse.entry.accounting import TargetChoice, no_target_cause
 from cowslipcourse.entry.choosing import choose_target
 from cowslipcourse.entry.outcomes import NOT_RUN_STATUSES
 from cowslipcourse.entry.retrying import try_targets
 from cowslipcourse.exceptions import AnswerBroken, TargetError, TargetRefused
 from cowslipcourse.platform.edge import answer_headers, failed_unexecuted
 
-__all__ = ["PlainForwarder"]
+__all__ = ["UnaryForwarder"]
 
 FAILURE_STATUS = 300
 
 log = get_logger(__name__)
 
 
-class PlainForwarder:
+class UnaryForwarder:
     """Forwards to plain services.
 
-    :param tools: :class:`~cowslipcourse.entry.tools.EntryTools`
+    :param context: :class:`~cowslipcourse.entry.tools.DaemonContext`
     """
 
-    def __init__(self, tools):
-        self._tools = tools
+    def __init__(self, context):
+        self._context = context
 
     async def forward(self, call, service, responder):
         """Bring a call to a target; see :class:`~cowslipcourse.entry.Forwarder`."""
@@ -39,21 +39,25 @@
             await responder.finish(body)
 
         head = None
-        entry, attempts = await try_targets(self._tools, call, service, choose, attempt)
+        entry, attempts = await try_targets(
+            self._context, call, service, choose, attempt
+        )
         _note_done(call, entry, head, attempts)
 
     def _target(self, service, tried):
         now = asyncio.get_running_loop().time()
-        places = self._tools.fleet.service_places(service, now)
-        place = choose_target(places, tried, self._tools.data_centre, self._tools.rng)
+        places = self._context.fleet.service_candidates(service, now)
+        place = choose_target(
+            places, tried, self._context.data_centre, self._context.rng
+        )
         if place is None:
-            return Placement(None, shortage(places, tried))
-        return Placement(place.entry)
+            return TargetChoice(None, no_target_cause(places, tried))
+        return TargetChoice(place.entry)
 
     async def _attempt(self, call, run, is_last):
-        async with self._tools.attempts.open(call, run) as attempt:
+        async with self._context.attempt_sender.open(call, run) as attempt:
             # A plain target says nothing before its answer, so it may be at work.
-            run.has_begun = True
+            run.answer_started = True
             try:
                 head = await attempt.connection.head()
                 if failed_unexecuted(head):
--- a/cowslipcourse/entry/retrying.py
+++ b/cowslipcourse/entry/retrying.py
@@ -5,7 +5,7 @@
 from cowslipcourse.adapters.log import get_logger
 from cowslipcourse.entry.accounting import LossCause
 from cowslipcourse.entry.attempts import TargetRun
-from cowslipcourse.entry.outcomes import failure, may_have_run, may_try_again
+from cowslipcourse.entry.outcomes import final_error, may_have_run, may_retry
 from cowslipcourse.exceptions import TargetError, TargetUnreachable
 
 __all__ = ["try_targets"]
@@ -13,14 +13,14 @@
 log = get_logger(__name__)
 
 
-async def try_targets(tools, call, service, choose, attempt):
+async def try_targets(context, call, service, choose, attempt):
     """Bring a call to targets until one attempt succeeds.
 
-    :param tools: :class:`~cowslipcourse.entry.tools.EntryTools`
+    :param context: :class:`~cowslipcourse.entry.tools.DaemonContext`
     :param call: :class:`~cowslipcourse.entry.calls.Call`
     :param service: name of the service.
     :param choose: coroutine function that takes the ids tried and returns a
-        :class:`~cowslipcourse.entry.accounting.Placement`.
+        :class:`~cowslipcourse.entry.accounting.TargetChoice`.
     :param attempt: coroutine function that takes the
         :class:`~cowslipcourse.entry.attempts.TargetRun` and whether this is the last
         attempt allowed; raises :class:`~cowslipcourse.exceptions.TargetError`.
@@ -30,43 +30,43 @@
     loop = asyncio.get_running_loop()
     tried, runs = set(), 0
     while True:
-        _check_quarantine(tools, call, runs)
+        _check_quarantine(context, call, runs)
         entry, cause = await choose(tried)
         if entry is None:
-            raise failure(runs, cause)
+            raise final_error(runs, cause)
         # The verdict may have come while the request waited for a place.
-        _check_quarantine(tools, call, runs)
+        _check_quarantine(context, call, runs)
         tried.add(entry.id)
         run = TargetRun(entry)
         is_last = runs + 1 >= call.route.max_attempts
         try:
-            with tools.quarantine.watching(call, run):
+            with context.quarantine.watching(call, run):
                 await attempt(run, is_last)
         except TargetError as error:
             runs += may_have_run(error)
-            _note_failed(tools, call, run, error, loop.time())
-            if not may_try_again(call.route, runs, error):
-                raise failure(runs, error.code) from error
-            if not tools.budget.take(service, loop.time()):
-                raise failure(runs, LossCause.NO_BUDGET) from error
+            _note_failed(context, call, run, error, loop.time())
+            if not may_retry(call.route, runs, error):
+                raise final_error(runs, error.code) from error
+            if not context.retry_budget.take(service, loop.time()):
+                raise final_error(runs, LossCause.NO_BUDGET) from error
             continue
         if run.succeeded:
-            tools.quarantine.note_answered(call)
+            context.quarantine.note_answered(call)
         return entry, len(tried)
 
 
-def _check_quarantine(tools, call, runs):
+def _check_quarantine(context, call, runs):
     """Stop a request that ends targets, before it is sent to another one.
 
     :param runs: attempts in which it may have run, by which the caller is told.
     """
-    if tools.quarantine.is_quarantined(call):
-        raise failure(runs) if runs else tools.quarantine.refusal(call)
+    if context.quarantine.is_quarantined(call):
+        raise final_error(runs) if runs else context.quarantine.refusal(call)
 
 
-def _note_failed(tools, call, run, error, now):
+def _note_failed(context, call, run, error, now):
     if isinstance(error, TargetUnreachable):
-        tools.fleet.suspect(run.entry.id, now)
+        context.fleet.suspect(run.entry.id, now)
     log.info(
         "attempt-failed",
         request=call.id,
@@ -75,8 +75,8 @@
         error=error.code,
         detail=error,
         may_have_run=may_have_run(error),
-        begun=run.has_begun,
-        events=run.events,
+        begun=run.answer_started,
+        events=run.relayed_events,
         ended_by_target=run.ended_by_target,
     )
-    tools.quarantine.note_failed(call, run)
+    context.quarantine.note_failed(call, run)
--- a/cowslipcourse/entry/silence.py
+++ b/cowslipcourse/entry/silence.py
@@ -4,7 +4,7 @@
 from cowslipcourse.entry.pauses import ticks
 from cowslipcourse.exceptions import TargetSilent
 
-__all__ = ["SilenceWatch", "WatchedStream"]
+__all__ = ["SilenceDetector", "WatchedStream"]
 
 TICK_S = 0.03
 REST_S = 0.1
@@ -36,7 +36,7 @@
         self.has_begun = False
 
 
-class SilenceWatch:
+class SilenceDetector:
     """Ends streams of targets that are silent, and has the targets suspected.
 
     :param fleet: :class:`~cowslipcourse.entry.fleet.FleetView`
@@ -66,9 +66,9 @@
             if late_s > OWN_PAUSE_S:
                 self._trusted_from = now
                 log.info("own-pause", seconds=round(late_s, 3))
-            self.look(now)
+            self.check(now)
 
-    def look(self, now):
+    def check(self, now):
         """End the streams of targets that are silent at a loop time."""
         for target, streams in list(self._streams.items()):
             heard_at = max(stream.attempt.connection.heard_at for stream in streams)
--- a/cowslipcourse/entry/streaming.py
+++ b/cowslipcourse/entry/streaming.py
@@ -5,7 +5,7 @@
 from cowslipcourse.adapters.log import get_logger
 from cowslipcourse.entry.accounting import StreamTimes, late_cause
 from cowslipcourse.entry.outcomes import NOT_RUN_STATUSES
-from cowslipcourse.entry.placing import StreamPlacing
+from cowslipcourse.entry.placing import StreamTargetChooser
 from cowslipcourse.entry.retrying import try_targets
 from cowslipcourse.entry.silence import WatchedStream
 from cowslipcourse.exceptions import AnswerBroken, TargetError, TargetRefused
@@ -30,7 +30,7 @@
         self.position = StreamPosition(call.fields.last_event)
         self.first_s = None
         self.longest_pause_s = 0.0
-        self.place_s = 0.0
+        self.slot_wait_s = 0.0
         self._last_at = None
 
     @property
@@ -55,12 +55,12 @@
 class StreamForwarder:
     """Forwards streams to heads of groups, or to targets of a plain service.
 
-    :param tools: :class:`~cowslipcourse.entry.tools.EntryTools`
+    :param context: :class:`~cowslipcourse.entry.tools.DaemonContext`
     """
 
-    def __init__(self, tools):
-        self._tools = tools
-        self._placing = StreamPlacing(tools)
+    def __init__(self, context):
+        self._context = context
+        self._placing = StreamTargetChooser(context)
 
     async def forward(self, call, service, responder):
         """Bring a call to a target; see :class:`~cowslipcourse.entry.Forwarder`."""
@@ -72,29 +72,31 @@
         async def attempt(run, is_last):
             await self._run(progress, run)
 
-        entry, attempts = await try_targets(self._tools, call, service, choose, attempt)
+        entry, attempts = await try_targets(
+            self._context, call, service, choose, attempt
+        )
         _note_done(progress, entry, attempts)
 
     async def _run(self, progress, run):
         call = progress.call
-        run.reached = progress.position.last or 0
-        async with self._tools.attempts.open(
+        run.last_event = progress.position.last or 0
+        async with self._context.attempt_sender.open(
             call, run, progress.resume_after
         ) as attempt:
             stream = WatchedStream(attempt, call.id)
-            self._tools.silence.add(stream)
+            self._context.silence_detector.add(stream)
             try:
                 await self._relay(progress, run, attempt, stream)
             except (TargetError, asyncio.CancelledError):
                 attempt.connection.abort()
                 raise
             finally:
-                self._tools.silence.remove(stream)
+                self._context.silence_detector.remove(stream)
 
     async def _relay(self, progress, run, attempt, stream):
         responder = progress.responder
         head = await attempt.connection.head()
-        run.has_begun = True
+        run.answer_started = True
         if failed_unexecuted(head):
             raise TargetRefused(f"answered {head.status}")
         if head.status != 200:
@@ -117,13 +119,13 @@
     async def _pass_on(self, progress, run, head, events):
         passed = progress.position.passed
         content, fault = progress.position.take(events)
-        run.events += progress.position.passed - passed
-        run.reached = progress.position.last or 0
+        run.relayed_events += progress.position.passed - passed
+        run.last_event = progress.position.last or 0
         if content:
             progress.note_events(asyncio.get_running_loop().time())
             if not progress.responder.started:
                 await progress.responder.start(200, _stream_headers(head))
-            await progress.responder.pass_on(content)
+            await progress.responder.send_chunk(content)
         if fault is not None:
             raise fault
 
@@ -139,7 +141,10 @@
     call = progress.call
     now = asyncio.get_running_loop().time()
     times = StreamTimes(
-        progress.place_s, progress.first_s or 0.0, progress.longest_pause_s, attempts
+        progress.slot_wait_s,
+        progress.first_s or 0.0,
+        progress.longest_pause_s,
+        attempts,
     )
     log.info(
         "streamed",
@@ -147,7 +152,7 @@
         route=call.route.name,
         model=call.fields.model,
         late=late_cause(call.route, times),
-        place_s=round(progress.place_s, 3),
+        place_s=round(progress.slot_wait_s, 3),
         target=entry.id,
         attempts=attempts,
         events=progress.position.passed,
--- a/cowslipcourse/entry/tools.py
+++ b/cowslipcourse/entry/tools.py
@@ -1,26 +1,35 @@
 """What the parts of a daemon share."""
 
-__all__ = ["EntryTools"]
+__all__ = ["DaemonContext"]
 
 
-class EntryTools:
+class DaemonContext:
     """The daemon's views and the means to act on them.
 
     :param settings: :class:`~cowslipcourse.entry.settings.EntrySettings`
     :param fleet: :class:`~cowslipcourse.entry.fleet.FleetView`
-    :param attempts: :class:`~cowslipcourse.entry.attempts.Attempts`
-    :param budget: :class:`~cowslipcourse.admission.SharedRetryBudget`
-    :param silence: :class:`~cowslipcourse.entry.silence.SilenceWatch`
+    :param attempt_sender: :class:`~cowslipcourse.entry.attempts.AttemptSender`
+    :param retry_budget: :class:`~cowslipcourse.admission.SharedRetryBudget`
+    :param silence_detector: :class:`~cowslipcourse.entry.silence.SilenceDetector`
     :param quarantine: :class:`~cowslipcourse.quarantining.Quarantine`
     :param rng: :class:`random.Random`
     """
 
-    def __init__(self, settings, fleet, attempts, budget, silence, quarantine, rng):
+    def __init__(
+        self,
+        settings,
+        fleet,
+        attempt_sender,
+        retry_budget,
+        silence_detector,
+        quarantine,
+        rng,
+    ):
         self.data_centre = settings.data_centre
         self.fleet = fleet
-        self.attempts = attempts
-        self.budget = budget
-        self.silence = silence
+        self.attempt_sender = attempt_sender
+        self.retry_budget = retry_budget
+        self.silence_detector = silence_detector
         self.quarantine = quarantine
         self.rng = rng
         self.table = None
--- a/cowslipcourse/entry/urgency.py
+++ b/cowslipcourse/entry/urgency.py
@@ -5,7 +5,7 @@
 worth the same a moment later; those that can still be on time are not.
 """
 
-__all__ = ["LEAST_URGENT", "can_be_on_time", "urgency"]
+__all__ = ["LEAST_URGENT", "can_meet_objective", "urgency"]
 
 LEAST_URGENT = 9
 """The scale that engines know ends there; 0 is the most urgent."""
@@ -16,24 +16,24 @@
 the rest is for the target's first event."""
 
 
-def urgency(route, workspace, spent_s):
+def urgency(route, workspace, waited_s):
     """Return the urgency of a request, from 0 to :data:`LEAST_URGENT`.
 
     :param route: :class:`~cowslipcourse.routes.Route`
     :param workspace: :class:`~cowslipcourse.routes.Workspace` or ``None``.
-    :param spent_s: seconds that the caller has waited, here and elsewhere.
+    :param waited_s: seconds that the caller has waited, here and elsewhere.
     """
     rank = route.priority
     if workspace is not None and workspace.priority is not None:
         rank = workspace.priority
-    is_late = spent_s > route.objective_s
+    is_late = waited_s > route.objective_s
     return min(LEVELS_A_RANK * rank + is_late, LEAST_URGENT)
 
 
-def can_be_on_time(route, spent_s):
+def can_meet_objective(route, waited_s):
     """Whether a request that is sent to a target now may be answered on time.
 
     :param route: :class:`~cowslipcourse.routes.Route`
-    :param spent_s: seconds that the caller has waited, here and elsewhere.
+    :param waited_s: seconds that the caller has waited, here and elsewhere.
     """
-    return spent_s <= SENT_WITHIN * route.objective_s
+    return waited_s <= SENT_WITHIN * route.objective_s
--- a/cowslipcourse/quarantining/crash_reporting.py
+++ b/cowslipcourse/quarantining/crash_reporting.py
@@ -78,9 +78,9 @@
             call.fingerprint,
             entry.id,
             entry.incarnation,
-            run.has_begun,
-            run.events,
-            run.reached,
+            run.answer_started,
+            run.relayed_events,
+            run.last_event,
         )
         task = asyncio.create_task(self._look_into(call.id, entry, report))
         self._tasks.add(task)
--- a/cowslipcourse/quarantining/daemon_part.py
+++ b/cowslipcourse/quarantining/daemon_part.py
@@ -143,7 +143,7 @@
     def _stop_runs(self, fingerprint):
         for run in list(self._runs.get(fingerprint, ())):
             log.info("run-stopped", target=run.entry.id, fingerprint=fingerprint.hex())
-            run.stop(AnswerBroken("the request is quarantined"))
+            run.abort(AnswerBroken("the request is quarantined"))
 
     def note_answered(self, call):
         """Note that a target has answered a request whole: it does not end targets."""
--- a/features/steps/accounting_steps.py
+++ b/features/steps/accounting_steps.py
@@ -8,9 +8,9 @@
 from behave import given, then, when
 
 from cowslipcourse.emulator.clock import run_paused
-from cowslipcourse.entry.accounting import StreamTimes, late_cause, shortage
+from cowslipcourse.entry.accounting import StreamTimes, late_cause, no_target_cause
 from cowslipcourse.entry.census import CensusWatch
-from cowslipcourse.entry.fleet import FleetView, Place
+from cowslipcourse.entry.fleet import Candidate, FleetView
 from cowslipcourse.entry.metrics import EntryMetrics
 from cowslipcourse.ports import GroupState, Membership, TargetEntry
 from cowslipcourse.routes import (
@@ -49,7 +49,7 @@
 def step_places(context, number, full, tried):
     # Those that were tried come last.
     context.places = [
-        Place(_entry(f"t{n}"), 2 * SLOTS if n < full else 0, SLOTS)
+        Candidate(_entry(f"t{n}"), 2 * SLOTS if n < full else 0, SLOTS)
         for n in range(number)
     ]
     context.tried = {f"t{n}" for n in range(number - tried, number)}
@@ -57,7 +57,7 @@
 
 @then('a request that finds no place is lost to "{cause}"')
 def step_shortage(context, cause):
-    assert shortage(context.places, context.tried) == cause
+    assert no_target_cause(context.places, context.tried) == cause
 
 
 @given("a route with an objective of {objective:f} s and pauses of {pause:f} s")
--- a/features/steps/forwarding_steps.py
+++ b/features/steps/forwarding_steps.py
@@ -13,10 +13,10 @@
 from cowslipcourse.admission import SharedRetryBudget
 from cowslipcourse.entry import choosing
 from cowslipcourse.entry.attempts import Attempt
-from cowslipcourse.entry.fleet import FleetView, Place
-from cowslipcourse.entry.outcomes import failure, may_try_again
+from cowslipcourse.entry.fleet import Candidate, FleetView
+from cowslipcourse.entry.outcomes import final_error, may_retry
 from cowslipcourse.entry.settings import EntrySettings, RetrySettings
-from cowslipcourse.entry.silence import SilenceWatch, WatchedStream
+from cowslipcourse.entry.silence import SilenceDetector, WatchedStream
 from cowslipcourse.exceptions import SettingsError, TargetUnreachable
 from cowslipcourse.ports import GroupState, Membership, TargetEntry
 from cowslipcourse.routes import RequestKind, Route
@@ -41,8 +41,8 @@
 
 @when("the attempt ends with {error} after {runs:d} runs")
 def step_attempt(context, error, runs):
-    context.again = may_try_again(context.route, runs, _error(error))
-    context.status = failure(runs).status
+    context.again = may_retry(context.route, runs, _error(error))
+    context.status = final_error(runs).status
 
 
 @then("it may go on elsewhere: {again}, and the caller is told {status:d} if not")
@@ -110,7 +110,7 @@
 def step_watched(context):
     context.fleet = FleetView()
     context.fleet.apply([_entry("t"), _entry("busy", group="g2")], ())
-    context.watch = SilenceWatch(context.fleet, lambda: None)
+    context.watch = SilenceDetector(context.fleet, lambda: None)
     context.begun = _stream("t", 10.0, begun=True)
     context.waiting = _stream("t", 0.0, begun=False)
     for stream in (context.begun, context.waiting):
@@ -119,14 +119,14 @@
 
 @then("after 0.2 s of silence both go on")
 def step_go_on(context):
-    context.watch.look(10.2)
+    context.watch.check(10.2)
     assert context.begun.attempt.connection.error is None
     assert context.waiting.attempt.connection.error is None
 
 
 @then("after 0.4 s of silence the begun one is ended and the target suspected")
 def step_ended(context):
-    context.watch.look(10.4)
+    context.watch.check(10.4)
     assert context.begun.attempt.connection.error is not None
     assert context.waiting.attempt.connection.error is None
     assert "t" in context.fleet.suspects(10.4)
@@ -134,17 +134,17 @@
 
 @then("a stream that waits behind others is given 3 s")
 def step_waits(context):
-    context.fleet.note_peers({"busy": SLOTS + 3})
+    context.fleet.set_peers_in_flight({"busy": SLOTS + 3})
     queued = _stream("busy", 0.0, begun=False)
     context.watch.add(queued)
-    context.watch.look(12.9)
+    context.watch.check(12.9)
     assert queued.attempt.connection.error is None
-    context.watch.look(13.1)
+    context.watch.check(13.1)
     assert queued.attempt.connection.error is not None
 
 
 def _chosen(context, now=11.0):
-    places = context.fleet.group_places(SERVICE, "large", SLOTS, now)
+    places = context.fleet.group_candidates(SERVICE, "large", SLOTS, now)
     return sorted(place.entry.id for place in places)
 
 
@@ -238,7 +238,7 @@
         for _, owner, target in running:
             counts[target] += owner == daemon
         places = [
-            Place(entry, count, 1000)
+            Candidate(entry, count, 1000)
             for entry, count in zip(entries, counts, strict=True)
         ]
         chosen = choosing.choose_group(places, set(), rng, sample)
@@ -254,7 +254,7 @@
 @when("{rate:d} requests a second arrive for {length:d} s, each for {answer:f} s")
 def step_burst(context, rate, length, answer):
     shape = context.shape
-    context.sampled = _play_burst(shape, rate, length, answer, choosing.SAMPLE)
+    context.sampled = _play_burst(shape, rate, length, answer, choosing.SAMPLE_SIZE)
     context.greedy = _play_burst(shape, rate, length, answer, shape[2])
 
 
--- a/features/steps/judging_steps.py
+++ b/features/steps/judging_steps.py
@@ -12,7 +12,7 @@
 from cowslipcourse.emulator.messages import MessageNetwork
 from cowslipcourse.emulator.site_file import SiteSettings
 from cowslipcourse.emulator.world import Faults, World
-from cowslipcourse.entry.accounting import Placement
+from cowslipcourse.entry.accounting import TargetChoice
 from cowslipcourse.entry.attempts import TargetRun
 from cowslipcourse.entry.fleet import FleetView
 from cowslipcourse.entry.retrying import try_targets
@@ -198,7 +198,7 @@
         fleet = FleetView()
         fleet.apply([_entry(n) for n in range(50)], ())
         kept = KeptVerdicts(self.store, self.clock)
-        ends = TargetEnds(fleet.expects, self._refuses)
+        ends = TargetEnds(fleet.is_expected, self._refuses)
         quarantine = Quarantine(self.network.peers(name), ends, kept)
         self.network.attach(name, quarantine)
         return quarantine
@@ -214,11 +214,11 @@
         call = _call()
 
         async def choose(tried):
-            return Placement(_entry(len(self.sent)))
+            return TargetChoice(_entry(len(self.sent)))
 
         async def attempt(run, is_last):
             self.sent.append(run.entry.id)
-            run.has_begun = True
+            run.answer_started = True
             if before is not None:
                 await before(run)
             await asyncio.sleep(0.05)
@@ -228,7 +228,7 @@
             run.succeeded = True
 
         budget = SharedRetryBudget(RetrySettings())
-        tools = SimpleNamespace(quarantine=quarantine, budget=budget, fleet=None)
+        tools = SimpleNamespace(quarantine=quarantine, retry_budget=budget, fleet=None)
         try:
             await quarantine.admit(call)
             await try_targets(tools, call, "s", choose, attempt)
--- a/features/steps/life_steps.py
+++ b/features/steps/life_steps.py
@@ -8,7 +8,7 @@
 from cowslipcourse.emulator import Faults, WholeSite, World
 from cowslipcourse.emulator.clock import run_paused
 from cowslipcourse.entry.coordinator import Coordinator
-from cowslipcourse.entry.engine_calls import EngineCalls
+from cowslipcourse.entry.engine_calls import EngineClient
 from cowslipcourse.entry.fleet import FleetView
 from cowslipcourse.entry.plan_table import GROUPS_TABLE
 from cowslipcourse.entry.settings import ControlSettings
@@ -194,7 +194,7 @@
         assert is_free(context.plan, context.knowledge, engine, STALL_S), engine.id
 
 
-class _Tools:
+class _Context:
     def __init__(self, table):
         self.table = table
         self.fleet = FleetView()
@@ -209,7 +209,7 @@
     services = ServiceSpec("llm", models=(LARGE, SMALL)), ServiceSpec("desk")
     table = RouteTable(1, (), services, CallerLimits(), {})
     context.coordinator = Coordinator(
-        _Tools(table),
+        _Context(table),
         None,
         _Silent(),
         ControlSettings(),
@@ -251,7 +251,7 @@
                 world.add_engine(domain)
         await world.write(RowWrite(GROUPS_TABLE, "d2", b'[["g"]]', None))
         coordinator = Coordinator(
-            _Tools(route_table()),
+            _Context(route_table()),
             world,
             world,
             ControlSettings(),
@@ -313,9 +313,9 @@
 @when("an order to e2 is answered by another engine")
 def step_other_engine(context):
     async def run():
-        calls = EngineCalls(_OtherEngine(), ControlSettings(), None, None, None)
+        calls = EngineClient(_OtherEngine(), ControlSettings(), None, None, None)
         order = EngineOrder(OrderName.JOIN, 0, "g1", 5, "large", ("e1", "e2"))
-        calls.order(context.knowledge.engines["e2"], order, {"large": LARGE})
+        calls.send_order(context.knowledge.engines["e2"], order, {"large": LARGE})
         await asyncio.sleep(0.1)
 
     run_paused(run())
--- a/features/steps/placing_steps.py
+++ b/features/steps/placing_steps.py
@@ -8,9 +8,9 @@
 from behave import given, then, when
 
 from cowslipcourse.entry.choosing import choose_group
-from cowslipcourse.entry.fleet import Place
-from cowslipcourse.entry.patience import CallerPatience
-from cowslipcourse.entry.urgency import can_be_on_time
+from cowslipcourse.entry.fleet import Candidate
+from cowslipcourse.entry.patience import PriorWaitEstimator
+from cowslipcourse.entry.urgency import can_meet_objective
 from cowslipcourse.routes import RequestKind, Route
 
 LOOK_AGAIN_S = 0.02
@@ -30,7 +30,7 @@
         objective,
     )
 
-    context.patience = CallerPatience()
+    context.patience = PriorWaitEstimator()
 
 
 def _budgets(number, low, high):
@@ -40,7 +40,7 @@
 @when("{number:d} new requests come with budgets from {low:f} to {high:f} s")
 def step_new_requests(context, number, low, high):
     for budget_s in _budgets(number, low, high):
-        context.patience.note(context.route, budget_s)
+        context.patience.observe(context.route, budget_s)
 
 
 @when(
@@ -49,14 +49,14 @@
 )
 def step_old_requests(context, number, low, high):
     for each, budget_s in enumerate(_budgets(number, low, high)):
-        context.patience.note(context.route, budget_s)
+        context.patience.observe(context.route, budget_s)
         if each % 3 == 0:
-            context.patience.note(context.route, context.route.timeout_s)
+            context.patience.observe(context.route, context.route.timeout_s)
 
 
 def _can_be_on_time(context, budget_s):
-    elsewhere_s = context.patience.note(context.route, budget_s)
-    return can_be_on_time(context.route, elsewhere_s)
+    waited_elsewhere_s = context.patience.observe(context.route, budget_s)
+    return can_meet_objective(context.route, waited_elsewhere_s)
 
 
 @then("a new request with a budget of {budget:f} s can be on time")
@@ -71,9 +71,9 @@
 
 @when("requests of {number:d} routes come, one after the other")
 def step_many_routes(context, number):
-    context.patience = CallerPatience()
+    context.patience = PriorWaitEstimator()
     for each in range(number):
-        context.patience.note(SimpleNamespace(name=f"r{each}", timeout_s=5.0), 5.0)
+        context.patience.observe(SimpleNamespace(name=f"r{each}", timeout_s=5.0), 5.0)
 
 
 @then("budgets of {number:d} routes are kept")
@@ -87,7 +87,7 @@
 
 
 def _is_sent(context, in_flight, is_late):
-    place = Place(SimpleNamespace(id="head"), in_flight, context.slots)
+    place = Candidate(SimpleNamespace(id="head"), in_flight, context.slots)
     rng = random.Random(1)
     return choose_group([place], set(), rng, is_late=is_late) is not None
 
@@ -155,7 +155,7 @@
     def _place(self, now, came_at):
         is_late = now - came_at > self._load.objective_s / 2
         places = [
-            Place(SimpleNamespace(id=each), running + len(queue), self._load.slots)
+            Candidate(SimpleNamespace(id=each), running + len(queue), self._load.slots)
             for each, (running, queue) in enumerate(
                 zip(self._running, self._queues, strict=True)
             )
--- a/features/steps/question_steps.py
+++ b/features/steps/question_steps.py
@@ -7,7 +7,7 @@
 
 from cowslipcourse.emulator.clock import run_paused
 from cowslipcourse.entry import engine_calls
-from cowslipcourse.entry.engine_calls import EngineCalls
+from cowslipcourse.entry.engine_calls import EngineClient
 from cowslipcourse.entry.own_links import OwnLinks
 from cowslipcourse.entry.settings import ControlSettings
 from cowslipcourse.exceptions import TargetUnreachable
@@ -61,7 +61,7 @@
     async def run():
         heard = []
         context.control = make_control()
-        calls = EngineCalls(
+        calls = EngineClient(
             context.control,
             SETTINGS,
             lambda engine, report, asked_at: heard.append(engine.id),
@@ -69,7 +69,7 @@
             None,
         )
         for engine in context.engines:
-            calls.ask(engine)
+            calls.request_report(engine)
         await asyncio.sleep(seconds)
         context.heard = heard
 
@@ -96,7 +96,7 @@
 
 @when("it asks them all at once, with no limit on the calls under way")
 def step_ask_unlimited(context):
-    with mock.patch.object(engine_calls, "MOST_AT_ONCE", 10_000):
+    with mock.patch.object(engine_calls, "MAX_CONCURRENT_REPORTS", 10_000):
         _ask_all(context, lambda: _SlowProcess(context.call_s), 8)
 
 
@@ -160,11 +160,11 @@
         def heard(engine, report, asked_at):
             engine.silent_since = None
 
-        calls = EngineCalls(_Reach(unreached), SETTINGS, heard, look, None)
+        calls = EngineClient(_Reach(unreached), SETTINGS, heard, look, None)
         links = OwnLinks(context.domains, calls)
         for _ in range(4):
             for engine in asked:
-                calls.ask(engine)
+                calls.request_report(engine)
             await asyncio.sleep(1.0)
             context.silent = {
                 engine.id
--- a/features/steps/target_end_steps.py
+++ b/features/steps/target_end_steps.py
@@ -69,7 +69,7 @@
         self._note_change()
         ended = False
         if connection.ended_by_target:
-            ended = await TargetEnds(self.fleet.expects).look_into(self.entry)
+            ended = await TargetEnds(self.fleet.is_expected).look_into(self.entry)
         self._server.close()
         return connection.ended_by_target, ended
 
@@ -100,7 +100,7 @@
         before = TargetConnection.connect
         TargetConnection.connect = _no_answer
         try:
-            return await TargetEnds(target.fleet.expects).look_into(target.entry)
+            return await TargetEnds(target.fleet.is_expected).look_into(target.entry)
         finally:
             TargetConnection.connect = before
 
@@ -122,7 +122,7 @@
         return await refuses_connections(address)
 
     async def run():
-        ends = TargetEnds(target.fleet.expects, refuses)
+        ends = TargetEnds(target.fleet.is_expected, refuses)
         runs = [TargetRun(target.entry) for _ in range(context.requests)]
         return await asyncio.gather(*(ends.look_into(run.entry) for run in runs))
 
--- a/features/steps/urgency_steps.py
+++ b/features/steps/urgency_steps.py
@@ -5,7 +5,7 @@
 
 from behave import given, then, when
 
-from cowslipcourse.entry.patience import KEPT_BUDGETS, CallerPatience
+from cowslipcourse.entry.patience import MAX_BUDGETS_PER_ROUTE, PriorWaitEstimator
 from cowslipcourse.entry.urgency import urgency
 from cowslipcourse.routes import RequestKind, Route, Workspace
 
@@ -43,8 +43,8 @@
 
 @when("a request with a budget of {budget} s has waited {waited:f} s")
 def step_waited(context, budget, waited):
-    spent_s = _learned().note(context.route, _number(budget)) + waited
-    context.urgency = urgency(context.route, context.workspace, spent_s)
+    waited_s = _learned().observe(context.route, _number(budget)) + waited
+    context.urgency = urgency(context.route, context.workspace, waited_s)
 
 
 @then("its urgency is {expected:d}")
@@ -91,14 +91,16 @@
 
 def _learned():
     """Return what a daemon knows of callers that all wait as long as the route says."""
-    patience = CallerPatience()
-    for _ in range(KEPT_BUDGETS):
-        patience.note(_route(1), TIMEOUT_S)
+    patience = PriorWaitEstimator()
+    for _ in range(MAX_BUDGETS_PER_ROUTE):
+        patience.observe(_route(1), TIMEOUT_S)
     return patience
 
 
 def _level(request):
-    return urgency(_route(1), None, _learned().note(_route(1), TIMEOUT_S - request[1]))
+    return urgency(
+        _route(1), None, _learned().observe(_route(1), TIMEOUT_S - request[1])
+    )
 
 
 def _on_time(waits):
--- a/features/steps/variant_steps.py
+++ b/features/steps/variant_steps.py
@@ -48,7 +48,7 @@
 def _proofs():
     error = TargetUnreachable("reset", sent=True)
     route = SimpleNamespace(may_repeat=False, max_attempts=2)
-    assert not outcomes.may_try_again(route, 1, error)
+    assert not outcomes.may_retry(route, 1, error)
 
 
 def _budget():
--- a/features/support/spread_runs.py
+++ b/features/support/spread_runs.py
@@ -89,13 +89,13 @@
     fleet.apply([_entry(number) for number in range(3)], ())
     kept = KeptVerdicts(_Store(), lambda: 0.0)
     peers = _CountingPeers(daemon.link)
-    daemon.quarantine = Quarantine(peers, TargetEnds(fleet.expects, _refuses), kept)
+    daemon.quarantine = Quarantine(peers, TargetEnds(fleet.is_expected, _refuses), kept)
     return peers
 
 
 def _see_end(daemon, number):
     run = TargetRun(_entry(number))
-    run.has_begun = run.ended_by_target = True
+    run.answer_started = run.ended_by_target = True
     daemon.quarantine.note_failed(CALL, run)
 
 
