--- a/cowslipcourse/entry/forwarding.py
+++ b/cowslipcourse/entry/forwarding.py
@@ -34,7 +34,9 @@
         :raises RequestError: the answer that the caller is to get instead.
         """
         loop = asyncio.get_running_loop()
-        waited_elsewhere_s = self._prior_waits.observe(call.route, call.fields.budget_s)
+        waited_elsewhere_s = self._prior_waits.observe(
+            call.route, call.fields.time_budget_s
+        )
         call = call._replace(waited_elsewhere_s=waited_elsewhere_s)
         service = self._context.choose_service(call.route)
         self._context.retry_budget.request(service, loop.time())
--- a/cowslipcourse/entry/streaming.py
+++ b/cowslipcourse/entry/streaming.py
@@ -9,7 +9,7 @@
 from cowslipcourse.entry.retrying import try_targets
 from cowslipcourse.entry.silence import WatchedStream
 from cowslipcourse.exceptions import AnswerBroken, TargetError, TargetRefused
-from cowslipcourse.platform.edge import answer_headers, failed_unexecuted
+from cowslipcourse.platform.edge import is_not_executed, response_headers
 from cowslipcourse.streams import EventSplitter, StreamPosition
 
 __all__ = ["StreamForwarder"]
@@ -27,7 +27,7 @@
     def __init__(self, call, responder):
         self.call = call
         self.responder = responder
-        self.position = StreamPosition(call.fields.last_event)
+        self.position = StreamPosition(call.fields.last_event_id)
         self.first_s = None
         self.longest_pause_s = 0.0
         self.slot_wait_s = 0.0
@@ -79,7 +79,7 @@
 
     async def _run(self, progress, run):
         call = progress.call
-        run.last_event = progress.position.last or 0
+        run.last_event_id = progress.position.last or 0
         async with self._context.attempt_sender.open(
             call, run, progress.resume_after
         ) as attempt:
@@ -97,7 +97,7 @@
         responder = progress.responder
         head = await attempt.connection.head()
         run.answer_started = True
-        if failed_unexecuted(head):
+        if is_not_executed(head):
             raise TargetRefused(f"answered {head.status}")
         if head.status != 200:
             await self._pass_failure(head, attempt, responder)
@@ -120,7 +120,7 @@
         passed = progress.position.passed
         content, fault = progress.position.take(events)
         run.relayed_events += progress.position.passed - passed
-        run.last_event = progress.position.last or 0
+        run.last_event_id = progress.position.last or 0
         if content:
             progress.note_events(asyncio.get_running_loop().time())
             if not progress.responder.started:
@@ -133,7 +133,7 @@
         body = await attempt.connection.read_all()
         if responder.started or head.status in NOT_RUN_STATUSES:
             raise AnswerBroken(f"answered {head.status}")
-        await responder.start(head.status, answer_headers(head.headers))
+        await responder.start(head.status, response_headers(head.headers))
         await responder.finish(body)
 
 
@@ -164,5 +164,5 @@
 
 def _stream_headers(head):
     """Return the headers of a stream; its length may differ if it goes on elsewhere."""
-    headers = answer_headers(head.headers)
+    headers = response_headers(head.headers)
     return [(name, value) for name, value in headers if name != b"content-length"]
--- a/cowslipcourse/quarantining/crash_reporting.py
+++ b/cowslipcourse/quarantining/crash_reporting.py
@@ -80,7 +80,7 @@
             entry.incarnation,
             run.answer_started,
             run.relayed_events,
-            run.last_event,
+            run.last_event_id,
         )
         task = asyncio.create_task(self._look_into(call.id, entry, report))
         self._tasks.add(task)
