--- a/features/steps/variant_steps.py
+++ b/features/steps/variant_steps.py
@@ -96,11 +96,11 @@
 
 
 def _alone(self, service, now):
-    self.daemons = 1
-    return _take(self, service, now)
+    self.daemon_count = 1
+    return _try_take(self, service, now)
 
 
-_take = SharedRetryBudget.take
+_try_take = SharedRetryBudget.try_take
 CHECKS = {
     "the answer to another request": _other_request,
     "the answer that ends with a reset": _reset,
@@ -120,7 +120,9 @@
     "telling what was sent from what was not": lambda: mock.patch.object(
         outcomes, "may_have_run", lambda error: False
     ),
-    "dividing the slack": lambda: mock.patch.object(SharedRetryBudget, "take", _alone),
+    "dividing the slack": lambda: mock.patch.object(
+        SharedRetryBudget, "try_take", _alone
+    ),
     "comparing configuration versions": _without_versions,
 }
 
