--- a/cowslipcourse/controller/acceptor.py
+++ b/cowslipcourse/controller/acceptor.py
@@ -38,9 +38,9 @@
         """Number of the last revision known to be accepted."""
         return self._accepted
 
-    def missing(self):
+    def members_behind(self):
         """Return the names of members not known to run the newest revision."""
-        return self._agent.node.missing()
+        return self._agent.node.members_behind()
 
     async def wait_accepted(self, number, wait_s):
         """Wait until a revision is accepted.
@@ -70,7 +70,7 @@
                 log.info("acceptance-delayed", code=error.code)
 
     async def _accept(self):
-        if self._agent.node.number <= self._accepted:
+        if self._agent.node.revision_number <= self._accepted:
             return
         if self._newest() <= self._accepted:
             self._ready_since = None
@@ -118,7 +118,7 @@
     async def _evict(self):
         """Evict members that most of those who answer cannot reach either."""
         revision = self._agent.revision
-        gone = self._agent.node.silent_to_most(now())
+        gone = self._agent.node.silent_to_majority(now())
         if not gone or not self._agent.table_answered:
             return
         await asyncio.sleep(self._rank() * DELAY_PER_RANK_S)
--- a/cowslipcourse/controller/api.py
+++ b/cowslipcourse/controller/api.py
@@ -124,14 +124,14 @@
             return json_answer(_made(made))
         made = await self._edits.commit(edit)
         accepted = await self._acceptor.wait_accepted(made.revision, body.wait_s)
-        missing = [] if accepted else self._acceptor.missing()
+        missing = [] if accepted else self._acceptor.members_behind()
         return json_answer({**_made(made), "accepted": accepted, "missing": missing})
 
     async def _accepted(self, request, operator):
         number = _number(request, "revision", 0)
         wait_s = min(float(_number(request, "wait_s", 0)), 60.0)
         accepted = await self._acceptor.wait_accepted(number, wait_s)
-        missing = [] if accepted else self._acceptor.missing()
+        missing = [] if accepted else self._acceptor.members_behind()
         return json_answer({"accepted": accepted, "missing": missing})
 
     async def _configuration(self, request, operator):
--- a/cowslipcourse/controller/leasing.py
+++ b/cowslipcourse/controller/leasing.py
@@ -68,7 +68,9 @@
         """Return whether a shard is free or its lease has lapsed for certain."""
         observed = self._observed.get(shard)
         return (
-            observed is None or self._holders[shard] == "" or (observed.may_take(now()))
+            observed is None
+            or self._holders[shard] == ""
+            or (observed.may_acquire(now()))
         )
 
     async def take(self, shard):
@@ -78,7 +80,7 @@
         :raises StoreError: it is not known whether the lease was taken.
         """
         observed = self._observed.get(shard)
-        version, renewal = observed.mark if observed else (ABSENT, ABSENT)
+        version, renewal = observed.row_versions if observed else (ABSENT, ABSENT)
         key = lease_key(shard)
         sent_at = now()
         try:
--- a/cowslipcourse/controller/observer.py
+++ b/cowslipcourse/controller/observer.py
@@ -94,7 +94,7 @@
         ):
             return False
         number = agent.revision.number
-        return agent.contacts.counted(member, number, now(), limit_s)
+        return agent.contacts.confirms_revision(member, number, now(), limit_s)
 
     def _neglected(self, prefix):
         """Return records that nobody else renews and that are this one's to renew."""
--- a/cowslipcourse/controller/status.py
+++ b/cowslipcourse/controller/status.py
@@ -25,7 +25,7 @@
         "from": agent.member.name,
         "revision": revision.number if revision else 0,
         "accepted": acceptor.accepted,
-        "missing": acceptor.missing(),
+        "missing": acceptor.members_behind(),
         "serving": agent.may_serve(),
         "table_answers": agent.table_answered,
         "vm_list_age_s": _rounded(watch.list_age_s),
--- a/cowslipcourse/daemon/agent.py
+++ b/cowslipcourse/daemon/agent.py
@@ -131,7 +131,7 @@
         if serving != self._was_serving:
             self._was_serving = serving
             event = "serving" if serving else "stopped"
-            log.info(event, revision=self._node.number)
+            log.info(event, revision=self._node.revision_number)
         return serving
 
     def require_serving(self):
@@ -149,7 +149,7 @@
         """
         if after_s is None:
             after_s = self.times.eviction_s
-        return self.contacts.silent(self._node.peers, now(), after_s)
+        return self.contacts.silent_members(self._node.peers, now(), after_s)
 
     def publish(self, key, value, fence=0, sequence=None, observed_at=None):
         """Spread a record.
@@ -235,12 +235,12 @@
             await asyncio.sleep(max(0.0, sent_at + self.times.heartbeat_s - now()))
 
     async def _heartbeat(self, member, sent_at):
-        heartbeat = self._node.heartbeat_to(member, sent_at)
+        heartbeat = self._node.build_heartbeat(member, sent_at)
         timeout_s = self.times.isolation_s / 2
         answer = await self._peers.heartbeat(member.peer_address, heartbeat, timeout_s)
         self.may_serve()
-        before = self._node.number
-        records = self._node.take_answer(member, answer, sent_at, now())
+        before = self._node.revision_number
+        records = self._node.handle_heartbeat_answer(member, answer, sent_at, now())
         self._tell_revision(before)
         for record in records or ():
             self._tell_record(record)
@@ -253,7 +253,7 @@
 
     def _tell_revision(self, number_before):
         revision = self.revision
-        if self._node.number == number_before:
+        if self._node.revision_number == number_before:
             return
         log.info("revision", revision=revision.number, members=len(revision.members))
         self._match_peer_tasks()
@@ -278,10 +278,10 @@
             log.info("table-answers")
         self._table_answered = True
         if revision is not None:
-            before = self._node.number
-            self._node.take_head(revision, sent_at, now())
+            before = self._node.revision_number
+            self._node.handle_table_revision(revision, sent_at, now())
             self._tell_revision(before)
-        if not self._leaving and not self._node.listed:
+        if not self._leaving and not self._node.is_listed:
             await self._join()
 
     async def _join(self):
@@ -292,12 +292,12 @@
             return members
 
         revision = await self._revisions.change_members(with_self, self.revision)
-        before = self._node.number
+        before = self._node.revision_number
         self._node.apply(revision, now())
         self._tell_revision(before)
 
     async def _tidy(self):
         while True:
             await asyncio.sleep(self.times.eviction_s)
-            self.records.drop_old(now())
+            self.records.drop_expired(now())
             await self._peers.keep({member.peer_address for member in self._node.peers})
--- a/cowslipcourse/emulator/daemons.py
+++ b/cowslipcourse/emulator/daemons.py
@@ -10,8 +10,8 @@
 from cowslipcourse.entry.settings import EntrySettings
 from cowslipcourse.entry.silence import SilenceWatch
 from cowslipcourse.entry.tools import EntryTools
-from cowslipcourse.quarantine import KeptVerdicts
-from cowslipcourse.quarantining import Quarantine, TargetEnds
+from cowslipcourse.quarantine import VerdictStore
+from cowslipcourse.quarantining import Quarantine, TargetExitDetector
 
 __all__ = ["DataCentres", "EmulatedDaemon", "WholeSite"]
 
@@ -105,8 +105,8 @@
         """Lose what it knows of requests that end engines, as in a new start."""
         heads = self._heads
         peers = self._network.peers(self.name)
-        ends = TargetEnds(self.fleet.expects, heads.refuses)
-        kept = KeptVerdicts(heads.world, heads.now)
+        ends = TargetExitDetector(self.fleet.expects, heads.refuses)
+        kept = VerdictStore(heads.world, heads.now)
         self._tools.quarantine = Quarantine(peers, ends, kept)
         self._network.attach(self.name, self._tools.quarantine)
 
--- a/cowslipcourse/emulator/messages.py
+++ b/cowslipcourse/emulator/messages.py
@@ -12,18 +12,18 @@
         self._network = network
         self.address = name
 
-    def living(self):
+    def alive_addresses(self):
         """Return the names of the other daemons that it hears."""
         return self._network.heard_by(self.address)
 
-    def all(self):
+    def all_addresses(self):
         """Return the names of all other daemons."""
         return [name for name in self._network.names if name != self.address]
 
-    def spoken_to(self):
+    def repeat_addresses(self):
         """Return all others if it is the first that it knows of."""
-        others = self.all()
-        is_first = all(self.address < name for name in self.living())
+        others = self.all_addresses()
+        is_first = all(self.address < name for name in self.alive_addresses())
         return others if is_first else []
 
     def send(self, message, addresses):
--- a/cowslipcourse/entry/coordinator.py
+++ b/cowslipcourse/entry/coordinator.py
@@ -32,7 +32,7 @@
     spares_of,
     wishes,
 )
-from cowslipcourse.peers import GroupNews, OpenedHead
+from cowslipcourse.peers import GroupUpdate, OpenedHead
 from cowslipcourse.ports import EngineOrder, OrderName
 
 __all__ = ["Coordinator"]
@@ -57,7 +57,7 @@
     :param control: :class:`~cowslipcourse.ports.EngineControl`
     :param settings: :class:`~cowslipcourse.entry.settings.ControlSettings`
     :param scope: :class:`~cowslipcourse.entry.scope.Scope`
-    :param tell: called with :class:`~cowslipcourse.peers.GroupNews` for all daemons.
+    :param tell: called with :class:`~cowslipcourse.peers.GroupUpdate` for all daemons.
     """
 
     def __init__(self, tools, store, control, settings, scope, tell):
@@ -235,7 +235,7 @@
         if spec is None or not group or group.epoch != order.epoch:
             return
         head = OpenedHead(engine.id, engine.incarnation, group.model, spec.open_s)
-        self._tell(GroupNews(group.name, group.epoch, head))
+        self._tell(GroupUpdate(group.name, group.epoch, head))
 
     # Orders and questions.
 
@@ -315,7 +315,7 @@
         if known is None or known == group:
             continue
         # If a retired group is formed anew, its epoch is a later one.
-        yield GroupNews(group.name, group.epoch + group.is_retired)
+        yield GroupUpdate(group.name, group.epoch + group.is_retired)
 
 
 def _log_revision(plan, groups, version):
--- a/cowslipcourse/entry/daemon.py
+++ b/cowslipcourse/entry/daemon.py
@@ -32,8 +32,8 @@
     ready_app,
 )
 from cowslipcourse.ports import era_of
-from cowslipcourse.quarantine import KeptVerdicts
-from cowslipcourse.quarantining import Quarantine, TargetEnds
+from cowslipcourse.quarantine import VerdictStore
+from cowslipcourse.quarantining import Quarantine, TargetExitDetector
 
 __all__ = ["Entry"]
 
@@ -81,8 +81,8 @@
         self._registry = PeerRegistry(settings.peers, settings.data_centre)
         self._fleet.note_peers(self._registry.in_flight)
         self._link = PeerLink(settings, self._registry, self)
-        ends = TargetEnds(self._fleet.expects)
-        kept = KeptVerdicts(self._store, time.time)
+        ends = TargetExitDetector(self._fleet.expects)
+        kept = VerdictStore(self._store, time.time)
         self.quarantine = Quarantine(self._link, ends, kept)
         self._tools = EntryTools(
             settings, self._fleet, attempts, budget, silence, self.quarantine, rng
@@ -210,7 +210,7 @@
         return Heartbeat(
             member=member,
             sequence=self._sequence,
-            is_fit=self._is_fit(now),
+            is_healthy=self._is_fit(now),
             targets_version=self.knowledge.targets_version,
             in_flight=dict(self._fleet.in_flight),
             suspects=self._fleet.suspects(now),
@@ -220,7 +220,7 @@
     def heartbeat_interval_s(self):
         """Return the seconds until the next heartbeat."""
         now = asyncio.get_running_loop().time()
-        return self._registry.interval_s(self._roles.is_reporter, now)
+        return self._registry.heartbeat_interval_s(self._roles.is_reporter, now)
 
     def _is_fit(self, now):
         """Whether others may rely on it: it reads the store, reaches engines, stays."""
@@ -236,7 +236,7 @@
             self._coordinator.look_into(target, epoch)
 
     def _count_daemons(self, now):
-        known = self._registry.number_known(now) + 1
+        known = self._registry.known_daemon_count(now) + 1
         self._tools.budget.daemons = max(known, SMALLEST_SITE)
 
     def take_news(self, news):
@@ -260,7 +260,7 @@
 
     def _addresses(self):
         now = asyncio.get_running_loop().time()
-        ready = self._registry.ready(self._settings.name, now)
+        ready = self._registry.ready_members(self._settings.name, now)
         found = [member.front_address for member in ready]
         if self._is_ready:
             found.append(self._settings.listen.front)
@@ -292,7 +292,7 @@
         era = era_of(self.knowledge.targets_version)
         if era > max(self._era, era_of(self._registering.version)):
             self._registering.note_lost()
-            self.quarantine.note_lost()
+            self.quarantine.mark_all_unsaved()
         self._era = era
         self._metrics.state("store_era", era)
 
--- a/cowslipcourse/entry/fleet.py
+++ b/cowslipcourse/entry/fleet.py
@@ -81,7 +81,7 @@
     def take_news(self, news, now):
         """Take in what a coordinator has decided about a group.
 
-        :param news: :class:`~cowslipcourse.peers.GroupNews`
+        :param news: :class:`~cowslipcourse.peers.GroupUpdate`
         """
         self._heads.take_news(news, self._entries.values(), now)
 
--- a/cowslipcourse/entry/forwarding.py
+++ b/cowslipcourse/entry/forwarding.py
@@ -51,4 +51,4 @@
             log.info("deadline", request=call.id, seconds=waited_s)
             raise DeadlineWhileRunning("no answer in time") from error
         finally:
-            self._tools.quarantine.note_over(call)
+            self._tools.quarantine.note_finished(call)
--- a/cowslipcourse/entry/heads.py
+++ b/cowslipcourse/entry/heads.py
@@ -63,7 +63,7 @@
         )
 
     def take_news(self, news, entries, now):
-        """Take in a :class:`~cowslipcourse.peers.GroupNews`.
+        """Take in a :class:`~cowslipcourse.peers.GroupUpdate`.
 
         :param entries: the whole list.
         :param now: loop time.
--- a/cowslipcourse/entry/peer_link.py
+++ b/cowslipcourse/entry/peer_link.py
@@ -7,9 +7,9 @@
 from cowslipcourse.peers import (
     CrashReports,
     DigestWriter,
-    GroupNews,
+    GroupUpdate,
     Heartbeat,
-    QuarantineNews,
+    QuarantineUpdate,
     RequestCleared,
     TargetChanges,
     decode,
@@ -89,10 +89,10 @@
         reporters = self._registry.reporter_addresses(own, now)
         quick = own._replace(interval_s=self._settings.peers.interval_s)
         self._send(encode(quick), reporters)
-        self._registry.note_told(own.in_flight)
+        self._registry.record_own_in_flight(own.in_flight)
         if self._is_time_for_all(own, now):
             self._told_all_at = now
-            near = self._registry.near_addresses(now)
+            near = self._registry.local_addresses(now)
             self._send(encode(own), [each for each in near if each not in reporters])
         if own.member.name in self._registry.reporters(own, now):
             self._send_digests(own, now)
@@ -104,14 +104,14 @@
         return now - self._told_all_at >= own.interval_s - margin_s
 
     def _send_digests(self, own, now):
-        far = self._digests.for_others(own, now)
-        self._send(encode(far), self._registry.far_addresses(now))
-        near = self._digests.for_own(own, now)
+        far = self._digests.build_remote_digest(own, now)
+        self._send(encode(far), self._registry.remote_addresses(now))
+        near = self._digests.build_local_digest(own, now)
         if near is not None:
-            self._send(encode(near), self._registry.near_addresses(now))
+            self._send(encode(near), self._registry.local_addresses(now))
 
     def tell_news(self, news):
-        """Send a :class:`~cowslipcourse.peers.GroupNews` to all daemons, once.
+        """Send a :class:`~cowslipcourse.peers.GroupUpdate` to all daemons, once.
 
         One that is lost costs what there is without news: the list tells it later.
         """
@@ -123,24 +123,26 @@
         """This daemon's own address among its peers."""
         return self._settings.listen.peer
 
-    def living(self):
+    def alive_addresses(self):
         """Return the addresses of the other daemons that live."""
-        return self._registry.living_addresses(asyncio.get_running_loop().time())
+        return self._registry.alive_addresses(asyncio.get_running_loop().time())
 
-    def all(self):
+    def all_addresses(self):
         """Return the addresses of all other daemons that are known."""
         return self._registry.all_addresses(asyncio.get_running_loop().time())
 
-    def spoken_to(self):
+    def repeat_addresses(self):
         """Return the addresses that this daemon speaks to for its data centre.
 
         They are those of its own data centre and the reporters elsewhere; none if
         another daemon speaks.
         """
         now = asyncio.get_running_loop().time()
-        if not self._registry.speaks(self._daemon.heartbeat(), now):
+        if not self._registry.is_active_reporter(self._daemon.heartbeat(), now):
             return []
-        return self._registry.near_addresses(now) + self._registry.far_addresses(now)
+        return self._registry.local_addresses(now) + self._registry.remote_addresses(
+            now
+        )
 
     def send(self, message, addresses):
         """Send a message to some daemons, once; a datagram may be lost."""
@@ -152,7 +154,7 @@
         if len(content) > MOST_BYTES:
             return
         now = asyncio.get_running_loop().time()
-        self._send(content, self._registry.near_addresses(now))
+        self._send(content, self._registry.local_addresses(now))
 
     def stop(self):
         """Stop listening."""
@@ -173,14 +175,14 @@
         now = asyncio.get_running_loop().time()
         if isinstance(message, TargetChanges):
             self._daemon.knowledge.take_push(message)
-        elif isinstance(message, GroupNews):
+        elif isinstance(message, GroupUpdate):
             self._daemon.take_news(message)
-        elif isinstance(message, CrashReports | QuarantineNews | RequestCleared):
+        elif isinstance(message, CrashReports | QuarantineUpdate | RequestCleared):
             self._daemon.quarantine.take(message)
         elif isinstance(message, Heartbeat):
             if message.member.name != self._settings.name:
                 self._take_heartbeat(message, now)
-        elif self._registry.note_digest(message, now):
+        elif self._registry.record_digest(message, now):
             self._hand_on(content, message, now)
             self._daemon.heard(message)
 
@@ -191,7 +193,7 @@
         that takes over a second in a large data centre.
         """
         is_first = self._registry.is_unknown(heartbeat.member)
-        if not self._registry.note_heartbeat(heartbeat, now):
+        if not self._registry.record_heartbeat(heartbeat, now):
             return
         if is_first:
             own = self._daemon.heartbeat()
@@ -203,5 +205,5 @@
         is_near = digest.reporter.data_centre == self._settings.data_centre
         if is_near or digest.in_flight is None:
             return
-        if self._registry.speaks(self._daemon.heartbeat(), now):
-            self._send(content, self._registry.near_addresses(now))
+        if self._registry.is_active_reporter(self._daemon.heartbeat(), now):
+            self._send(content, self._registry.local_addresses(now))
--- a/cowslipcourse/entry/peer_reading.py
+++ b/cowslipcourse/entry/peer_reading.py
@@ -43,7 +43,11 @@
         newer = self._registry.with_newer_configuration(knowledge.configuration, now)
         if newer:
             return self._shuffled(newer)
-        near = [heartbeat for heartbeat in self._registry.near(now) if heartbeat.is_fit]
+        near = [
+            heartbeat
+            for heartbeat in self._registry.local_heartbeats(now)
+            if heartbeat.is_healthy
+        ]
         wanted = self._missed_version(knowledge, near, now)
         if wanted is not None:
             return self._shuffled(
--- a/cowslipcourse/entry/retrying.py
+++ b/cowslipcourse/entry/retrying.py
@@ -40,7 +40,7 @@
         run = TargetRun(entry)
         is_last = runs + 1 >= call.route.max_attempts
         try:
-            with tools.quarantine.watching(call, run):
+            with tools.quarantine.tracking(call, run):
                 await attempt(run, is_last)
         except TargetError as error:
             runs += may_have_run(error)
--- a/cowslipcourse/entry/roles.py
+++ b/cowslipcourse/entry/roles.py
@@ -3,7 +3,7 @@
 import asyncio
 
 from cowslipcourse.adapters.log import get_logger
-from cowslipcourse.peers import order_of_registration
+from cowslipcourse.peers import registration_order
 
 __all__ = ["Roles", "is_settled"]
 
@@ -68,7 +68,7 @@
             return False
         first = self._firsts.get(data_centre)
         if first is None:
-            first = min(self._firsts.values(), key=order_of_registration)
+            first = min(self._firsts.values(), key=registration_order)
         return first.name == self._settings.name
 
     async def run(self):
@@ -83,10 +83,12 @@
             own = self._daemon.heartbeat()
             reporters = self._registry.reporters(own, now)
             is_reporter = self._is_reporter = own.member.name in reporters
-            self._firsts = self._registry.first_reporters(own, now)
+            self._firsts = self._registry.first_reporter_by_data_centre(own, now)
             # Without any reporter everybody reads. The second one reads once the first
             # is late: two at once were half of a large site's calls to the store.
-            self._knowledge.follow(not reporters or self._registry.speaks(own, now))
+            self._knowledge.follow(
+                not reporters or self._registry.is_active_reporter(own, now)
+            )
             if self._daemon.is_draining:
                 continue
             if is_reporter and not was_reporter:
--- a/cowslipcourse/entry/streaming.py
+++ b/cowslipcourse/entry/streaming.py
@@ -36,7 +36,7 @@
     @property
     def resume_after(self):
         """Id of the last event that was passed on, or ``None``."""
-        return self.position.last if self.position.passed else None
+        return self.position.last if self.position.forwarded else None
 
     @property
     def has_begun(self):
@@ -107,7 +107,7 @@
                 continue
             stream.has_begun = True
             await self._pass_on(progress, run, head, events)
-        if splitter.has_rest:
+        if splitter.has_partial_event:
             raise AnswerBroken("the stream ended inside an event")
         run.succeeded = True
         if not responder.started:
@@ -115,9 +115,9 @@
         await responder.finish()
 
     async def _pass_on(self, progress, run, head, events):
-        passed = progress.position.passed
-        content, fault = progress.position.take(events)
-        run.events += progress.position.passed - passed
+        passed = progress.position.forwarded
+        content, fault = progress.position.take_new(events)
+        run.events += progress.position.forwarded - passed
         run.reached = progress.position.last or 0
         if content:
             progress.note_events(asyncio.get_running_loop().time())
@@ -150,7 +150,7 @@
         place_s=round(progress.place_s, 3),
         target=entry.id,
         attempts=attempts,
-        events=progress.position.passed,
+        events=progress.position.forwarded,
         first_s=None if progress.first_s is None else round(progress.first_s, 3),
         pause_s=round(progress.longest_pause_s, 3),
         seconds=round(now - call.arrived_at, 3),
--- a/cowslipcourse/gateway/generation.py
+++ b/cowslipcourse/gateway/generation.py
@@ -81,7 +81,7 @@
                 async for piece in pieces:
                     yield piece
         finally:
-            quarantine.note_over(self._suspect)
+            quarantine.note_finished(self._suspect)
 
     async def _attempts(self):
         attempts = self._tools.settings.limits.attempts
@@ -146,7 +146,7 @@
             checked_at, granted_at = now(), tools.view.granted_at(spec)
             self.groups.append(spec.group)
             batches = tools.targets.generate(spec.leader.address, request)
-            with tools.quarantine.watching(self._suspect, self._run):
+            with tools.quarantine.tracking(self._suspect, self._run):
                 async with aclosing(batches):
                     async for events in batches:
                         if not events:
--- a/cowslipcourse/gateway/quarantine_ports.py
+++ b/cowslipcourse/gateway/quarantine_ports.py
@@ -14,8 +14,8 @@
 from cowslipcourse.peers import decode, encode
 from cowslipcourse.ports import RowChanges, StoredRow
 from cowslipcourse.ports.platform import ABSENT, Transaction
-from cowslipcourse.quarantine import KeptVerdicts
-from cowslipcourse.quarantining import Quarantine, TargetEnds
+from cowslipcourse.quarantine import VerdictStore
+from cowslipcourse.quarantining import Quarantine, TargetExitDetector
 
 __all__ = [
     "GroupRun",
@@ -111,19 +111,19 @@
         """This gateway's name."""
         return self._agent.member.name
 
-    def all(self):
+    def all_addresses(self):
         """Return the names of the other gateways."""
         peers = self._agent.node.peers
         return [peer.name for peer in peers if peer.role == Role.GATEWAY]
 
-    def living(self):
+    def alive_addresses(self):
         """Return the names of the other gateways that answer."""
         silent = set(self._agent.silent(self._agent.times.isolation_s))
-        return [name for name in self.all() if name not in silent]
+        return [name for name in self.all_addresses() if name not in silent]
 
-    def spoken_to(self):
+    def repeat_addresses(self):
         """Return the names of the others if this gateway is to repeat verdicts."""
-        others = self.living()
+        others = self.alive_addresses()
         return others if self.address < min(others, default="") else []
 
     def send(self, message, addresses):
@@ -192,10 +192,10 @@
     :param table: :class:`~cowslipcourse.ports.TableService`
     """
     peers = RecordPeers(agent)
-    ends = TargetEnds(
+    ends = TargetExitDetector(
         lambda leader: not view.is_departing(leader.id), targets.has_ended
     )
-    kept = KeptVerdicts(TableRows(table), time.time)
+    kept = VerdictStore(TableRows(table), time.time)
     quarantine = Quarantine(peers, ends, kept)
     peers.listen(quarantine.take)
     return quarantine
--- a/cowslipcourse/leases/observed.py
+++ b/cowslipcourse/leases/observed.py
@@ -13,26 +13,26 @@
     A taker cannot know when the holder renewed, only that the row has not changed
     since the taker first read it. It therefore waits the whole term from then.
 
-    :param mark: row versions that change with each holder and each renewal.
-    :param unchanged_since: loop time of the answer that first showed ``mark``.
+    :param row_versions: row versions that change with each holder and each renewal.
+    :param unchanged_since: loop time of the answer that first showed ``row_versions``.
     :param terms: :class:`LeaseTerms`
     """
 
-    mark: tuple[int, int]
+    row_versions: tuple[int, int]
     unchanged_since: float
     terms: LeaseTerms
 
-    def observed(self, mark, now):
+    def observed(self, row_versions, now):
         """Return the view after another read.
 
-        :param mark: row versions read.
+        :param row_versions: row versions read.
         :param now: loop time after the read was answered.
         """
-        if mark == self.mark:
+        if row_versions == self.row_versions:
             return self
-        return ObservedLease(mark, now, self.terms)
+        return ObservedLease(row_versions, now, self.terms)
 
-    def may_take(self, now):
+    def may_acquire(self, now):
         """Return whether the lease has lapsed for certain."""
         waited = now - self.unchanged_since
         return waited > self.terms.term_s + self.terms.margin_s
--- a/cowslipcourse/membership/acceptance.py
+++ b/cowslipcourse/membership/acceptance.py
@@ -12,7 +12,7 @@
 
 __all__ = ["AcceptanceRule"]
 
-MOST_CANDIDATES = 50
+MAX_CANDIDATE_REVISIONS = 50
 """Revisions before the newest that are considered."""
 
 
@@ -27,7 +27,7 @@
         self._times = times
         self._contacts = contacts
 
-    def missing(self, revision):
+    def members_behind(self, revision):
         """Return the names of members not known to run a revision.
 
         :param revision: :class:`~cowslipcourse.membership.Revision`
@@ -36,7 +36,7 @@
         return sorted(
             member.name
             for member in revision.members.values()
-            if self._contacts.past_since(member.incarnation, number - 1) is None
+            if self._contacts.moved_past_at(member.incarnation, number - 1) is None
         )
 
     def newest_accepted(self, revision: Revision, last_accepted, now):
@@ -48,7 +48,7 @@
         :param last_accepted: number of the last accepted revision.
         :param now: loop time.
         """
-        oldest = max(last_accepted, revision.number - MOST_CANDIDATES)
+        oldest = max(last_accepted, revision.number - MAX_CANDIDATE_REVISIONS)
         for number in range(revision.number, oldest, -1):
             if self._accepted(number, revision, last_accepted, now):
                 return number
@@ -63,38 +63,39 @@
             newest_with_list = min(next_first, number) - 1
             if newest_with_list < max(listed.first, last_accepted):
                 continue
-            if not self._extinct(listed.runs, newest_with_list, revision, now):
+            if not self._cannot_be_served(listed.runs, newest_with_list, revision, now):
                 return False
         return True
 
-    def _extinct(self, runs, number, revision, now):
+    def _cannot_be_served(self, runs, number, revision, now):
         """Return whether nobody can serve a revision that listed certain runs."""
         past = [
-            self._contacts.past_since(incarnation, number)
+            self._contacts.moved_past_at(incarnation, number)
             for incarnation, _ in runs.values()
         ]
         if all(since is not None for since in past):
             return True
-        ripe_before = now - self._times.eviction_s
+        moved_before = now - self._times.eviction_s
         gone = sum(
-            self._is_past(run, number, revision, ripe_before) for run in runs.values()
+            self._has_moved_past(run, number, revision, moved_before)
+            for run in runs.values()
         )
         return 2 * gone > len(runs)
 
-    def _is_past(self, run, number, revision, ripe_before):
+    def _has_moved_past(self, run, number, revision, moved_before):
         """Return whether a run has been past a revision, or gone, for long enough.
 
         A run is gone if another one answers at its address: two processes cannot
         both be reached there.
         """
         incarnation, address = run
-        since = self._contacts.past_since(incarnation, number)
-        if since is not None and since <= ripe_before:
+        since = self._contacts.moved_past_at(incarnation, number)
+        if since is not None and since <= moved_before:
             return True
         for member in revision.members.values():
             if member.peer_address != address or member.incarnation == incarnation:
                 continue
-            since = self._contacts.past_since(member.incarnation, number)
-            if since is not None and since <= ripe_before:
+            since = self._contacts.moved_past_at(member.incarnation, number)
+            if since is not None and since <= moved_before:
                 return True
         return False
--- a/cowslipcourse/membership/contacts.py
+++ b/cowslipcourse/membership/contacts.py
@@ -4,7 +4,7 @@
 
 __all__ = ["Contact", "Contacts"]
 
-MOST_RUNS = 4096
+MAX_TRACKED_INCARNATIONS = 4096
 """Runs of daemons whose revisions are remembered."""
 
 
@@ -38,19 +38,19 @@
         self._steps = {}
         self._expected_since = {}
 
-    def heard(self, name, contact, now):
+    def record_answer(self, name, contact, now):
         """Take in an answered heartbeat.
 
         :param name: peer name.
         :param contact: :class:`Contact`
         :param now: loop time when the answer was taken in.
         """
-        self.reached(contact.incarnation, contact.revision, now)
+        self.record_revision(contact.incarnation, contact.revision, now)
         known = self._contacts.get(name)
         if known is None or known.sent_at <= contact.sent_at:
             self._contacts[name] = contact
 
-    def reached(self, incarnation, revision, now):
+    def record_revision(self, incarnation, revision, now):
         """Note that a run has reached a revision; a run never goes back.
 
         :param incarnation: the run.
@@ -63,10 +63,10 @@
         steps.append((revision, now))
         while len(steps) > 1 and steps[1][1] < now - self._memory_s:
             steps.pop(0)
-        while len(self._steps) > MOST_RUNS:
+        while len(self._steps) > MAX_TRACKED_INCARNATIONS:
             del self._steps[next(iter(self._steps))]
 
-    def past_since(self, incarnation, revision):
+    def moved_past_at(self, incarnation, revision):
         """Return since when a run is known to be past a revision.
 
         :returns: loop time, or ``None`` if it is not known to be past it.
@@ -80,7 +80,7 @@
         """Return the newest contact with a peer, or ``None``."""
         return self._contacts.get(name)
 
-    def counted(self, member, revision, now, within_s):
+    def confirms_revision(self, member, revision, now, within_s):
         """Return whether a member vouches for a revision.
 
         It does if it answered a heartbeat that was sent lately, takes work itself
@@ -93,7 +93,7 @@
             return False
         return now - contact.sent_at <= within_s
 
-    def silent(self, members, now, after_s):
+    def silent_members(self, members, now, after_s):
         """Return the names of members that have not answered for some time.
 
         A member that was never heard counts from when it was first expected.
@@ -108,7 +108,7 @@
                 names.add(member.name)
         return frozenset(names)
 
-    def expect(self, members, now):
+    def set_members(self, members, now):
         """Take in who the members are; contacts with others are dropped.
 
         :param members: iterable of :class:`~cowslipcourse.membership.Member`
--- a/cowslipcourse/membership/node.py
+++ b/cowslipcourse/membership/node.py
@@ -56,7 +56,7 @@
         return self._rule.revision
 
     @property
-    def number(self):
+    def revision_number(self):
         """Number of the revision that runs here; 0 for none."""
         return self.revision.number if self.revision else 0
 
@@ -67,21 +67,21 @@
         return [member for member in members if member.name != self._member.name]
 
     @property
-    def listed(self):
+    def is_listed(self):
         """Whether the revision that runs here lists this run."""
         return self.revision is not None and self.revision.includes(self._member)
 
     def may_serve(self, now):
         """Return whether this daemon may take new work."""
-        return self._rule.judge(now)
+        return self._rule.update(now)
 
-    def silent(self, now):
+    def silent_members(self, now):
         """Return the names of members that do not answer this daemon."""
-        return self._contacts.silent(self.peers, now, self._times.eviction_s)
+        return self._contacts.silent_members(self.peers, now, self._times.eviction_s)
 
-    def silent_to_most(self, now):
+    def silent_to_majority(self, now):
         """Return the members that most of those who answer cannot reach either."""
-        own = self.silent(now)
+        own = self.silent_members(now)
         answering = [
             contact.silent
             for name in (self.revision.members if self.revision else ())
@@ -96,9 +96,9 @@
             if 2 * (1 + sum(name in silent for silent in answering)) > witnesses
         )
 
-    def missing(self):
+    def members_behind(self):
         """Return the names of members not known to run the newest revision."""
-        return self._acceptance.missing(self.revision) if self.revision else []
+        return self._acceptance.members_behind(self.revision) if self.revision else []
 
     def newest_accepted(self, last_accepted, now):
         """Return the newest revision number that is in force everywhere.
@@ -109,18 +109,18 @@
             return last_accepted
         return self._acceptance.newest_accepted(self.revision, last_accepted, now)
 
-    def heartbeat_to(self, member, now):
+    def build_heartbeat(self, member, now):
         """Return the :class:`Heartbeat` to be sent to a member."""
         incarnation, position = self._positions.get(member.name, ("", 0))
         revision = self.revision
         return Heartbeat(
             name=self._member.name,
             incarnation=self._member.incarnation,
-            revision=self.number,
+            revision=self.revision_number,
             configuration_number=revision.configuration_number if revision else 0,
             position_incarnation=incarnation,
             position=position,
-            silent=self.silent(now),
+            silent=self.silent_members(now),
         )
 
     def answer(self, heartbeat, now):
@@ -142,15 +142,15 @@
         )
         return HeartbeatAnswer(
             incarnation=self._member.incarnation,
-            revision=self.number,
+            revision=self.revision_number,
             stopped=not serving,
             position=self._records.position,
-            silent=self.silent(now),
+            silent=self.silent_members(now),
             newer=newer,
             records=records,
         )
 
-    def take_answer(self, member, answer, sent_at, now):
+    def handle_heartbeat_answer(self, member, answer, sent_at, now):
         """Take in the answer to a heartbeat.
 
         :param member: who was asked.
@@ -163,13 +163,13 @@
         if answer.incarnation != member.incarnation:
             return None
         if answer.newer is not None:
-            self.apply(self._completed(answer.newer), now)
+            self.apply(self._with_configuration(answer.newer), now)
         contact = Contact(
             sent_at, answer.incarnation, answer.revision, answer.stopped, answer.silent
         )
-        self._contacts.heard(member.name, contact, now)
+        self._contacts.record_answer(member.name, contact, now)
         if not answer.stopped:
-            self._rule.confirmed_by_peer(answer.revision, now)
+            self._rule.record_peer_confirmation(answer.revision, now)
         self._positions[member.name] = (answer.incarnation, answer.position)
         new = []
         for record in answer.records:
@@ -179,7 +179,7 @@
                 new.append(aged)
         return new
 
-    def take_head(self, revision, sent_at, now):
+    def handle_table_revision(self, revision, sent_at, now):
         """Take in the newest revision as read from the table.
 
         :param revision: :class:`~cowslipcourse.membership.Revision`
@@ -187,7 +187,7 @@
         """
         self.may_serve(now)
         self.apply(revision, now)
-        self._rule.confirmed_by_table(revision.number, sent_at, now)
+        self._rule.record_table_confirmation(revision.number, sent_at, now)
 
     def apply(self, revision, now):
         """Run a revision if it is newer; returns whether it was.
@@ -196,10 +196,10 @@
         """
         if revision is None or not self._rule.apply(revision, now):
             return False
-        self._contacts.reached(self._member.incarnation, revision.number, now)
+        self._contacts.record_revision(self._member.incarnation, revision.number, now)
         return True
 
-    def _completed(self, revision):
+    def _with_configuration(self, revision):
         """Return a peer's revision with its configuration, if that is known here."""
         if revision.configuration is not None:
             return revision
--- a/cowslipcourse/membership/records.py
+++ b/cowslipcourse/membership/records.py
@@ -83,7 +83,7 @@
             changed.append(self._records[key])
         return changed
 
-    def drop_old(self, now):
+    def drop_expired(self, now):
         """Drop records that were not renewed for a long time."""
         for key, record in list(self._records.items()):
             if now - record.observed_at > self._keep_s:
--- a/cowslipcourse/membership/serving.py
+++ b/cowslipcourse/membership/serving.py
@@ -52,7 +52,7 @@
         """The revision that this daemon runs, or ``None``."""
         return self._revision
 
-    def judge(self, now):
+    def update(self, now):
         """Stop if contact was lost; call it before taking in anything new.
 
         :param now: loop time.
@@ -72,36 +72,36 @@
         if self._revision is not None and revision.number <= self._revision.number:
             return False
         self._revision = revision
-        self._contacts.expect(revision.members.values(), now)
+        self._contacts.set_members(revision.members.values(), now)
         if not revision.includes(self._member):
             self._stopped = True
         return True
 
-    def confirmed_by_table(self, number, sent_at, now):
+    def record_table_confirmation(self, number, sent_at, now):
         """Take in an answered read of the newest revision's number.
 
         :param number: newest revision in the table.
         :param sent_at: loop time just before the read was sent.
         :param now: loop time.
         """
-        self.judge(now)
-        if not self._runs(number):
+        self.update(now)
+        if not self._runs_at_least(number):
             return
         self._table_contact_at = sent_at
         if now - sent_at <= self._times.isolation_s:
             self._stopped = False
 
-    def confirmed_by_peer(self, number, now):
+    def record_peer_confirmation(self, number, now):
         """Take in a running peer's word that a revision is the newest it knows.
 
         Contact with one peer does not restart a stopped daemon unless, with it, the
         daemon counts half of the members again.
         """
-        self.judge(now)
-        if self._stopped and self._runs(number) and self._counts_half(now):
+        self.update(now)
+        if self._stopped and self._runs_at_least(number) and self._has_quorum(now):
             self._stopped = not self._in_contact(now)
 
-    def _runs(self, number):
+    def _runs_at_least(self, number):
         current = self._revision
         if current is None or current.number < number:
             return False
@@ -111,9 +111,9 @@
         at = self._table_contact_at
         if at is not None and now - at <= self._times.isolation_s:
             return True
-        return self._counts_half(now)
+        return self._has_quorum(now)
 
-    def _counts_half(self, now):
+    def _has_quorum(self, now):
         if self._revision is None or not self._revision.includes(self._member):
             return False
         members = self._revision.members.values()
--- a/cowslipcourse/peers/__init__.py
+++ b/cowslipcourse/peers/__init__.py
@@ -4,11 +4,11 @@
 from cowslipcourse.peers.messages import (
     CrashReports,
     Digest,
-    GroupNews,
+    GroupUpdate,
     Heartbeat,
     Member,
     OpenedHead,
-    QuarantineNews,
+    QuarantineUpdate,
     RequestCleared,
     TargetChanges,
     decode,
@@ -19,7 +19,7 @@
     decode_registration,
     encode_registration,
 )
-from cowslipcourse.peers.registry import PeerRegistry, order_of_registration
+from cowslipcourse.peers.registry import PeerRegistry, registration_order
 from cowslipcourse.peers.splitting import split_changes
 from cowslipcourse.peers.state import PeerState, decode_state, encode_state
 
@@ -27,13 +27,13 @@
     "CrashReports",
     "Digest",
     "DigestWriter",
-    "GroupNews",
+    "GroupUpdate",
     "Heartbeat",
     "Member",
     "OpenedHead",
     "PeerRegistry",
     "PeerState",
-    "QuarantineNews",
+    "QuarantineUpdate",
     "Registration",
     "RequestCleared",
     "TargetChanges",
@@ -43,6 +43,6 @@
     "encode",
     "encode_registration",
     "encode_state",
-    "order_of_registration",
+    "registration_order",
     "split_changes",
 ]
--- a/cowslipcourse/peers/digests.py
+++ b/cowslipcourse/peers/digests.py
@@ -32,23 +32,25 @@
         self._spoke_at = None
         self._told_suspects = set()
 
-    def for_own(self, own, now):
+    def build_local_digest(self, own, now):
         """Return the digest for the own data centre, or ``None`` if it needs none.
 
         :param own: this daemon's own :class:`~cowslipcourse.peers.Heartbeat`.
         :param now: loop time.
         """
-        if not self._registry.is_large(now) or not self._registry.speaks(own, now):
+        if not self._registry.is_large(now) or not self._registry.is_active_reporter(
+            own, now
+        ):
             return None
         return self._content(own, now, self._near_members)
 
-    def for_others(self, own, now):
+    def build_remote_digest(self, own, now):
         """Return the digest for reporters elsewhere: content, or that this one lives.
 
         When both reporters told everything, four times a second and uncompressed, a
         link that handed that on to 38 daemons carried 1.9 MB/s of it.
         """
-        if self._registry.speaks(own, now) and self._is_due(own, now):
+        if self._registry.is_active_reporter(own, now) and self._is_due(own, now):
             return self._content(own, now, self._far_members)
         self._number += 1
         return Digest(own.member, self._number, None, None, {})
@@ -56,7 +58,7 @@
     def _is_due(self, own, now):
         """Whether it is time for content, or a suspicion is to be told at once."""
         suspects = set(own.suspects)
-        for heartbeat in self._registry.near(now):
+        for heartbeat in self._registry.local_heartbeats(now):
             suspects |= set(heartbeat.suspects)
         is_news = not suspects <= self._told_suspects
         self._told_suspects = suspects
@@ -64,14 +66,14 @@
         # Digests go with heartbeats, so the next chance is one interval later.
         margin_s = self._settings.interval_s / 2
         if not is_news and spoke_s is not None:
-            if spoke_s < self._registry.digest_s(now) - margin_s:
+            if spoke_s < self._registry.digest_interval_s(now) - margin_s:
                 return False
         self._spoke_at = now
         return True
 
     def _content(self, own, now, member_news):
         self._number += 1
-        near = [own, *self._registry.listed(now)]
+        near = [own, *self._registry.routable_heartbeats(now)]
         in_flight, suspects = {}, {}
         for heartbeat in near:
             suspects |= heartbeat.suspects
--- a/cowslipcourse/peers/messages.py
+++ b/cowslipcourse/peers/messages.py
@@ -13,11 +13,11 @@
 __all__ = [
     "CrashReports",
     "Digest",
-    "GroupNews",
+    "GroupUpdate",
     "Heartbeat",
     "Member",
     "OpenedHead",
-    "QuarantineNews",
+    "QuarantineUpdate",
     "RequestCleared",
     "TargetChanges",
     "decode",
@@ -56,7 +56,7 @@
 
     :param member: the sender.
     :param sequence: counts the heartbeats of its run.
-    :param is_fit: whether it reaches the store, if it asks it, and the engines, and
+    :param is_healthy: whether it reaches the store, if it asks it, and the engines, and
         is not about to stop.
     :param targets_version: store version up to which its list of targets is complete.
     :param in_flight: its requests in flight by target id.
@@ -66,7 +66,7 @@
 
     member: Member
     sequence: _Count
-    is_fit: bool
+    is_healthy: bool
     targets_version: _Count
     in_flight: dict[str, _Count]
     suspects: dict[str, _Count]
@@ -107,7 +107,7 @@
     gone: tuple[str, ...]
 
 
-class GroupNews(NamedTuple):
+class GroupUpdate(NamedTuple):
     """What a coordinator has decided about a group, for all daemons.
 
     The list of targets tells the same, up to a second later.
@@ -146,7 +146,7 @@
     reports: tuple[CrashReport, ...]
 
 
-class QuarantineNews(NamedTuple):
+class QuarantineUpdate(NamedTuple):
     """Requests that are not to be sent to targets, for all daemons.
 
     :param verdicts: their times are seconds from now on.
@@ -167,9 +167,9 @@
 _KINDS = {
     b"C": CrashReports,
     b"D": Digest,
-    b"G": GroupNews,
+    b"G": GroupUpdate,
     b"H": Heartbeat,
-    b"Q": QuarantineNews,
+    b"Q": QuarantineUpdate,
     b"R": RequestCleared,
     b"T": TargetChanges,
 }
--- a/cowslipcourse/peers/pace.py
+++ b/cowslipcourse/peers/pace.py
@@ -6,7 +6,12 @@
 them, and there are two at most.
 """
 
-__all__ = ["alive_s", "digest_s", "interval_s", "listed_s"]
+__all__ = [
+    "digest_interval_s",
+    "heartbeat_interval_s",
+    "liveness_timeout_s",
+    "routable_timeout_s",
+]
 
 UNSLOWED = 8
 """Daemons in a data centre up to which none slows down: 32 heartbeats a second."""
@@ -19,29 +24,29 @@
 """Heartbeats after whose absence callers are sent elsewhere: one may be lost."""
 
 
-def interval_s(settings, number_near, is_reporter):
+def heartbeat_interval_s(settings, local_daemon_count, is_reporter):
     """Return the seconds between the heartbeats of a daemon.
 
     :param settings: :class:`~cowslipcourse.entry.settings.PeerSettings`
-    :param number_near: daemons in its data centre.
+    :param local_daemon_count: daemons in its data centre.
     :param is_reporter: whether it reads the store for the others.
     """
     if is_reporter:
         return settings.interval_s
-    return settings.interval_s * max(1.0, number_near / UNSLOWED)
+    return settings.interval_s * max(1.0, local_daemon_count / UNSLOWED)
 
 
-def digest_s(settings, number_near):
+def digest_interval_s(settings, local_daemon_count):
     """Return the seconds between digests that say what a data centre has in flight.
 
     :param settings: :class:`~cowslipcourse.entry.settings.PeerSettings`
-    :param number_near: daemons in the data centre.
+    :param local_daemon_count: daemons in the data centre.
     """
-    grown_s = settings.interval_s * max(1.0, number_near / DIGEST_GROWS_FROM)
+    grown_s = settings.interval_s * max(1.0, local_daemon_count / DIGEST_GROWS_FROM)
     return min(LONGEST_DIGEST_S, grown_s)
 
 
-def alive_s(settings, heartbeat):
+def liveness_timeout_s(settings, heartbeat):
     """Return the silence after which the sender of a heartbeat counts as gone.
 
     :param heartbeat: its last :class:`~cowslipcourse.peers.Heartbeat`.
@@ -49,7 +54,7 @@
     return settings.alive_s * heartbeat.interval_s / settings.interval_s
 
 
-def listed_s(settings, heartbeat):
+def routable_timeout_s(settings, heartbeat):
     """Return the silence after which callers are no longer sent to a daemon.
 
     :param heartbeat: its last :class:`~cowslipcourse.peers.Heartbeat`.
--- a/cowslipcourse/peers/registry.py
+++ b/cowslipcourse/peers/registry.py
@@ -9,9 +9,14 @@
 
 from cowslipcourse.peers.load import PeerLoad
 from cowslipcourse.peers.messages import Digest, Heartbeat
-from cowslipcourse.peers.pace import alive_s, digest_s, interval_s, listed_s
+from cowslipcourse.peers.pace import (
+    digest_interval_s,
+    heartbeat_interval_s,
+    liveness_timeout_s,
+    routable_timeout_s,
+)
 
-__all__ = ["PeerRegistry", "order_of_registration"]
+__all__ = ["PeerRegistry", "registration_order"]
 
 LARGE_DATA_CENTRE = 8
 """Daemons beyond which a data centre has two reporters: more depend on them."""
@@ -41,7 +46,7 @@
     return "data centre", data_centre
 
 
-def order_of_registration(member):
+def registration_order(member):
     """Return the key by which those that registered first come first."""
     return member.registration, member.name
 
@@ -77,7 +82,7 @@
         known = self._heartbeats.get(member.name)
         return known is None or known.message.member.incarnation != member.incarnation
 
-    def note_heartbeat(self, heartbeat, now):
+    def record_heartbeat(self, heartbeat, now):
         """Take in a heartbeat; return whether it is newer than what was known."""
         member = heartbeat.member
         known = self._heartbeats.get(member.name)
@@ -93,11 +98,11 @@
             self._load.tell(_near(member.name), heartbeat.in_flight)
         return True
 
-    def note_told(self, in_flight):
+    def record_own_in_flight(self, in_flight):
         """Note what this daemon has told of itself: the next digests contain it."""
         self._told = in_flight
 
-    def note_digest(self, digest, now):
+    def record_digest(self, digest, now):
         """Take in a digest; return whether it is newer than what was known."""
         reporter = digest.reporter
         key = reporter.data_centre, reporter.name
@@ -143,20 +148,20 @@
         if self._is_told(now):
             self._load.keep(far | {_far(self._data_centre)})
             return
-        near = {_near(h.member.name): h.in_flight for h in self.near(now)}
+        near = {_near(h.member.name): h.in_flight for h in self.local_heartbeats(now)}
         for name in near.keys() - self._load.senders:
             # Until now a digest told it with that of all others.
             self._load.tell(name, near[name])
         self._load.keep(near.keys() | far)
 
-    def interval_s(self, is_reporter, now):
+    def heartbeat_interval_s(self, is_reporter, now):
         """Return the seconds until this daemon's next heartbeat."""
-        number = len(self.near(now)) + 1
-        return interval_s(self._settings, number, is_reporter)
+        number = len(self.local_heartbeats(now)) + 1
+        return heartbeat_interval_s(self._settings, number, is_reporter)
 
-    def digest_s(self, now):
+    def digest_interval_s(self, now):
         """Return the seconds between digests that say what this data centre does."""
-        return digest_s(self._settings, len(self.near(now)) + 1)
+        return digest_interval_s(self._settings, len(self.local_heartbeats(now)) + 1)
 
     def _is_newer(self, number, last, heard_at, now):
         """Whether a message comes after the last one of its sender.
@@ -166,13 +171,13 @@
         """
         return number > last or now - heard_at >= self._settings.alive_s
 
-    def near(self, now):
+    def local_heartbeats(self, now):
         """Return the heartbeats of the daemons of the own data centre that live."""
-        return self._heard_within(alive_s, now)
+        return self._heard_within(liveness_timeout_s, now)
 
-    def listed(self, now):
+    def routable_heartbeats(self, now):
         """Return the heartbeats of those near daemons that callers may be sent to."""
-        return self._heard_within(listed_s, now)
+        return self._heard_within(routable_timeout_s, now)
 
     def _heard_within(self, longest_s, now):
         """Return the near heartbeats whose silence is shorter than a limit.
@@ -188,7 +193,7 @@
 
     def is_large(self, now):
         """Whether the data centre is so large that a reporter tells it of all."""
-        return len(self.near(now)) + 1 > LARGE_DATA_CENTRE
+        return len(self.local_heartbeats(now)) + 1 > LARGE_DATA_CENTRE
 
     def reporter_addresses(self, own, now):
         """Return the addresses of the other daemons that report for the data centre.
@@ -219,7 +224,7 @@
             if now - heard.at < self._settings.alive_s
         ]
 
-    def near_addresses(self, now):
+    def local_addresses(self, now):
         """Return the addresses of the daemons of the own data centre."""
         self._forget(now)
         return [
@@ -233,13 +238,13 @@
         self._forget(now)
         return list(self._addresses)
 
-    def living_addresses(self, now):
+    def alive_addresses(self, now):
         """Return the addresses of the other daemons that live, in all data centres."""
-        members = [heartbeat.member for heartbeat in self.near(now)]
+        members = [heartbeat.member for heartbeat in self.local_heartbeats(now)]
         members += [member for d in self.digests(now) for member in d.members]
         return sorted({member.peer_address for member in members})
 
-    def far_addresses(self, now):
+    def remote_addresses(self, now):
         """Return the addresses that a digest goes to: reporters elsewhere.
 
         Of a data centre that is not heard from, every daemon is written to.
@@ -269,13 +274,13 @@
 
         :param own: this daemon's own :class:`~cowslipcourse.peers.Heartbeat`.
         """
-        near = [own, *self.near(now)]
-        able = [h.member for h in near if h.member.registration and h.is_fit]
-        able.sort(key=order_of_registration)
+        near = [own, *self.local_heartbeats(now)]
+        able = [h.member for h in near if h.member.registration and h.is_healthy]
+        able.sort(key=registration_order)
         number = 2 if len(near) > LARGE_DATA_CENTRE else 1
         return [member.name for member in able[:number]]
 
-    def speaks(self, own, now):
+    def is_active_reporter(self, own, now):
         """Whether a daemon speaks for its data centre, and hands on what others say.
 
         It is the first reporter; the second one does so once the first is late.
@@ -289,14 +294,18 @@
                 return False
         return False
 
-    def first_reporters(self, own, now):
+    def first_reporter_by_data_centre(self, own, now):
         """Return the reporter of each data centre that registered first.
 
         :param own: this daemon's own :class:`~cowslipcourse.peers.Heartbeat`.
         :returns: :class:`Member` by data centre; none where no reporter is heard.
         """
         first = self.reporters(own, now)[:1]
-        able = [h.member for h in (own, *self.near(now)) if h.member.name in first]
+        able = [
+            h.member
+            for h in (own, *self.local_heartbeats(now))
+            if h.member.name in first
+        ]
         # A large data centre has two reporters, and either may have spoken last.
         able += [
             heard.message.reporter
@@ -304,17 +313,17 @@
             if heard.message.reporter.data_centre != self._data_centre
         ]
         found = {}
-        for member in sorted(able, key=order_of_registration):
+        for member in sorted(able, key=registration_order):
             if member.registration:
                 found.setdefault(member.data_centre, member)
         return found
 
-    def ready(self, own_name, now):
+    def ready_members(self, own_name, now):
         """Return the :class:`Member` list of daemons to which callers may be sent.
 
         :param own_name: name of this daemon, which is left out.
         """
-        found = [heartbeat.member for heartbeat in self.listed(now)]
+        found = [heartbeat.member for heartbeat in self.routable_heartbeats(now)]
         if self._is_told(now):
             # Its reporter hears each daemon four times a second, and this one rarely.
             members = self._contents[self._data_centre].message.members
@@ -325,7 +334,7 @@
             found += [m for m in digest.members if m.name not in known]
         return [m for m in found if m.is_ready and m.name != own_name]
 
-    def number_known(self, now):
+    def known_daemon_count(self, now):
         """Return the number of other daemons that live or did so lately.
 
         Who is cut off hears nobody, and the others still live.
@@ -340,7 +349,11 @@
 
         :param version: version to compare with.
         """
-        near = [h.member for h in self.near(now) if h.member.configuration > version]
+        near = [
+            h.member
+            for h in self.local_heartbeats(now)
+            if h.member.configuration > version
+        ]
         if near:
             return near
         reporters = [digest.reporter for digest in self.digests(now)]
--- a/cowslipcourse/quarantine/__init__.py
+++ b/cowslipcourse/quarantine/__init__.py
@@ -2,13 +2,13 @@
 
 from cowslipcourse.quarantine.fingerprints import fingerprint
 from cowslipcourse.quarantine.judging import CrashReport, Suspects, Verdict, Verdicts
-from cowslipcourse.quarantine.kept import KeptVerdicts
+from cowslipcourse.quarantine.kept import VerdictStore
 
 __all__ = [
     "CrashReport",
-    "KeptVerdicts",
     "Suspects",
     "Verdict",
+    "VerdictStore",
     "Verdicts",
     "fingerprint",
 ]
--- a/cowslipcourse/quarantine/judging.py
+++ b/cowslipcourse/quarantine/judging.py
@@ -22,7 +22,7 @@
 
 from cowslipcourse.quarantine.fingerprints import FINGERPRINT_BYTES
 
-__all__ = ["CrashReport", "Suspects", "Verdict", "Verdicts", "is_telling"]
+__all__ = ["CrashReport", "Suspects", "Verdict", "Verdicts", "is_incriminating"]
 
 STUCK = 2
 """Weight of an end under a run that had begun and came no further."""
@@ -34,7 +34,7 @@
 request for certain, and no more than that."""
 WORTH_KEEPING = 4
 """Two such ends: a new start of all daemons must not let it end two more each time."""
-SUSPECTED_S = 600.0
+SUSPICION_S = 600.0
 """Time for which an end is held against a request: one that comes back hours later
 meets other software, and the memory is bounded."""
 MOST_SUSPECTS = 4_096
@@ -45,7 +45,7 @@
 MOST_VERDICTS = 512
 """25 KB as a row of the store; the one that ends first is dropped first. Each has cost
 three targets, so more than that cannot be kept up for long."""
-TERM_S = 3_600.0
+QUARANTINE_S = 3_600.0
 """Time until a quarantined request is tried again: software is replaced in hours."""
 TERM_GROWS = 4
 """Factor on the time after each trial that ended a target: three trials in a day."""
@@ -76,7 +76,7 @@
     reached: _Count
 
 
-def is_telling(report):
+def is_incriminating(report):
     """Whether a report is worth sending: a run that came further says little."""
     return not report.events
 
@@ -138,7 +138,7 @@
     def _forget(self, now):
         while self._suspects:
             fingerprint, oldest = next(iter(self._suspects.items()))
-            if now - oldest.last_at < SUSPECTED_S:
+            if now - oldest.last_at < SUSPICION_S:
                 return
             del self._suspects[fingerprint]
 
@@ -147,7 +147,7 @@
         suspect = self._suspects.get(fingerprint)
         return [] if suspect is None else list(suspect.weights)
 
-    def worth_keeping(self, fingerprint):
+    def reports_to_store(self, fingerprint):
         """Return the reports against a request if it may soon be convicted.
 
         One end is not kept: most that have met one are answered by the next target.
@@ -171,7 +171,7 @@
     def was_answered(self, fingerprint, now):
         """Whether a target answered a request whole not long ago."""
         known = self._answered.get(fingerprint)
-        return known is not None and now - known[0] < SUSPECTED_S
+        return known is not None and now - known[0] < SUSPICION_S
 
     def was_answered_here(self, fingerprint):
         """Whether this daemon passed the answer to a request on."""
@@ -195,10 +195,12 @@
     until: float
     trials: _Count = 0
 
-    def after_trial(self, now):
+    def after_trial_began(self, now):
         """Return the verdict that holds from the begin of a trial on."""
         trials = self.trials + 1
-        return Verdict(self.fingerprint, now + TERM_S * TERM_GROWS**trials, trials)
+        return Verdict(
+            self.fingerprint, now + QUARANTINE_S * TERM_GROWS**trials, trials
+        )
 
 
 class Verdicts:
--- a/cowslipcourse/quarantine/kept.py
+++ b/cowslipcourse/quarantine/kept.py
@@ -10,13 +10,13 @@
 from cowslipcourse.ports import RowWrite
 from cowslipcourse.quarantine.fingerprints import FINGERPRINT_BYTES
 from cowslipcourse.quarantine.judging import (
-    SUSPECTED_S,
+    SUSPICION_S,
     CrashReport,
     Verdict,
     Verdicts,
 )
 
-__all__ = ["Kept", "KeptVerdicts", "Trial"]
+__all__ = ["Kept", "Trial", "VerdictStore"]
 
 TABLE = "quarantine"
 KEY = "verdicts"
@@ -25,7 +25,7 @@
 """Reports that are kept, 30 KB; the oldest are dropped first."""
 TRIES = 5
 """Writes under a condition: a few daemons may write at the same moment."""
-KEPT_AFTER_S = 86_400.0
+VERDICT_RETENTION_S = 86_400.0
 """Time for which a verdict stays in the row after its time is over: a request that is
 not repeated for a day is forgotten."""
 
@@ -85,7 +85,7 @@
     is_begun: bool
 
 
-class KeptVerdicts:
+class VerdictStore:
     """Reads and changes the two rows.
 
     Their times are Unix times: no other clock outlives all daemons.
@@ -114,7 +114,7 @@
 
     def _fresh_reports(self, row):
         """Return the reports that still count; a spoiled row has none."""
-        due_at = self._time_of_day() - SUSPECTED_S
+        due_at = self._time_of_day() - SUSPICION_S
         try:
             kept = _reports(row)
         except MalformedAnswer as error:
@@ -194,7 +194,7 @@
             trial = Trial(verdicts.get(fingerprint), False)
             if trial.verdict is None or trial.verdict.until > now:
                 return False
-            trial = Trial(trial.verdict.after_trial(now), True)
+            trial = Trial(trial.verdict.after_trial_began(now), True)
             return verdicts.note(trial.verdict)
 
         await self._change(renew)
@@ -209,7 +209,7 @@
         def change_row(row):
             verdicts = Verdicts()
             for verdict in _verdicts(row):
-                if self._time_of_day() < verdict.until + KEPT_AFTER_S:
+                if self._time_of_day() < verdict.until + VERDICT_RETENTION_S:
                     verdicts.note(verdict)
             return _content(verdicts) if change(verdicts) else None
 
--- a/cowslipcourse/quarantining/__init__.py
+++ b/cowslipcourse/quarantining/__init__.py
@@ -2,12 +2,15 @@
 
 from cowslipcourse.quarantining.crash_reporting import CrashReporting, QuarantinePeers
 from cowslipcourse.quarantining.daemon_part import Quarantine
-from cowslipcourse.quarantining.target_ends import TargetEnds, refuses_connections
+from cowslipcourse.quarantining.target_ends import (
+    TargetExitDetector,
+    refuses_connections,
+)
 
 __all__ = [
     "CrashReporting",
     "Quarantine",
     "QuarantinePeers",
-    "TargetEnds",
+    "TargetExitDetector",
     "refuses_connections",
 ]
--- a/cowslipcourse/quarantining/crash_reporting.py
+++ b/cowslipcourse/quarantining/crash_reporting.py
@@ -12,9 +12,9 @@
 from cowslipcourse.adapters.log import get_logger
 from cowslipcourse.peers import CrashReports
 from cowslipcourse.quarantine import CrashReport
-from cowslipcourse.quarantine.judging import is_telling
+from cowslipcourse.quarantine.judging import is_incriminating
 
-__all__ = ["CrashReporting", "QuarantinePeers", "is_first_judge"]
+__all__ = ["CrashReporting", "QuarantinePeers", "is_first_evaluator"]
 
 JUDGES = 8
 """Daemons that judge a request: on the smallest sites all of them. On larger ones a few
@@ -37,13 +37,13 @@
     def address(self) -> str:
         """This daemon's own address."""
 
-    def living(self) -> list[str]:
+    def alive_addresses(self) -> list[str]:
         """Return the addresses of the other daemons that live."""
 
-    def all(self) -> list[str]:
+    def all_addresses(self) -> list[str]:
         """Return the addresses of all other daemons that are known."""
 
-    def spoken_to(self) -> list[str]:
+    def repeat_addresses(self) -> list[str]:
         """Return the addresses that this daemon repeats verdicts to, if it does."""
 
     def send(self, message, addresses) -> None:
@@ -54,7 +54,7 @@
     """Looks into runs that targets broke off, and reports those that ended them.
 
     :param peers: :class:`QuarantinePeers`
-    :param target_ends: :class:`~cowslipcourse.quarantining.target_ends.TargetEnds`
+    :param target_ends: :class:`~cowslipcourse.quarantining.target_ends.TargetExitDetector`
     :param suspects: :class:`~cowslipcourse.quarantine.Suspects` of this daemon.
     :param judge: takes the reports that this daemon is to judge, one by one.
     """
@@ -67,7 +67,7 @@
         self._reports = []
         self._tasks = set()
 
-    def look_into(self, call, run):
+    def report_if_exited(self, call, run):
         """Report a run that its target broke off, if the target has ended.
 
         :param call: :class:`~cowslipcourse.entry.calls.Call`
@@ -82,12 +82,12 @@
             run.events,
             run.reached,
         )
-        task = asyncio.create_task(self._look_into(call.id, entry, report))
+        task = asyncio.create_task(self._report_if_exited(call.id, entry, report))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def _look_into(self, request, entry, report):
-        if not await self._target_ends.look_into(entry):
+    async def _report_if_exited(self, request, entry, report):
+        if not await self._target_ends.detect_exit(entry):
             return
         is_cleared = self._suspects.was_answered(report.fingerprint, _now())
         log.info(
@@ -115,7 +115,9 @@
         for report in by_judge.pop(self._peers.address, ()):
             self._judge(report)
         for judge, found in by_judge.items():
-            self._send_to_judge(judge, [each for each in found if is_telling(each)])
+            self._send_to_judge(
+                judge, [each for each in found if is_incriminating(each)]
+            )
 
     def _send_to_judge(self, judge, reports, is_again=False):
         """Send reports, and once more those whose requests are not answered by then."""
@@ -131,7 +133,7 @@
             loop.call_later(REPORT_AGAIN_S, self._send_to_judge, judge, reports, True)
 
 
-def is_first_judge(peers, fingerprint):
+def is_first_evaluator(peers, fingerprint):
     """Whether this daemon is the first of those that judge a request.
 
     :param peers: :class:`QuarantinePeers`
@@ -141,7 +143,7 @@
 
 def _judges(peers, fingerprint):
     """Return the addresses of the daemons that judge a request, the first first."""
-    addresses = [peers.address, *peers.living()]
+    addresses = [peers.address, *peers.alive_addresses()]
     return sorted(addresses, key=lambda each: _rank(fingerprint, each))[:JUDGES]
 
 
--- a/cowslipcourse/quarantining/daemon_part.py
+++ b/cowslipcourse/quarantining/daemon_part.py
@@ -15,11 +15,14 @@
     RequestQuarantined,
     StoreError,
 )
-from cowslipcourse.peers import CrashReports, QuarantineNews, RequestCleared
+from cowslipcourse.peers import CrashReports, QuarantineUpdate, RequestCleared
 from cowslipcourse.quarantine import Suspects, Verdict, Verdicts
-from cowslipcourse.quarantine.judging import TERM_S
-from cowslipcourse.quarantine.kept import KEPT_AFTER_S
-from cowslipcourse.quarantining.crash_reporting import CrashReporting, is_first_judge
+from cowslipcourse.quarantine.judging import QUARANTINE_S
+from cowslipcourse.quarantine.kept import VERDICT_RETENTION_S
+from cowslipcourse.quarantining.crash_reporting import (
+    CrashReporting,
+    is_first_evaluator,
+)
 
 __all__ = ["Quarantine"]
 
@@ -39,8 +42,8 @@
     """Reports ends of targets, judges requests, and knows which ones to refuse.
 
     :param peers: :class:`~cowslipcourse.quarantining.crash_reporting.QuarantinePeers`
-    :param target_ends: :class:`~cowslipcourse.quarantining.target_ends.TargetEnds`
-    :param kept: :class:`~cowslipcourse.quarantine.KeptVerdicts`
+    :param target_ends: :class:`~cowslipcourse.quarantining.target_ends.TargetExitDetector`
+    :param kept: :class:`~cowslipcourse.quarantine.VerdictStore`
     """
 
     def __init__(self, peers, target_ends, kept):
@@ -113,16 +116,16 @@
         self._note(trial.verdict._replace(until=_now() + trial.verdict.until))
         if trial.is_begun:
             self._on_trial[fingerprint] = call
-            self._tell(QuarantineNews((trial.verdict,)))
+            self._tell(QuarantineUpdate((trial.verdict,)))
             log.warning("trial-begun", request=call.id, fingerprint=fingerprint.hex())
 
-    def note_over(self, call):
+    def note_finished(self, call):
         """Note that a request is over, whatever became of it."""
         if self._on_trial.get(call.fingerprint) is call:
             del self._on_trial[call.fingerprint]
 
     @contextlib.contextmanager
-    def watching(self, call, run):
+    def tracking(self, call, run):
         """Break a run off if its request is quarantined meanwhile.
 
         Repeats come at several daemons at once. Those that wait at targets when the
@@ -168,9 +171,9 @@
         :param run: :class:`~cowslipcourse.entry.attempts.TargetRun`
         """
         # A trial is one run.
-        self.note_over(call)
+        self.note_finished(call)
         if run.ended_by_target:
-            self._reporting.look_into(call, run)
+            self._reporting.report_if_exited(call, run)
 
     # Verdicts.
 
@@ -186,10 +189,10 @@
             "quarantined",
             fingerprint=fingerprint.hex(),
             targets=",".join(target for target, _ in lives),
-            term_s=TERM_S,
+            term_s=QUARANTINE_S,
         )
-        self._note(Verdict(fingerprint, _now() + TERM_S))
-        self._tell(QuarantineNews((Verdict(fingerprint, TERM_S),)))
+        self._note(Verdict(fingerprint, _now() + QUARANTINE_S))
+        self._tell(QuarantineUpdate((Verdict(fingerprint, QUARANTINE_S),)))
         self._keep()
 
     def _keep_reports(self, fingerprint):
@@ -198,8 +201,8 @@
         All daemons may start anew between two ends of targets. When that came every
         6 s, a request that ended two each time was never convicted and ended nine.
         """
-        reports = self._suspects.worth_keeping(fingerprint)
-        if reports and is_first_judge(self._peers, fingerprint):
+        reports = self._suspects.reports_to_store(fingerprint)
+        if reports and is_first_evaluator(self._peers, fingerprint):
             self._spawn(self._write_reports(reports))
 
     async def _write_reports(self, reports):
@@ -229,13 +232,13 @@
         """Take in what another daemon tells.
 
         :param message: :class:`~cowslipcourse.peers.CrashReports`,
-            :class:`~cowslipcourse.peers.QuarantineNews` or
+            :class:`~cowslipcourse.peers.QuarantineUpdate` or
             :class:`~cowslipcourse.peers.RequestCleared`
         """
         if isinstance(message, CrashReports):
             for report in message.reports:
                 self._judge(report)
-        elif isinstance(message, QuarantineNews):
+        elif isinstance(message, QuarantineUpdate):
             if self._learn(message.verdicts, "peer"):
                 self._keep()
         else:
@@ -269,10 +272,10 @@
 
     def _repeat(self, now):
         for verdict in self._verdicts:
-            if now > verdict.until + KEPT_AFTER_S:
+            if now > verdict.until + VERDICT_RETENTION_S:
                 self._verdicts.drop(verdict.fingerprint)
         self._keep()
-        addresses = self._peers.spoken_to() if len(self._verdicts) else ()
+        addresses = self._peers.repeat_addresses() if len(self._verdicts) else ()
         if not addresses:
             return
         known = sorted(self._verdicts)
@@ -280,10 +283,10 @@
         part = (known[first:] + known[:first])[:MOST_REPEATED]
         self._repeated = first + len(part)
         told = tuple(verdict._replace(until=verdict.until - now) for verdict in part)
-        self._peers.send(QuarantineNews(told), addresses)
+        self._peers.send(QuarantineUpdate(told), addresses)
 
     def _tell(self, message):
-        addresses = self._peers.all()
+        addresses = self._peers.all_addresses()
         self._peers.send(message, addresses)
         loop = asyncio.get_running_loop()
         loop.call_later(NEWS_AGAIN_S, self._peers.send, message, addresses)
@@ -291,12 +294,12 @@
     def _keep(self):
         """Write what is not kept yet, if this daemon is the first judge of it."""
         known = {each for each in self._not_kept if self._verdicts.get(each)}
-        due = {each for each in known if is_first_judge(self._peers, each)}
+        due = {each for each in known if is_first_evaluator(self._peers, each)}
         self._not_kept = known - due
         if due:
             self._spawn(self._write(due))
 
-    def note_lost(self):
+    def mark_all_unsaved(self):
         """Write all verdicts again: the store may have lost some."""
         self._not_kept |= {verdict.fingerprint for verdict in self._verdicts}
 
--- a/cowslipcourse/quarantining/target_ends.py
+++ b/cowslipcourse/quarantining/target_ends.py
@@ -14,7 +14,7 @@
 from cowslipcourse.exceptions import TargetUnreachable
 from cowslipcourse.exchange import TargetConnection
 
-__all__ = ["TargetEnds", "refuses_connections"]
+__all__ = ["TargetExitDetector", "refuses_connections"]
 
 CONNECT_TIMEOUT_S = 0.4
 """A host that lives answers within some ms; a lost packet is sent again in a second."""
@@ -43,7 +43,7 @@
     return False
 
 
-class TargetEnds:
+class TargetExitDetector:
     """Looks into broken connections, once for all requests that they broke under.
 
     :param expects: callable that tells whether a target is listed in this life and is
@@ -57,7 +57,7 @@
         self._checks = {}
         self._ended = OrderedDict()
 
-    def look_into(self, entry):
+    def detect_exit(self, entry):
         """Return a task that tells whether this life of a target has ended by itself.
 
         :param entry: :class:`~cowslipcourse.ports.TargetEntry`
--- a/cowslipcourse/streams/events.py
+++ b/cowslipcourse/streams/events.py
@@ -30,7 +30,7 @@
         self._rest = b""
 
     @property
-    def has_rest(self):
+    def has_partial_event(self):
         """Whether an event has begun that is not whole."""
         return bool(self._rest)
 
--- a/cowslipcourse/streams/position.py
+++ b/cowslipcourse/streams/position.py
@@ -13,9 +13,9 @@
 
     def __init__(self, resumed_after=None):
         self.last = resumed_after
-        self.passed = 0
+        self.forwarded = 0
 
-    def take(self, events):
+    def take_new(self, events):
         """Return the bytes of the events that the caller lacks.
 
         :param events: list of :class:`~cowslipcourse.streams.Event`
@@ -33,6 +33,6 @@
                 fault = MalformedAnswer(f"event {self.last + 1} is missing")
                 return b"".join(wanted), fault
             self.last = event.number
-            self.passed += 1
+            self.forwarded += 1
             wanted.append(event.raw)
         return b"".join(wanted), None
--- a/features/steps/head_steps.py
+++ b/features/steps/head_steps.py
@@ -3,7 +3,7 @@
 from behave import given, then, when
 
 from cowslipcourse.entry.heads import GroupHeads
-from cowslipcourse.peers import GroupNews, OpenedHead
+from cowslipcourse.peers import GroupUpdate, OpenedHead
 from cowslipcourse.ports import GroupState, Membership, TargetEntry
 
 FIRST, SECOND = 100, 200
@@ -44,12 +44,12 @@
 
 @when("news comes at {now:f} s that {group} is given up")
 def step_given_up(context, now, group):
-    _tell(context, GroupNews(group, 6), now)
+    _tell(context, GroupUpdate(group, 6), now)
 
 
 @when("news comes at {now:f} s that {group} is formed anew at epoch {epoch:d}")
 def step_formed_anew(context, now, group, epoch):
-    _tell(context, GroupNews(group, epoch), now)
+    _tell(context, GroupUpdate(group, epoch), now)
 
 
 @when(
@@ -58,7 +58,7 @@
 )
 def step_opens(context, now, engine, group, epoch, seconds):
     head = OpenedHead(engine, FIRST, "large", seconds)
-    _tell(context, GroupNews(group, epoch, head), now)
+    _tell(context, GroupUpdate(group, epoch, head), now)
 
 
 @when("the list shows {engine} as {state} head of {group} at epoch {epoch:d}")
@@ -111,11 +111,11 @@
     changes = [
         (context.ended_s, "list", _entry("h1", "g1", 5, "broken")),
         (context.opened_s, "list", _entry("h2", "g2", 7, "open")),
-        (context.ended_s, "news", GroupNews("g1", 6)),
+        (context.ended_s, "news", GroupUpdate("g1", 6)),
         (
             context.opened_s - OPENS_IN_S,
             "news",
-            GroupNews("g2", 7, OpenedHead("h2", FIRST, "large", OPENS_IN_S)),
+            GroupUpdate("g2", 7, OpenedHead("h2", FIRST, "large", OPENS_IN_S)),
         ),
     ]
     for now in context.times:
--- a/features/steps/judging_steps.py
+++ b/features/steps/judging_steps.py
@@ -21,14 +21,14 @@
 from cowslipcourse.ports import RowWrite, TargetEntry
 from cowslipcourse.quarantine import (
     CrashReport,
-    KeptVerdicts,
     Suspects,
     Verdict,
     Verdicts,
+    VerdictStore,
 )
-from cowslipcourse.quarantine.judging import TERM_S
+from cowslipcourse.quarantine.judging import QUARANTINE_S
 from cowslipcourse.quarantine.kept import KEY, REPORTS_KEY, TABLE, _content
-from cowslipcourse.quarantining import Quarantine, TargetEnds
+from cowslipcourse.quarantining import Quarantine, TargetExitDetector
 from cowslipcourse.routes import RequestKind, Route
 
 FINGERPRINT = b"f" * 16
@@ -123,7 +123,7 @@
         reports = [_report(f"t{n}", fingerprint=fingerprint) for n in range(3)]
         told = [suspects.note(report, float(each) / 100) for report in reports]
         assert told[-1]
-        verdicts.note(Verdict(fingerprint, each + TERM_S))
+        verdicts.note(Verdict(fingerprint, each + QUARANTINE_S))
     context.suspects, context.verdicts, context.number = suspects, verdicts, number
 
 
@@ -151,11 +151,11 @@
 
 @then("it may be tried after 1 h, then after 4 h, 16 h and 64 h more: three {rest}")
 def step_terms(context, rest):
-    assert TERM_S == HOUR_S
+    assert QUARANTINE_S == HOUR_S
     tried, verdict = [], context.verdict
     for _trial in range(4):
         tried.append(verdict.until)
-        verdict = verdict.after_trial(verdict.until)
+        verdict = verdict.after_trial_began(verdict.until)
     gaps = [
         (after - at) / HOUR_S for at, after in zip([0, *tried], tried, strict=False)
     ]
@@ -169,7 +169,7 @@
     assert verdicts.note(context.verdict)
     assert not verdicts.note(context.verdict._replace(until=9 * HOUR_S))
     assert verdicts.get(FINGERPRINT).until == HOUR_S
-    assert verdicts.note(context.verdict.after_trial(HOUR_S))
+    assert verdicts.note(context.verdict.after_trial_began(HOUR_S))
 
 
 class _Call(SimpleNamespace):
@@ -197,8 +197,8 @@
         """Start a daemon anew, and return its quarantine."""
         fleet = FleetView()
         fleet.apply([_entry(n) for n in range(50)], ())
-        kept = KeptVerdicts(self.store, self.clock)
-        ends = TargetEnds(fleet.expects, self._refuses)
+        kept = VerdictStore(self.store, self.clock)
+        ends = TargetExitDetector(fleet.expects, self._refuses)
         quarantine = Quarantine(self.network.peers(name), ends, kept)
         self.network.attach(name, quarantine)
         return quarantine
@@ -235,7 +235,7 @@
         except (RequestQuarantined, TargetFailed) as error:
             return error
         finally:
-            quarantine.note_over(call)
+            quarantine.note_finished(call)
         return None
 
     async def at_all(self):
@@ -355,12 +355,12 @@
         daemons.quarantines[0] = daemons.start("a0")
         await asyncio.sleep(0.5)
         context.read = daemons.quarantines[0].size
-        other = Verdict(b"o" * 16, daemons.clock() + TERM_S)
+        other = Verdict(b"o" * 16, daemons.clock() + QUARANTINE_S)
         for quarantine in daemons.quarantines:
             quarantine._note(other)
         await _convict(daemons)
         await asyncio.sleep(2)
-        kept = await KeptVerdicts(daemons.store, daemons.clock).read()
+        kept = await VerdictStore(daemons.store, daemons.clock).read()
         context.kept = {verdict.fingerprint for verdict in kept.verdicts}
 
     _on(2, story)
@@ -379,8 +379,8 @@
 @given("a verdict that is kept, and a row of evidence that another writer has spoiled")
 def step_spoiled_evidence(context):
     async def story(daemons):
-        kept = KeptVerdicts(daemons.store, daemons.clock)
-        await kept.add([Verdict(b"o" * 16, TERM_S)])
+        kept = VerdictStore(daemons.store, daemons.clock)
+        await kept.add([Verdict(b"o" * 16, QUARANTINE_S)])
         await daemons.store.write(RowWrite(TABLE, REPORTS_KEY, b'[["zz"]]'))
         daemons.quarantines[0] = daemons.start("a0")
         await asyncio.sleep(0.5)
@@ -430,7 +430,7 @@
             await daemons.request(daemons.quarantines[0])
         await asyncio.sleep(3)
         context.sizes = [quarantine.size for quarantine in daemons.quarantines]
-        kept = await KeptVerdicts(daemons.store, daemons.clock).read()
+        kept = await VerdictStore(daemons.store, daemons.clock).read()
         context.kept = kept.verdicts
 
     _on(2, story)
@@ -446,14 +446,14 @@
 
 @given("a daemon that has learnt of a verdict")
 def step_learnt(context):
-    context.verdict = Verdict(FINGERPRINT, TERM_S)
+    context.verdict = Verdict(FINGERPRINT, QUARANTINE_S)
 
 
 @when("the request comes again")
 def step_comes_again(context):
     async def story(daemons):
         quarantine = daemons.quarantines[0]
-        quarantine._note(Verdict(FINGERPRINT, daemons.clock() + TERM_S))
+        quarantine._note(Verdict(FINGERPRINT, daemons.clock() + QUARANTINE_S))
         at = daemons.clock()
         context.error = await daemons.request(quarantine)
         context.took_s = daemons.clock() - at
@@ -465,7 +465,7 @@
         quarantine = daemons.quarantines[0]
 
         async def convicted_meanwhile(run):
-            quarantine._note(Verdict(FINGERPRINT, daemons.clock() + TERM_S))
+            quarantine._note(Verdict(FINGERPRINT, daemons.clock() + QUARANTINE_S))
 
         context.after_run = await daemons.request(quarantine, convicted_meanwhile)
         context.runs = len(daemons.sent)
@@ -480,7 +480,7 @@
     assert context.took_s <= seconds and not context.sent
     assert isinstance(context.error, RequestQuarantined)
     assert (context.error.status, context.error.outcome) == (503, "not_run")
-    assert abs(context.error.retry_after_s - TERM_S) < CLOCK_S
+    assert abs(context.error.retry_after_s - QUARANTINE_S) < CLOCK_S
 
 
 @then("a request that has run in this attempt is not told that it has not")
@@ -509,9 +509,9 @@
         run = TargetRun(_entry(0))
         run.connection = context.connection
         with contextlib.ExitStack() as stack:
-            stack.enter_context(quarantine.watching(_call(), run))
+            stack.enter_context(quarantine.tracking(_call(), run))
             assert context.connection.error is None
-            quarantine._note(Verdict(FINGERPRINT, daemons.clock() + TERM_S))
+            quarantine._note(Verdict(FINGERPRINT, daemons.clock() + QUARANTINE_S))
 
     _on(1, story)
 
--- a/features/steps/knowledge_steps.py
+++ b/features/steps/knowledge_steps.py
@@ -243,7 +243,7 @@
 @then("the daemon reads a peer that is ahead")
 def step_reads(context):
     beat = heartbeat("b", 3, targets_version=8)
-    context.registry.note_heartbeat(beat, 10.0)
+    context.registry.record_heartbeat(beat, 10.0)
     assert not _sources(context, 10.0)
     sources = _sources(context, 10.5)
     assert [source.name for source in sources] == ["b"]
@@ -285,7 +285,7 @@
     for number in range(10):
         ahead = member(f"p{number}", 20 + number)._replace(configuration=8)
         beat = Heartbeat(ahead, 1, True, 5, {}, {})
-        context.registry.note_heartbeat(beat, 10.0)
+        context.registry.record_heartbeat(beat, 10.0)
 
 
 @then("several of them are read first")
--- a/features/steps/peer_steps.py
+++ b/features/steps/peer_steps.py
@@ -7,7 +7,7 @@
     Digest,
     Heartbeat,
     PeerRegistry,
-    order_of_registration,
+    registration_order,
 )
 from features.support.knowledge import heartbeat, member
 
@@ -28,11 +28,11 @@
     if not hasattr(context, "peers"):
         context.peers = PeerRegistry(PeerSettings(), "north")
     beat = heartbeat("a2", 20, context.a2_fit, sequence=context.sequence)
-    context.peers.note_heartbeat(beat, context.now)
+    context.peers.record_heartbeat(beat, context.now)
     if context.south_alive:
         b1 = member("b1", 10, "south")
         digest = Digest(b1, context.sequence, (b1,), {}, {})
-        context.peers.note_digest(digest, context.now)
+        context.peers.record_digest(digest, context.now)
 
 
 @when("b1 is silent")
@@ -56,20 +56,24 @@
 
 def _eldest(context, own):
     """Return who keeps the groups of data centres without a reporter."""
-    found = context.peers.first_reporters(own, context.now).values()
-    return min(found, key=order_of_registration).name
+    found = context.peers.first_reporter_by_data_centre(own, context.now).values()
+    return min(found, key=registration_order).name
 
 
 @then("{first} keeps the groups of north, and {second} those of south")
 def step_keepers(context, first, second):
-    found = context.peers.first_reporters(heartbeat("a1", 30), context.now)
+    found = context.peers.first_reporter_by_data_centre(
+        heartbeat("a1", 30), context.now
+    )
     own = {place: member.name for place, member in found.items()}
     assert own == {"north": first, "south": second}, own
 
 
 @then("{name} keeps the groups of north, and of all others without a reporter")
 def step_keeps_all(context, name):
-    found = context.peers.first_reporters(heartbeat("a1", 30), context.now)
+    found = context.peers.first_reporter_by_data_centre(
+        heartbeat("a1", 30), context.now
+    )
     assert {place: m.name for place, m in found.items()} == {"north": name}, found
 
 
@@ -89,7 +93,7 @@
 def _digest(context, name, registration, sequence):
     reporter = member(name, registration, "south")
     digest = Digest(reporter, sequence, (reporter,), {}, {})
-    assert context.peers.note_digest(digest, context.now)
+    assert context.peers.record_digest(digest, context.now)
 
 
 @when("b2 speaks again")
@@ -115,7 +119,7 @@
     context.peers = PeerRegistry(PeerSettings(), "north")
     newest = member("b", 1, incarnation=2)
     context.beat = Heartbeat(newest, 5, True, 0, {}, {})
-    assert context.peers.note_heartbeat(context.beat, 1.0)
+    assert context.peers.record_heartbeat(context.beat, 1.0)
 
 
 @then("sequence 4 and incarnation 1 are ignored, and incarnation 3 is taken")
@@ -123,7 +127,7 @@
     old = context.beat._replace(sequence=4)
     earlier = context.beat._replace(member=member("b", 1, incarnation=1), sequence=9)
     later = context.beat._replace(member=member("b", 1, incarnation=3), sequence=1)
-    taken = [context.peers.note_heartbeat(b, 1.1) for b in (old, earlier, later)]
+    taken = [context.peers.record_heartbeat(b, 1.1) for b in (old, earlier, later)]
     assert taken == [False, False, True]
 
 
@@ -134,15 +138,15 @@
 
 @then("a1 hears nobody and still counts 2 others")
 def step_still_counts(context):
-    assert not context.peers.near(context.now)
+    assert not context.peers.local_heartbeats(context.now)
     assert not context.peers.digests(context.now)
-    assert context.peers.number_known(context.now) == 2
+    assert context.peers.known_daemon_count(context.now) == 2
 
 
 @when("it is silent for 2 s and starts again as incarnation 1")
 def step_clock_back(context):
     again = context.beat._replace(member=member("b", 1, incarnation=1), sequence=1)
-    context.taken = context.peers.note_heartbeat(again, 3.0)
+    context.taken = context.peers.record_heartbeat(again, 3.0)
 
 
 @then("it is heard")
--- a/features/steps/size_steps.py
+++ b/features/steps/size_steps.py
@@ -268,9 +268,9 @@
 def step_no_members(context):
     context.registry = PeerRegistry(PeerSettings(), "north")
     for number in range(9):
-        context.registry.note_heartbeat(heartbeat(f"d{number}", 20 + number), 50.0)
+        context.registry.record_heartbeat(heartbeat(f"d{number}", 20 + number), 50.0)
     digest = Digest(member("d0", 20), 7, None, {"i-1": 2}, {})
-    context.registry.note_digest(digest, 50.0)
+    context.registry.record_digest(digest, 50.0)
 
 
 @then("it sends callers to those that it has heard")
@@ -285,7 +285,7 @@
     for registry in context.views.values():
         for number in range(9):
             beat = heartbeat(f"d{number}", 20 + number)
-            registry.note_heartbeat(beat._replace(interval_s=2.0), context.now)
+            registry.record_heartbeat(beat._replace(interval_s=2.0), context.now)
 
 
 def _hear(context, names):
@@ -293,7 +293,7 @@
         for name in names:
             if name != own:
                 beat = heartbeat(f"r{name}", int(name), sequence=int(context.now * 10))
-                registry.note_heartbeat(beat, context.now)
+                registry.record_heartbeat(beat, context.now)
 
 
 @when("both have just been heard")
@@ -309,7 +309,7 @@
 
 def _speaks(context, name):
     own = heartbeat(f"r{name}", int(name))
-    return context.views[name].speaks(own, context.now)
+    return context.views[name].is_active_reporter(own, context.now)
 
 
 @then("r1 speaks for the data centre in the view of both")
@@ -468,7 +468,7 @@
     registry = PeerRegistry(PeerSettings(), "north")
     for number in range(behind + rest):
         version = 5 if number < behind else 8
-        registry.note_heartbeat(
+        registry.record_heartbeat(
             heartbeat(f"{number:03d}", number + 1, targets_version=version), 10.0
         )
     context.first = {}
@@ -487,7 +487,7 @@
 @given("a daemon whose reads of peers fail")
 def step_failing(context):
     registry = PeerRegistry(PeerSettings(alive_s=100.0), "north")
-    registry.note_heartbeat(heartbeat("b", 3, targets_version=8), 0.0)
+    registry.record_heartbeat(heartbeat("b", 3, targets_version=8), 0.0)
     context.reading = PeerReading(registry, random.Random(3))
 
 
--- a/features/steps/target_end_steps.py
+++ b/features/steps/target_end_steps.py
@@ -12,7 +12,7 @@
 from cowslipcourse.exchange import TargetConnection, TargetRequest
 from cowslipcourse.ports import TargetEntry
 from cowslipcourse.quarantine import fingerprint
-from cowslipcourse.quarantining import TargetEnds, refuses_connections
+from cowslipcourse.quarantining import TargetExitDetector, refuses_connections
 from cowslipcourse.routes import CallerLimits, RequestKind, Route, RouteTable, Workspace
 from features.support.scripted_target import OURS
 from harness.ports import free_ports
@@ -69,7 +69,7 @@
         self._note_change()
         ended = False
         if connection.ended_by_target:
-            ended = await TargetEnds(self.fleet.expects).look_into(self.entry)
+            ended = await TargetExitDetector(self.fleet.expects).detect_exit(self.entry)
         self._server.close()
         return connection.ended_by_target, ended
 
@@ -100,7 +100,9 @@
         before = TargetConnection.connect
         TargetConnection.connect = _no_answer
         try:
-            return await TargetEnds(target.fleet.expects).look_into(target.entry)
+            return await TargetExitDetector(target.fleet.expects).detect_exit(
+                target.entry
+            )
         finally:
             TargetConnection.connect = before
 
@@ -122,9 +124,9 @@
         return await refuses_connections(address)
 
     async def run():
-        ends = TargetEnds(target.fleet.expects, refuses)
+        ends = TargetExitDetector(target.fleet.expects, refuses)
         runs = [TargetRun(target.entry) for _ in range(context.requests)]
-        return await asyncio.gather(*(ends.look_into(run.entry) for run in runs))
+        return await asyncio.gather(*(ends.detect_exit(run.entry) for run in runs))
 
     assert asyncio.run(run()) == [True] * number
     assert len(asked) == 1, asked
--- a/features/steps/variant_steps.py
+++ b/features/steps/variant_steps.py
@@ -41,7 +41,7 @@
 def _prefix():
     position = StreamPosition(0)
     events = [Event(number, b"%d" % number) for number in (1, 2)]
-    passed = position.take(events)[0] + position.take(events)[0]
+    passed = position.take_new(events)[0] + position.take_new(events)[0]
     assert passed == b"12", passed
 
 
--- a/features/support/edit_runs.py
+++ b/features/support/edit_runs.py
@@ -55,7 +55,7 @@
 
     async def _base(self):
         """Return a revision to base an edit on, sometimes an old one."""
-        number = self._site.controllers["c1"].agent.node.number
+        number = self._site.controllers["c1"].agent.node.revision_number
         return number - self._rng.choice((0, 0, 0, 1, 3))
 
     async def _edit(self, operator, base):
--- a/features/support/group_variants.py
+++ b/features/support/group_variants.py
@@ -43,7 +43,7 @@
     return _patched(
         mock.patch.object(GroupTable, "_write", unchecked),
         mock.patch.object(HeldLease, "is_valid", lambda self, at: True),
-        mock.patch.object(ObservedLease, "may_take", lambda self, at: True),
+        mock.patch.object(ObservedLease, "may_acquire", lambda self, at: True),
     )
 
 
--- a/features/support/knowledge.py
+++ b/features/support/knowledge.py
@@ -103,7 +103,7 @@
     return Member(name, incarnation, registration, *addresses, data_centre, True, 7)
 
 
-def heartbeat(name, registration, is_fit=True, targets_version=0, sequence=1):
+def heartbeat(name, registration, is_healthy=True, targets_version=0, sequence=1):
     return Heartbeat(
-        member(name, registration), sequence, is_fit, targets_version, {}, {}
+        member(name, registration), sequence, is_healthy, targets_version, {}, {}
     )
--- a/features/support/membership_fleet.py
+++ b/features/support/membership_fleet.py
@@ -145,7 +145,7 @@
         for name, process in self.processes.items():
             if process.paused:
                 continue
-            number = process.node.number
+            number = process.node.revision_number
             if number < process.highest:
                 self.violations.append((self.now, name, "went back", number))
             process.highest = number
@@ -182,8 +182,8 @@
         # The answer comes a little later than it was sent.
         sent_at = self.now - self.rng.choice((0.0, STEP_S))
         if self.head.number:
-            process.node.take_head(self.head, sent_at, self.now)
-        if not process.node.listed:
+            process.node.handle_table_revision(self.head, sent_at, self.now)
+        if not process.node.is_listed:
             member = process.node.member
             self._commit({**self.head.members, process.name: member})
             process.node.apply(self.head, self.now)
@@ -205,7 +205,7 @@
     def _send(self, process, member):
         if not self._linked(process.name, member.name):
             return
-        heartbeat = process.node.heartbeat_to(member, self.now)
+        heartbeat = process.node.build_heartbeat(member, self.now)
         pending = Pending(process.name, member, self.now, heartbeat)
         target = self.processes[member.name]
         if target.paused:
@@ -218,7 +218,7 @@
         if pending.asker == process.name:
             late = self.now - pending.sent_at > TIMES.isolation_s / 2
             if not late and pending.member in process.node.peers:
-                process.node.take_answer(
+                process.node.handle_heartbeat_answer(
                     pending.member, pending.message, pending.sent_at, self.now
                 )
             return
@@ -236,7 +236,10 @@
             self._write_accepted(process)
             return
         node = process.node
-        if not self._reaches_table(process.name) or node.number <= self.accepted:
+        if (
+            not self._reaches_table(process.name)
+            or node.revision_number <= self.accepted
+        ):
             return
         number = node.newest_accepted(self.accepted, self.now)
         if number > self.accepted:
@@ -254,7 +257,7 @@
         node = process.node
         if not self._reaches_table(process.name) or not node.may_serve(self.now):
             return
-        gone = node.silent_to_most(self.now)
+        gone = node.silent_to_majority(self.now)
         kept = {
             name: member
             for name, member in self.head.members.items()
--- a/features/support/membership_variants.py
+++ b/features/support/membership_variants.py
@@ -25,14 +25,15 @@
     """Be content with half of a list where more than half is needed."""
     rule = node._acceptance
 
-    def extinct(runs, number, revision, now):
-        ripe_before = now - node.times.eviction_s
+    def cannot_be_served(runs, number, revision, now):
+        moved_before = now - node.times.eviction_s
         gone = sum(
-            rule._is_past(run, number, revision, ripe_before) for run in runs.values()
+            rule._has_moved_past(run, number, revision, moved_before)
+            for run in runs.values()
         )
         return 2 * gone >= len(runs)
 
-    rule._extinct = extinct
+    rule._cannot_be_served = cannot_be_served
 
 
 def _serving_on(node):
@@ -43,11 +44,11 @@
 def _counting_newer(node):
     """Count members that know a newer revision, and learn nothing from them."""
     contacts = node._contacts
-    counted = contacts.counted
-    contacts.counted = lambda member, revision, now, within_s: counted(
+    counted = contacts.confirms_revision
+    contacts.confirms_revision = lambda member, revision, now, within_s: counted(
         member, 10**9, now, within_s
     )
-    node._completed = lambda revision: None
+    node._with_configuration = lambda revision: None
 
 
 VARIANTS = {
--- a/features/support/spread_runs.py
+++ b/features/support/spread_runs.py
@@ -9,8 +9,8 @@
 from cowslipcourse.entry.fleet import FleetView
 from cowslipcourse.peers import encode
 from cowslipcourse.ports import RowChanges, TargetEntry
-from cowslipcourse.quarantine import KeptVerdicts
-from cowslipcourse.quarantining import Quarantine, TargetEnds
+from cowslipcourse.quarantine import VerdictStore
+from cowslipcourse.quarantining import Quarantine, TargetExitDetector
 from features.support.daemon_network import HEADER_BYTES, DaemonNetwork
 
 __all__ = ["KNOWN_WITHIN_S", "Spread", "SpreadStory", "play_spread"]
@@ -87,9 +87,11 @@
 def _attach(daemon):
     fleet = FleetView()
     fleet.apply([_entry(number) for number in range(3)], ())
-    kept = KeptVerdicts(_Store(), lambda: 0.0)
+    kept = VerdictStore(_Store(), lambda: 0.0)
     peers = _CountingPeers(daemon.link)
-    daemon.quarantine = Quarantine(peers, TargetEnds(fleet.expects, _refuses), kept)
+    daemon.quarantine = Quarantine(
+        peers, TargetExitDetector(fleet.expects, _refuses), kept
+    )
     return peers
 
 
--- a/measurements/capacity.py
+++ b/measurements/capacity.py
@@ -54,12 +54,12 @@
     members = {m.name: m for m in (member(i) for i in range(size))}
     revision = Revision(0, {}, {}, 0).next(members, 0)
     node = MembershipNode(members["daemon-0"], TIMES)
-    node.take_head(revision, 0.0, 0.0)
+    node.handle_table_revision(revision, 0.0, 0.0)
     for other in node.peers:
         peer = MembershipNode(other, TIMES)
-        peer.take_head(revision, 0.0, 0.0)
-        answer = peer.answer(node.heartbeat_to(other, 0.0), 0.0)
-        node.take_answer(other, answer, 0.0, 0.0)
+        peer.handle_table_revision(revision, 0.0, 0.0)
+        answer = peer.answer(node.build_heartbeat(other, 0.0), 0.0)
+        node.handle_heartbeat_answer(other, answer, 0.0, 0.0)
     return node, members
 
 
@@ -70,15 +70,15 @@
         node, members = fleet(size)
         other = node.peers[0]
         peer = MembershipNode(other, TIMES)
-        peer.take_head(node.revision, 0.0, 0.0)
+        peer.handle_table_revision(node.revision, 0.0, 0.0)
 
         def exchange(node=node, peer=peer, other=other):
-            request = codec.encode_heartbeat(node.heartbeat_to(other, 0.1))
+            request = codec.encode_heartbeat(node.build_heartbeat(other, 0.1))
             data = request.SerializeToString()
             answer = peer.answer(codec.decode_heartbeat(request), 0.1)
             reply = codec.encode_answer(answer)
             reply.SerializeToString()
-            node.take_answer(other, codec.decode_answer(reply), 0.1, 0.1)
+            node.handle_heartbeat_answer(other, codec.decode_answer(reply), 0.1, 0.1)
             return len(data) + reply.ByteSize()
 
         size_bytes = exchange()
