--- a/cowslipcourse/quarantining/crash_reporting.py
+++ b/cowslipcourse/quarantining/crash_reporting.py
@@ -54,7 +54,8 @@
     """Looks into runs that targets broke off, and reports those that ended them.
 
     :param peers: :class:`QuarantinePeers`
-    :param target_ends: :class:`~cowslipcourse.quarantining.target_ends.TargetExitDetector`
+    :param target_ends:
+        :class:`~cowslipcourse.quarantining.target_ends.TargetExitDetector`
     :param suspects: :class:`~cowslipcourse.quarantine.Suspects` of this daemon.
     :param judge: takes the reports that this daemon is to judge, one by one.
     """
--- a/cowslipcourse/quarantining/daemon_part.py
+++ b/cowslipcourse/quarantining/daemon_part.py
@@ -42,7 +42,8 @@
     """Reports ends of targets, judges requests, and knows which ones to refuse.
 
     :param peers: :class:`~cowslipcourse.quarantining.crash_reporting.QuarantinePeers`
-    :param target_ends: :class:`~cowslipcourse.quarantining.target_ends.TargetExitDetector`
+    :param target_ends:
+        :class:`~cowslipcourse.quarantining.target_ends.TargetExitDetector`
     :param kept: :class:`~cowslipcourse.quarantine.VerdictStore`
     """
 
