--- a/cowslipcourse/emulator/daemons.py
+++ b/cowslipcourse/emulator/daemons.py
@@ -122,9 +122,9 @@
             self.coordinator.domains.see_entries(changed)
             self.coordinator.domains.see_gone(gone)
 
-    def take_news(self, news):
+    def filter_eventss(self, news):
         """Take in what a coordinator has decided about a group."""
-        self.fleet.take_news(news, self._heads.now())
+        self.fleet.filter_eventss(news, self._heads.now())
 
     def _on_suspect(self):
         now = self._heads.now()
--- a/cowslipcourse/emulator/site.py
+++ b/cowslipcourse/emulator/site.py
@@ -169,7 +169,7 @@
     def _tell(self, news):
         loop = asyncio.get_running_loop()
         for daemon in self._daemons:
-            loop.call_later(2 * LINK_S, daemon.take_news, news)
+            loop.call_later(2 * LINK_S, daemon.filter_eventss, news)
 
     async def _heartbeats(self):
         """Bring each daemon what the others had in flight a moment ago."""
--- a/cowslipcourse/entry/daemon.py
+++ b/cowslipcourse/entry/daemon.py
@@ -239,13 +239,13 @@
         known = self._registry.known_daemon_count(now) + 1
         self._tools.budget.daemons = max(known, SMALLEST_SITE)
 
-    def take_news(self, news):
+    def filter_eventss(self, news):
         """Take in what a coordinator has decided about a group."""
-        self._fleet.take_news(news, asyncio.get_running_loop().time())
+        self._fleet.filter_eventss(news, asyncio.get_running_loop().time())
 
     def tell_news(self, news):
         """Tell all daemons, this one first, what was decided about a group."""
-        self.take_news(news)
+        self.filter_eventss(news)
         self._link.tell_news(news)
 
     def push(self, changes):
--- a/cowslipcourse/entry/fleet.py
+++ b/cowslipcourse/entry/fleet.py
@@ -78,12 +78,12 @@
         self.version += 1
         self._heads.see_entries(self._entries.values())
 
-    def take_news(self, news, now):
+    def filter_eventss(self, news, now):
         """Take in what a coordinator has decided about a group.
 
         :param news: :class:`~cowslipcourse.peers.GroupUpdate`
         """
-        self._heads.take_news(news, self._entries.values(), now)
+        self._heads.filter_eventss(news, self._entries.values(), now)
 
     def started(self, target):
         """Count a request that was sent to a target."""
--- a/cowslipcourse/entry/heads.py
+++ b/cowslipcourse/entry/heads.py
@@ -62,7 +62,7 @@
             and (_is_open_head(entry.membership) or entry.id in self._opened)
         )
 
-    def take_news(self, news, entries, now):
+    def filter_eventss(self, news, entries, now):
         """Take in a :class:`~cowslipcourse.peers.GroupUpdate`.
 
         :param entries: the whole list.
--- a/cowslipcourse/entry/peer_link.py
+++ b/cowslipcourse/entry/peer_link.py
@@ -41,7 +41,7 @@
     :param settings: :class:`~cowslipcourse.entry.settings.EntrySettings`
     :param registry: :class:`~cowslipcourse.peers.PeerRegistry`
     :param daemon: has ``heartbeat()``, ``heartbeat_interval_s()``, ``heard(message)``,
-        ``take_news(news)``, ``knowledge`` and ``quarantine``.
+        ``filter_eventss(news)``, ``knowledge`` and ``quarantine``.
     """
 
     def __init__(self, settings, registry, daemon):
@@ -176,7 +176,7 @@
         if isinstance(message, TargetChanges):
             self._daemon.knowledge.take_push(message)
         elif isinstance(message, GroupUpdate):
-            self._daemon.take_news(message)
+            self._daemon.filter_eventss(message)
         elif isinstance(message, CrashReports | QuarantineUpdate | RequestCleared):
             self._daemon.quarantine.take(message)
         elif isinstance(message, Heartbeat):
--- a/cowslipcourse/entry/streaming.py
+++ b/cowslipcourse/entry/streaming.py
@@ -116,7 +116,7 @@
 
     async def _pass_on(self, progress, run, head, events):
         passed = progress.position.forwarded
-        content, fault = progress.position.take_new(events)
+        content, fault = progress.position.filter_events(events)
         run.events += progress.position.forwarded - passed
         run.reached = progress.position.last or 0
         if content:
--- a/cowslipcourse/streams/position.py
+++ b/cowslipcourse/streams/position.py
@@ -15,7 +15,7 @@
         self.last = resumed_after
         self.forwarded = 0
 
-    def take_new(self, events):
+    def filter_events(self, events):
         """Return the bytes of the events that the caller lacks.
 
         :param events: list of :class:`~cowslipcourse.streams.Event`
--- a/features/steps/stream_steps.py
+++ b/features/steps/stream_steps.py
@@ -39,7 +39,7 @@
         for pieces in made:
             splitter = EventSplitter()
             for piece in pieces:
-                content, fault = position.take_new(splitter.feed(piece))
+                content, fault = position.filter_events(splitter.feed(piece))
                 passed += content
                 if fault is not None:
                     break
@@ -68,7 +68,7 @@
 
 @when("a target goes on with event {number:d}")
 def step_goes_on(context, number):
-    context.taken = context.position.take_new([Event(number, TRUTH[number])])
+    context.taken = context.position.filter_events([Event(number, TRUTH[number])])
 
 
 @then("nothing is passed on and the run is refused")
--- a/features/steps/variant_steps.py
+++ b/features/steps/variant_steps.py
@@ -41,7 +41,7 @@
 def _prefix():
     position = StreamPosition(0)
     events = [Event(number, b"%d" % number) for number in (1, 2)]
-    passed = position.take_new(events)[0] + position.take_new(events)[0]
+    passed = position.filter_events(events)[0] + position.filter_events(events)[0]
     assert passed == b"12", passed
 
 
@@ -115,7 +115,7 @@
     ),
     "telling a reset from an orderly end": _lost_is_end,
     "dropping events that came before": lambda: mock.patch.object(
-        StreamPosition, "take", _take_all
+        StreamPosition, "filter_events", _take_all
     ),
     "telling what was sent from what was not": lambda: mock.patch.object(
         outcomes, "may_have_run", lambda error: False
--- a/features/support/daemon_network.py
+++ b/features/support/daemon_network.py
@@ -166,7 +166,7 @@
     def heard(self, message):
         """Nothing is looked into here."""
 
-    def take_news(self, news):
+    def filter_eventss(self, news):
         """Nothing is formed here."""
 
     def sendto(self, content, address):
