--- a/cowslipcourse/emulator/site.py
+++ b/cowslipcourse/emulator/site.py
@@ -169,7 +169,7 @@
     def _tell(self, news):
         loop = asyncio.get_running_loop()
         for daemon in self._daemons:
-            loop.call_later(2 * LINK_S, daemon.filter_eventss, news)
+            loop.call_later(2 * LINK_S, daemon.take_news, news)
 
     async def _heartbeats(self):
         """Bring each daemon what the others had in flight a moment ago."""
@@ -182,7 +182,7 @@
                     if other != own:
                         for target, number in in_flight.items():
                             total[target] = total.get(target, 0) + number
-                daemon.fleet.note_peers(total)
+                daemon.fleet.set_peers_in_flight(total)
 
     async def _list(self):
         """Bring all daemons the list as it was a moment ago."""
--- a/cowslipcourse/quarantining/crash_reporting.py
+++ b/cowslipcourse/quarantining/crash_reporting.py
@@ -79,9 +79,9 @@
             call.fingerprint,
             entry.id,
             entry.incarnation,
-            run.has_begun,
-            run.events,
-            run.reached,
+            run.answer_started,
+            run.relayed_events,
+            run.last_event_id,
         )
         task = asyncio.create_task(self._report_if_exited(call.id, entry, report))
         self._tasks.add(task)
--- a/features/steps/target_end_steps.py
+++ b/features/steps/target_end_steps.py
@@ -69,7 +69,9 @@
         self._note_change()
         ended = False
         if connection.ended_by_target:
-            ended = await TargetExitDetector(self.fleet.expects).detect_exit(self.entry)
+            ended = await TargetExitDetector(self.fleet.is_expected).detect_exit(
+                self.entry
+            )
         self._server.close()
         return connection.ended_by_target, ended
 
@@ -100,7 +102,7 @@
         before = TargetConnection.connect
         TargetConnection.connect = _no_answer
         try:
-            return await TargetExitDetector(target.fleet.expects).detect_exit(
+            return await TargetExitDetector(target.fleet.is_expected).detect_exit(
                 target.entry
             )
         finally:
@@ -124,7 +126,7 @@
         return await refuses_connections(address)
 
     async def run():
-        ends = TargetExitDetector(target.fleet.expects, refuses)
+        ends = TargetExitDetector(target.fleet.is_expected, refuses)
         runs = [TargetRun(target.entry) for _ in range(context.requests)]
         return await asyncio.gather(*(ends.detect_exit(run.entry) for run in runs))
 
--- a/features/support/spread_runs.py
+++ b/features/support/spread_runs.py
@@ -90,14 +90,14 @@
     kept = VerdictStore(_Store(), lambda: 0.0)
     peers = _CountingPeers(daemon.link)
     daemon.quarantine = Quarantine(
-        peers, TargetExitDetector(fleet.expects, _refuses), kept
+        peers, TargetExitDetector(fleet.is_expected, _refuses), kept
     )
     return peers
 
 
 def _see_end(daemon, number):
     run = TargetRun(_entry(number))
-    run.has_begun = run.ended_by_target = True
+    run.answer_started = run.ended_by_target = True
     daemon.quarantine.note_failed(CALL, run)
 
 
