--- a/cowslipcourse/entry/streaming.py
+++ b/cowslipcourse/entry/streaming.py
@@ -36,7 +36,7 @@
     @property
     def resume_after(self):
         """Id of the last event that was passed on, or ``None``."""
-        return self.position.last if self.position.passed else None
+        return self.position.last if self.position.forwarded else None
 
     @property
     def has_begun(self):
@@ -109,7 +109,7 @@
                 continue
             stream.has_begun = True
             await self._pass_on(progress, run, head, events)
-        if splitter.has_rest:
+        if splitter.has_partial_event:
             raise AnswerBroken("the stream ended inside an event")
         run.succeeded = True
         if not responder.started:
@@ -117,9 +117,9 @@
         await responder.finish()
 
     async def _pass_on(self, progress, run, head, events):
-        passed = progress.position.passed
-        content, fault = progress.position.take(events)
-        run.relayed_events += progress.position.passed - passed
+        passed = progress.position.forwarded
+        content, fault = progress.position.filter_events(events)
+        run.relayed_events += progress.position.forwarded - passed
         run.last_event_id = progress.position.last or 0
         if content:
             progress.note_events(asyncio.get_running_loop().time())
@@ -155,7 +155,7 @@
         place_s=round(progress.slot_wait_s, 3),
         target=entry.id,
         attempts=attempts,
-        events=progress.position.passed,
+        events=progress.position.forwarded,
         first_s=None if progress.first_s is None else round(progress.first_s, 3),
         pause_s=round(progress.longest_pause_s, 3),
         seconds=round(now - call.arrived_at, 3),
