--- a/cowslipcourse/emulator/world.py
+++ b/cowslipcourse/emulator/world.py
@@ -266,7 +266,7 @@
         await self._store_call()
         key = row_write.table, row_write.key
         known = self._rows[key].version if key in self._rows else 0
-        expected = row_write.expected
+        expected = row_write.expected_version
         if expected is not None and unpack_version(expected) != known:
             raise ConditionFailed([row_write.key])
         self._version += 1
--- a/cowslipcourse/entry/calls.py
+++ b/cowslipcourse/entry/calls.py
@@ -10,7 +10,7 @@
     HeadTooLarge,
     NoConfiguration,
 )
-from cowslipcourse.platform.edge import header_bytes, parse_caller_headers
+from cowslipcourse.platform.edge import parse_caller_headers, total_header_bytes
 from cowslipcourse.quarantine import fingerprint
 
 __all__ = ["Call", "Responder", "read_call"]
@@ -72,7 +72,7 @@
     if table is None:
         raise NoConfiguration("no configuration yet", NO_CONFIGURATION_RETRY_S)
     headers = tuple(scope["headers"])
-    if header_bytes(headers) > table.limits.header_bytes:
+    if total_header_bytes(headers) > table.limits.header_bytes:
         raise HeadTooLarge("the head is too long")
     fields = parse_caller_headers(headers)
     host = dict(headers).get(b"host", b"").decode("latin-1")
--- a/cowslipcourse/entry/following.py
+++ b/cowslipcourse/entry/following.py
@@ -123,7 +123,7 @@
             self._has_read = True
             return
         after = self._version
-        changes = await self._store.changes(
+        changes = await self._store.wait_for_changes(
             self._table, after, self._settings.feed_wait_s
         )
         if changes.rows:
--- a/cowslipcourse/exchange/__init__.py
+++ b/cowslipcourse/exchange/__init__.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 exchanges with targets, one at a time on each connection."""
+"""HTTP/1.1 client for targets, with one exchange at a time per connection."""
 
 from cowslipcourse.exchange.connection import ResponseHead, TargetConnection
 from cowslipcourse.exchange.pool import ConnectionPool
--- a/cowslipcourse/exchange/connection.py
+++ b/cowslipcourse/exchange/connection.py
@@ -1,9 +1,10 @@
-"""One connection to a target.
+"""HTTP/1.1 connection to a target.
 
-The general HTTP client does not fit here: it repeats a request by itself when a kept
-connection breaks, takes an answer without length as complete when the connection is
-reset, and gives whatever answer comes next to the request that waits. The parser is
-the library's; this module only keeps track of whose answer it reads.
+A general HTTP client is unsuitable: it repeats a request by itself when a reused
+connection breaks, takes a response without length as complete when the connection is
+reset, and gives the next response on the connection to the waiting request, whichever
+request it belongs to. Parsing is left to httptools; this module only matches responses
+with requests.
 """
 
 import asyncio
@@ -17,13 +18,13 @@
 
 __all__ = ["ResponseHead", "TargetConnection"]
 
-READ_AHEAD_BYTES = 256 * 1024
-"""Bytes of an answer that may wait for a slow caller before reading pauses."""
-_NO_BODY = (204, 304)
+MAX_BUFFERED_BYTES = 256 * 1024
+"""Unread body bytes above which reading from the target is paused."""
+_BODILESS_STATUSES = (204, 304)
 
 
 class ResponseHead(NamedTuple):
-    """Status line and headers of an answer.
+    """Status line and headers of a response.
 
     :param status: HTTP status.
     :param headers: ``(lower-case name, value)`` pairs.
@@ -40,20 +41,20 @@
         return None
 
 
-class _Answer:
-    """One answer being read."""
+class _Response:
+    """A response that is being received."""
 
     def __init__(self):
         self.headers = []
         self.head = None
         self.chunks = deque()
-        self.waiting_bytes = 0
+        self.buffered_bytes = 0
         self.complete = False
-        self.ends_with_connection = False
+        self.is_close_delimited = False
 
 
 class TargetConnection(asyncio.Protocol):
-    """A connection that carries one exchange at a time.
+    """A connection with one exchange at a time.
 
     :param address: ``ip:port`` of the target.
     """
@@ -65,24 +66,26 @@
         self.last_received_at = 0.0
         self._loop = asyncio.get_running_loop()
         self._transport = None
-        self._answer = None
-        self._incoming = None
-        self._expected = None
+        self._response = None
+        self._parsed_response = None
+        self._echoed_header = None
         self._method = ""
         self._error = None
         self._closed = False
-        self._aborted = False
+        self._closed_locally = False
         self._ended_by_target = False
-        self._dirty = False
-        self._said_close = False
+        self._has_stray_data = False
+        self._close_announced = False
         self._waiter = None
         self._parser = None
-        self._paused = False
+        self._reading_paused = False
 
     @classmethod
     async def connect(cls, address, timeout_s):
-        """Return a new connection.
+        """Open a connection.
 
+        :param address: ``ip:port`` of the target.
+        :param timeout_s: maximum time to connect, in seconds.
         :raises TargetUnreachable: nothing was sent.
         """
         host, port = address.rsplit(":", 1)
@@ -98,88 +101,95 @@
 
     @property
     def is_reusable(self):
-        """Whether another exchange may follow on this connection."""
-        answer = self._answer
+        """Whether the connection can carry another exchange."""
+        response = self._response
         return not (
             self._closed
-            or self._dirty
-            or self._said_close
-            or (answer is not None and not answer.complete)
+            or self._has_stray_data
+            or self._close_announced
+            or (response is not None and not response.complete)
             or self._transport.get_write_buffer_size()
         )
 
     @property
     def ended_by_target(self):
-        """Whether the other side closed or reset it before its answer was whole."""
+        """Whether the target closed or reset it before its response was complete."""
         return self._ended_by_target
 
     def send(self, request):
-        """Send a request; the connection must be reusable.
+        """Send a request. The connection must be reusable.
 
         :param request: :class:`~cowslipcourse.exchange.TargetRequest`
-        :raises TargetUnreachable: the connection is closed and nothing was sent.
+        :raises TargetUnreachable: the connection is not reusable; nothing was sent.
         """
         if not self.is_reusable:
-            raise TargetUnreachable("the connection was closed", sent=False)
-        self._expected = request.echoed
+            raise TargetUnreachable("the connection is not reusable", sent=False)
+        self._echoed_header = request.echoed_header
         self._method = request.method
-        self._answer = None
+        self._response = None
         self.last_received_at = 0.0
         self._parser = httptools.HttpResponseParser(self)
         self._transport.write(encode_request(request))
 
     async def head(self):
-        """Return the :class:`ResponseHead` of the answer to the request sent.
+        """Return the :class:`ResponseHead` of the response to the last request.
 
-        :raises TargetUnreachable: the connection ended before the head.
-        :raises MalformedAnswer: what came is not an answer.
+        :raises TargetUnreachable: the connection ended before the head was received.
+        :raises MalformedAnswer: the received bytes are not an HTTP response.
         """
-        while self._answer is None or self._answer.head is None:
+        while self._response is None or self._response.head is None:
             if self._closed:
-                raise self._error or TargetUnreachable("closed before an answer")
+                raise self._error or TargetUnreachable(
+                    "the connection ended before the response head"
+                )
             await self._wait()
-        return self._answer.head
+        return self._response.head
 
     async def read(self):
         """Return the next bytes of the body; empty at its end.
 
-        :raises AnswerBroken: the answer ended before it was complete.
+        :raises AnswerBroken: the response ended before it was complete.
         """
-        answer = self._answer
-        while not answer.chunks:
-            if answer.complete:
+        response = self._response
+        while not response.chunks:
+            if response.complete:
                 return b""
             if self._closed:
-                raise self._error or AnswerBroken("the connection ended")
+                raise self._error or AnswerBroken(
+                    "the connection ended before the end of the body"
+                )
             await self._wait()
-        chunk = b"".join(answer.chunks)
-        answer.chunks.clear()
-        answer.waiting_bytes = 0
-        if self._paused and not self._closed:
+        chunk = b"".join(response.chunks)
+        response.chunks.clear()
+        response.buffered_bytes = 0
+        if self._reading_paused and not self._closed:
             self._transport.resume_reading()
-            self._paused = False
+            self._reading_paused = False
         return chunk
 
     async def read_all(self):
         """Return the rest of the body.
 
-        :raises AnswerBroken: the answer ended before it was complete.
+        :raises AnswerBroken: the response ended before it was complete.
         """
-        pieces = []
-        while piece := await self.read():
-            pieces.append(piece)
-        return b"".join(pieces)
+        chunks_read = []
+        while chunk := await self.read():
+            chunks_read.append(chunk)
+        return b"".join(chunks_read)
 
     def abort(self, error=None):
-        """Close at once; whoever reads gets the error."""
+        """Close the connection at once.
+
+        :param error: error that is raised to the pending reader.
+        """
         if error is not None and self._error is None:
             self._error = error
         self._closed = True
         self._abort_transport()
-        self._wake()
+        self._wake_waiter()
 
     def _abort_transport(self):
-        self._aborted = True
+        self._closed_locally = True
         self._transport.abort()
 
     async def _wait(self):
@@ -189,7 +199,7 @@
         finally:
             self._waiter = None
 
-    def _wake(self):
+    def _wake_waiter(self):
         if self._waiter is not None and not self._waiter.done():
             self._waiter.set_result(None)
 
@@ -202,93 +212,95 @@
     def data_received(self, data):
         """See :class:`asyncio.Protocol`."""
         self.last_received_at = self._loop.time()
-        if self._parser is None or (self._answer is not None and self._answer.complete):
-            # Bytes that belong to no request.
-            self._dirty = True
+        if self._parser is None or (
+            self._response is not None and self._response.complete
+        ):
+            # Bytes that do not belong to any request.
+            self._has_stray_data = True
             self._abort_transport()
             return
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserError as error:
-            if self._answer is not None and self._answer.complete:
-                self._dirty = True
+            if self._response is not None and self._response.complete:
+                self._has_stray_data = True
             else:
-                self.abort(MalformedAnswer(f"not an answer: {error!r}"))
-        self._wake()
+                self.abort(MalformedAnswer(f"invalid HTTP response: {error!r}"))
+        self._wake_waiter()
 
     def eof_received(self):
         """See :class:`asyncio.Protocol`."""
-        answer = self._answer
-        if answer is not None and answer.ends_with_connection:
-            answer.complete = True
+        response = self._response
+        if response is not None and response.is_close_delimited:
+            response.complete = True
         return False
 
     def connection_lost(self, error):
         """See :class:`asyncio.Protocol`."""
         self._closed = True
-        is_whole = self._answer is not None and self._answer.complete
-        self._ended_by_target = not (self._aborted or is_whole)
-        self._wake()
+        is_complete = self._response is not None and self._response.complete
+        self._ended_by_target = not (self._closed_locally or is_complete)
+        self._wake_waiter()
 
     # Called by the parser.
 
     def on_message_begin(self):
-        """Start to read an answer, which may be another request's."""
-        if self._answer is not None and self._answer.complete:
-            self._dirty = True
-            self._incoming = _Answer()
+        """Start a response, which may belong to another request."""
+        if self._response is not None and self._response.complete:
+            self._has_stray_data = True
+            self._parsed_response = _Response()
             return
-        self._incoming = _Answer()
+        self._parsed_response = _Response()
 
     def on_header(self, name, value):
-        """Keep a header."""
-        self._incoming.headers.append((name.lower(), value))
+        """Store a header."""
+        self._parsed_response.headers.append((name.lower(), value))
 
     def on_headers_complete(self):
-        """Take the answer if it is the one that is waited for."""
-        incoming = self._incoming
+        """Accept the response if it belongs to the pending request."""
+        parsed = self._parsed_response
         status = self._parser.get_status_code()
-        head = ResponseHead(status, tuple(incoming.headers))
-        if status < 200 or (self._answer is not None and self._answer.complete):
+        head = ResponseHead(status, tuple(parsed.headers))
+        if status < 200 or (self._response is not None and self._response.complete):
             return
-        if not self._is_ours(head):
-            self._dirty = True
+        if not self._matches_request(head):
+            self._has_stray_data = True
             return
-        incoming.head = head
-        incoming.ends_with_connection = _ends_with_connection(head)
-        if head.get(b"connection") == b"close" or incoming.ends_with_connection:
-            self._said_close = True
-        self._keep_alive(head)
-        self._answer = incoming
-        if self._method == "HEAD" or status in _NO_BODY:
-            incoming.complete = True
+        parsed.head = head
+        parsed.is_close_delimited = _is_close_delimited(head)
+        if head.get(b"connection") == b"close" or parsed.is_close_delimited:
+            self._close_announced = True
+        self._read_keep_alive(head)
+        self._response = parsed
+        if self._method == "HEAD" or status in _BODILESS_STATUSES:
+            parsed.complete = True
 
     def on_body(self, body):
-        """Keep a piece of the body."""
-        incoming = self._incoming
-        if incoming is not self._answer:
+        """Buffer a piece of the body; pause reading above the limit."""
+        parsed = self._parsed_response
+        if parsed is not self._response:
             return
-        incoming.chunks.append(body)
-        incoming.waiting_bytes += len(body)
-        if incoming.waiting_bytes > READ_AHEAD_BYTES and not self._paused:
+        parsed.chunks.append(body)
+        parsed.buffered_bytes += len(body)
+        if parsed.buffered_bytes > MAX_BUFFERED_BYTES and not self._reading_paused:
             self._transport.pause_reading()
-            self._paused = True
+            self._reading_paused = True
 
     def on_message_complete(self):
-        """Note that the answer is whole."""
-        incoming = self._incoming
-        # The parser also says so at the end of an answer without length.
-        if incoming is self._answer and not incoming.ends_with_connection:
-            incoming.complete = True
-
-    def _is_ours(self, head):
-        name, value = self._expected
-        found = head.get(name)
-        if found is None:
+        """Mark the response as complete."""
+        parsed = self._parsed_response
+        # The parser also reports completion at the end of a response without length.
+        if parsed is self._response and not parsed.is_close_delimited:
+            parsed.complete = True
+
+    def _matches_request(self, head):
+        name, value = self._echoed_header
+        received = head.get(name)
+        if received is None:
             return head.status >= 400
-        return found == value
+        return received == value
 
-    def _keep_alive(self, head):
+    def _read_keep_alive(self, head):
         value = head.get(b"keep-alive")
         if value is None:
             return
@@ -298,8 +310,8 @@
                 self.keep_alive_s = float(seconds)
 
 
-def _ends_with_connection(head):
-    if head.status in _NO_BODY:
+def _is_close_delimited(head):
+    if head.status in _BODILESS_STATUSES:
         return False
     transfer = head.get(b"transfer-encoding")
     return head.get(b"content-length") is None and (
--- a/cowslipcourse/exchange/pool.py
+++ b/cowslipcourse/exchange/pool.py
@@ -1,4 +1,4 @@
-"""Kept connections to targets."""
+"""Pool of idle connections to targets."""
 
 import asyncio
 from collections import deque
@@ -7,68 +7,76 @@
 
 __all__ = ["ConnectionPool"]
 
-KEEP_MARGIN_S = 0.6
-"""Closed this long before the target would: a request must not cross its close."""
-UNTOLD_KEEP_S = 1.0
-"""Where the target does not say how long it keeps a connection."""
-MOST_IDLE = 16
-"""Idle connections kept to one target."""
+KEEP_ALIVE_MARGIN_S = 0.6
+"""A connection expires this long before the target closes it, as a request must not
+cross the close on the wire."""
+DEFAULT_KEEP_ALIVE_S = 1.0
+"""Lifetime of an idle connection if the target states no ``Keep-Alive`` timeout."""
+MAX_IDLE_PER_TARGET = 16
+"""Limit of idle connections to one target."""
 
 
 class ConnectionPool:
-    """Connections to targets by address and instance.
+    """Keeps idle connections to targets by instance.
 
-    :param connect_timeout_s: longest time to connect.
+    :param connect_timeout_s: maximum time to connect, in seconds.
     """
 
     def __init__(self, connect_timeout_s):
         self._connect_timeout_s = connect_timeout_s
-        self._idle = {}
+        self._idle_by_key = {}
 
-    async def acquire(self, key, address, fresh=False):
+    async def acquire(self, key, address, force_new=False):
         """Return a connection that can take a request.
 
         :param key: instance at the address; connections are not shared between them.
         :param address: ``ip:port``
-        :param fresh: whether it must be new.
+        :param force_new: whether to open a new connection in any case.
         :raises TargetUnreachable: nothing was sent.
         """
         now = asyncio.get_running_loop().time()
-        kept = self._idle.get(key)
-        while kept and not fresh:
-            connection = kept.pop()
-            if connection.is_reusable and now < _usable_until(connection):
+        idle_connections = self._idle_by_key.get(key)
+        while idle_connections and not force_new:
+            connection = idle_connections.pop()
+            if connection.is_reusable and now < _expires_at(connection):
                 return connection
             connection.abort()
         return await TargetConnection.connect(address, self._connect_timeout_s)
 
     def release(self, key, connection):
-        """Keep a connection whose exchange is over, or close it."""
+        """Return a connection to the pool; close it if it is not reusable."""
         if not connection.is_reusable:
             connection.abort()
             return
         connection.idle_since = asyncio.get_running_loop().time()
-        kept = self._idle.setdefault(key, deque())
-        kept.append(connection)
-        if len(kept) > MOST_IDLE:
-            kept.popleft().abort()
+        idle_connections = self._idle_by_key.setdefault(key, deque())
+        idle_connections.append(connection)
+        if len(idle_connections) > MAX_IDLE_PER_TARGET:
+            idle_connections.popleft().abort()
 
     def close_stale(self, live_keys):
-        """Close what is too old to be used, and what leads to targets that left."""
+        """Close expired idle connections and those to targets that are gone.
+
+        :param live_keys: set of the keys of all present targets.
+        """
         now = asyncio.get_running_loop().time()
-        for key in list(self._idle):
-            kept = self._idle[key]
-            while kept and (key not in live_keys or now >= _usable_until(kept[0])):
-                kept.popleft().abort()
-            if not kept:
-                del self._idle[key]
+        for key in list(self._idle_by_key):
+            idle_connections = self._idle_by_key[key]
+            while idle_connections and (
+                key not in live_keys or now >= _expires_at(idle_connections[0])
+            ):
+                idle_connections.popleft().abort()
+            if not idle_connections:
+                del self._idle_by_key[key]
 
     def close(self):
         """Close all idle connections."""
         self.close_stale(frozenset())
 
 
-def _usable_until(connection):
-    keep_s = connection.keep_alive_s
-    keep_s = UNTOLD_KEEP_S if keep_s is None else keep_s - KEEP_MARGIN_S
-    return connection.idle_since + keep_s
+def _expires_at(connection):
+    lifetime_s = connection.keep_alive_s
+    lifetime_s = (
+        DEFAULT_KEEP_ALIVE_S if lifetime_s is None else lifetime_s - KEEP_ALIVE_MARGIN_S
+    )
+    return connection.idle_since + lifetime_s
--- a/cowslipcourse/exchange/request.py
+++ b/cowslipcourse/exchange/request.py
@@ -1,4 +1,4 @@
-"""Requests to targets, as bytes."""
+"""Encoding of requests to targets."""
 
 from typing import NamedTuple
 
@@ -11,19 +11,19 @@
     :param method: HTTP method.
     :param path: path and query as the caller sent them.
     :param headers: ``(name, value)`` pairs without framing headers.
-    :param body: whole body.
-    :param echoed: ``(name, value)`` of a header that the answer must bear too.
+    :param body: complete body.
+    :param echoed_header: ``(name, value)`` of a header that the response must repeat.
     """
 
     method: str
     path: bytes
     headers: tuple[tuple[bytes, bytes], ...]
     body: bytes
-    echoed: tuple[bytes, bytes]
+    echoed_header: tuple[bytes, bytes]
 
 
 def encode_request(request):
-    """Return the bytes of a :class:`TargetRequest`."""
+    """Encode a :class:`TargetRequest` as HTTP/1.1 bytes."""
     lines = [request.method.encode() + b" " + request.path + b" HTTP/1.1"]
     lines += [name + b": " + value for name, value in request.headers]
     if request.body or request.method not in ("GET", "HEAD"):
--- a/cowslipcourse/fleet/__init__.py
+++ b/cowslipcourse/fleet/__init__.py
@@ -1,4 +1,4 @@
-"""Values that describe the fleet: VMs, selectors and labels."""
+"""Values that describe the fleet: VMs, groups and label selectors."""
 
 from cowslipcourse.fleet.groups import GroupMember, GroupSpec
 from cowslipcourse.fleet.selectors import Requirement, Selector, parse_selector
--- a/cowslipcourse/fleet/groups.py
+++ b/cowslipcourse/fleet/groups.py
@@ -1,4 +1,4 @@
-"""Groups: VMs that serve one replica of a model together."""
+"""Groups of VMs that serve one replica of a model together."""
 
 from typing import NamedTuple
 
@@ -9,7 +9,7 @@
     """A VM as a member of a group.
 
     :param vm: VM name.
-    :param incarnation: incarnation of the VM that was taken in.
+    :param incarnation: incarnation of the VM when it joined the group.
     :param address: base URL of its engine.
     """
 
@@ -19,18 +19,18 @@
 
 
 class GroupSpec(NamedTuple):
-    """A group as the table holds it.
+    """A group as stored in the table.
 
     :param group: group id.
     :param domain: fabric domain.
     :param data_centre: data centre.
-    :param declaration: group declaration that it was formed for.
-    :param model: model that it serves.
+    :param declaration: name of the group declaration that it implements.
+    :param model: served model.
     :param version: version of the model.
-    :param adapters: adapters loaded beside it.
-    :param epoch: grows with every change of members or version.
-    :param members: the leader first.
-    :param state: ``active``, or ``dissolving`` once it is being given up.
+    :param adapters: adapters loaded beside the model.
+    :param epoch: number that increases with every change of members or version.
+    :param members: :class:`GroupMember`, the leader first.
+    :param state: ``active``, or ``dissolving`` while it is being removed.
     """
 
     group: str
--- a/cowslipcourse/fleet/selectors.py
+++ b/cowslipcourse/fleet/selectors.py
@@ -1,6 +1,6 @@
-"""Selectors over labels.
+"""Label selectors.
 
-A selector is a comma-separated list of requirements, all of which must hold::
+A selector is a comma-separated list of requirements, all of which must be met::
 
     role=drafting, site in (north, south), !retired
 """
@@ -15,14 +15,14 @@
 __all__ = ["Requirement", "Selector", "parse_selector"]
 
 _NAME = r"[A-Za-z0-9][A-Za-z0-9_.\-/]*"
-_SPLIT = re.compile(r",(?![^(]*\))")
-_IN = re.compile(rf"({_NAME})\s+(in|notin)\s+\(([^()]*)\)")
-_EQUALS = re.compile(rf"({_NAME})\s*(==|=|!=)\s*({_NAME})")
-_EXISTS = re.compile(rf"(!?)\s*({_NAME})")
+_SEPARATOR = re.compile(r",(?![^(]*\))")
+_SET_REQUIREMENT = re.compile(rf"({_NAME})\s+(in|notin)\s+\(([^()]*)\)")
+_EQUALITY_REQUIREMENT = re.compile(rf"({_NAME})\s*(==|=|!=)\s*({_NAME})")
+_EXISTENCE_REQUIREMENT = re.compile(rf"(!?)\s*({_NAME})")
 
 
 class Operator(StrEnum):
-    """How a requirement compares a label."""
+    """Comparison of a requirement."""
 
     IN = "in"
     NOT_IN = "notin"
@@ -31,19 +31,19 @@
 
 
 class Requirement(NamedTuple):
-    """One condition on one label.
+    """A condition on one label.
 
     :param key: label name.
     :param operator: comparison.
-    :param values: accepted or refused values, empty for existence tests.
+    :param values: accepted or excluded values; empty for existence tests.
     """
 
     key: str
     operator: Operator
     values: tuple[str, ...] = ()
 
-    def holds(self, labels):
-        """Return whether the labels meet this requirement."""
+    def is_met_by(self, labels):
+        """Return whether labels meet this requirement."""
         match self.operator:
             case Operator.IN:
                 return labels.get(self.key) in self.values
@@ -57,33 +57,35 @@
 class Selector(NamedTuple):
     """A parsed selector.
 
-    :param text: the selector as it was written.
-    :param requirements: conditions that must all hold.
+    :param text: text from which the selector was parsed.
+    :param requirements: :class:`Requirement`, all of which must be met.
     """
 
     text: str
     requirements: tuple[Requirement, ...]
 
     def matches(self, labels: Mapping[str, str]):
-        """Return whether the labels meet every requirement."""
-        return all(requirement.holds(labels) for requirement in self.requirements)
+        """Return whether labels meet every requirement."""
+        return all(requirement.is_met_by(labels) for requirement in self.requirements)
 
 
 def _parse_requirement(text):
-    if found := _IN.fullmatch(text):
-        key, word, listed = found.groups()
-        values = tuple(value.strip() for value in listed.split(","))
+    if match := _SET_REQUIREMENT.fullmatch(text):
+        key, operator_text, values_text = match.groups()
+        values = tuple(value.strip() for value in values_text.split(","))
         if not all(re.fullmatch(_NAME, value) for value in values):
-            raise SelectorError(f"bad value list in {text!r}")
-        return Requirement(key, Operator(word), values)
-    if found := _EQUALS.fullmatch(text):
-        key, sign, value = found.groups()
-        operator = Operator.NOT_IN if sign == "!=" else Operator.IN
+            raise SelectorError(f"invalid value list in {text!r}")
+        return Requirement(key, Operator(operator_text), values)
+    if match := _EQUALITY_REQUIREMENT.fullmatch(text):
+        key, operator_sign, value = match.groups()
+        operator = Operator.NOT_IN if operator_sign == "!=" else Operator.IN
         return Requirement(key, operator, (value,))
-    if found := _EXISTS.fullmatch(text):
-        negated, key = found.groups()
+    if match := _EXISTENCE_REQUIREMENT.fullmatch(text):
+        negated, key = match.groups()
         return Requirement(key, Operator.ABSENT if negated else Operator.EXISTS)
-    raise SelectorError(f"cannot read {text!r}; expected e.g. role=drafting")
+    raise SelectorError(
+        f"invalid requirement {text!r}; expected for example role=drafting"
+    )
 
 
 def parse_selector(text):
@@ -91,9 +93,9 @@
 
     :param text: comma-separated requirements.
     :returns: :class:`Selector`
-    :raises SelectorError: if the text is empty or malformed.
+    :raises SelectorError: the text is empty or malformed.
     """
     if not isinstance(text, str) or not text.strip():
-        raise SelectorError("an empty selector would select everything")
-    parts = [part.strip() for part in _SPLIT.split(text)]
+        raise SelectorError("the selector is empty; it would select everything")
+    parts = [part.strip() for part in _SEPARATOR.split(text)]
     return Selector(text, tuple(_parse_requirement(part) for part in parts))
--- a/cowslipcourse/fleet/vms.py
+++ b/cowslipcourse/fleet/vms.py
@@ -1,4 +1,4 @@
-"""The VMs that targets run on."""
+"""VMs, on which targets run."""
 
 from collections.abc import Mapping
 from enum import StrEnum
@@ -8,31 +8,31 @@
 
 
 class VmState(StrEnum):
-    """What the platform's list says of a VM."""
+    """State of a VM in the platform's list."""
 
     LIVE = "live"
     LEAVING = "leaving"
 
 
 class TargetKind(StrEnum):
-    """What runs on a VM."""
+    """Kind of target on a VM."""
 
     ENGINE = "engine"
     SERVICE = "service"
 
 
 class VM(NamedTuple):
-    """One VM as the platform lists it, with the operators' labels.
+    """A VM as the platform lists it, with the operators' labels.
 
     :param name: unique name.
     :param domain: fabric domain.
     :param data_centre: data centre.
     :param address: base URL of the target that runs on the VM.
-    :param incarnation: changes whenever the VM is restarted or replaced.
+    :param incarnation: id that changes whenever the VM is restarted or replaced.
     :param accelerators: number of accelerators.
-    :param kind: what runs on the VM.
-    :param state: live or leaving.
-    :param labels: labels in force, the platform's own ones included.
+    :param kind: kind of the target on the VM.
+    :param state: :class:`VmState`
+    :param labels: effective labels, including the platform's.
     """
 
     name: str
@@ -46,8 +46,8 @@
     labels: Mapping[str, str]
 
     def with_labels(self, extra):
-        """Return the VM with labels added.
+        """Return a copy of the VM with additional labels.
 
-        :param extra: mapping of label to value; wins over present labels.
+        :param extra: mapping of label to value; overrides existing labels.
         """
         return self._replace(labels={**self.labels, **extra})
--- a/cowslipcourse/gateway/quarantine_ports.py
+++ b/cowslipcourse/gateway/quarantine_ports.py
@@ -169,7 +169,7 @@
     async def write(self, row_write):
         """See :class:`~cowslipcourse.ports.RowStore`."""
         key = f"{row_write.table}/{row_write.key}"
-        expected = row_write.expected
+        expected = row_write.expected_version
         conditions = {} if expected is None else {key: expected}
         content = _Content(row_write.value.decode())._asdict()
         return await self._table.commit(Transaction(conditions, {key: content}))
--- a/cowslipcourse/platform/__init__.py
+++ b/cowslipcourse/platform/__init__.py
@@ -1,6 +1,6 @@
-"""Translation between the product and the users' platform; nothing else.
+"""Adapter between the system and the users' platform.
 
-Names of the platform's headers, paths and fields appear only here.
+The platform's headers, paths and field names are used only in this package.
 """
 
 from cowslipcourse.platform.configuration import decode_configuration
@@ -10,7 +10,7 @@
 from cowslipcourse.platform.store import HttpRowStore
 
 SETTINGS_VARIABLE = "COWSLIPCOURSE_NODE_FILE"
-"""Variable by which the platform names a daemon's settings file."""
+"""Environment variable that holds the path of a daemon's settings file."""
 
 __all__ = [
     "SETTINGS_VARIABLE",
--- a/cowslipcourse/platform/configuration.py
+++ b/cowslipcourse/platform/configuration.py
@@ -1,4 +1,4 @@
-"""The operators' configuration as the platform's store holds it."""
+"""Decodes the operators' configuration from the platform's store."""
 
 from typing import NamedTuple
 
@@ -19,16 +19,17 @@
 
 __all__ = ["DecodedConfiguration", "decode_configuration"]
 
-MS = 1000.0
-MOST_CONNECTIONS = 100
-"""Connections that a target takes from all callers if its service does not say."""
+MS_PER_S = 1000.0
+DEFAULT_MAX_CONNECTIONS = 100
+"""Connection limit of a target, over all callers, if its service sets none."""
 
 
 class DecodedConfiguration(NamedTuple):
-    """A configuration without the parts that cannot be read.
+    """The valid parts of a configuration and the problems with the others.
 
     :param table: :class:`~cowslipcourse.routes.RouteTable`
-    :param problems: :class:`~cowslipcourse.exceptions.Problem` for each part left out.
+    :param problems: :class:`~cowslipcourse.exceptions.Problem` for each part that was
+        left out.
     """
 
     table: RouteTable
@@ -37,7 +38,7 @@
 
 class _WireConfiguration(msgspec.Struct, frozen=True):
     version: Positive
-    # Parts are decoded one by one, so that a bad one does not take the others with it.
+    # Parts are decoded one by one: an invalid one must not invalidate the others.
     routes: tuple[msgspec.Raw, ...]
     services: tuple[msgspec.Raw, ...]
     limits: msgspec.Raw = msgspec.Raw(b"null")
@@ -55,15 +56,15 @@
     prefix: Name
     kind: RequestKind
     timeoutMs: Quantity  # noqa: N815
-    # Time within which an answer is on time.
+    # Latency objective of an answer.
     sloMs: Quantity | None = None  # noqa: N815
     priority: Count | None = None
     maxAttempts: Positive | None = None  # noqa: N815
     public: bool | None = None
     resumable: bool | None = None
-    # Longest pause between events that is on time.
+    # Longest pause between two events that is within the objective.
     gapTargetMs: Quantity | None = None  # noqa: N815
-    # Either one service, or several with weights.
+    # Either one service or several weighted back ends.
     service: Name | None = None
     backends: tuple[_WireBackend, ...] | None = None
 
@@ -74,20 +75,20 @@
     share: Quantity | None = None
     pace: Quantity | None = None
     loadS: Quantity | None = None  # noqa: N815
-    # Time to load from the engine's own host.
+    # Load time when the weights are already on the engine's host.
     warmS: Quantity | None = None  # noqa: N815
 
 
 class _WireEngine(msgspec.Struct, frozen=True):
     models: tuple[_WireModel, ...] | None = None
-    # Of a whole group, not of one engine.
+    # Per group, not per engine.
     slots: Count | None = None
-    # Time from the open order until a group serves.
+    # Time from the open order until the group serves.
     formMs: Quantity | None = None  # noqa: N815
     loadsPerS: Quantity | None = None  # noqa: N815
     step_ms: Quantity | None = None
     per_seq_ms: Quantity | None = None
-    # Token steps between two events of a stream.
+    # Decoding steps (tokens) per event of a stream.
     stride: Positive | None = None
     read_per_s: Quantity | None = None
     chunk: Positive | None = None
@@ -113,23 +114,30 @@
 
 
 def decode_configuration(content):
-    """Return the :class:`DecodedConfiguration` in the operators' row.
+    """Decode the operators' configuration row.
 
     :param content: JSON bytes.
-    :raises ConfigurationError: nothing of it can be read.
+    :returns: :class:`DecodedConfiguration`
+    :raises ConfigurationError: the row as a whole cannot be decoded.
     """
     try:
-        whole = decode_as(_WireConfiguration, content, "configuration")
+        decoded = decode_as(_WireConfiguration, content, "configuration")
     except MalformedAnswer as error:
         raise ConfigurationError([Problem("configuration", str(error))]) from error
     problems = []
-    routes = _parts(_WireRoute, whole.routes, "route", _route, problems)
-    services = _parts(_WireService, whole.services, "service", _service, problems)
-    tenants = whole.tenants or ()
-    workspaces = _parts(_WireWorkspace, tenants, "tenant", _keys, problems)
-    limits = _parts(_WireLimits | None, (whole.limits,), "limits", _limits, problems)
+    routes = _decode_parts(_WireRoute, decoded.routes, "route", _to_route, problems)
+    services = _decode_parts(
+        _WireService, decoded.services, "service", _to_service, problems
+    )
+    tenants = decoded.tenants or ()
+    workspaces = _decode_parts(
+        _WireWorkspace, tenants, "tenant", _to_key_pairs, problems
+    )
+    limits = _decode_parts(
+        _WireLimits | None, (decoded.limits,), "limits", _to_caller_limits, problems
+    )
     table = RouteTable(
-        version=whole.version,
+        version=decoded.version,
         routes=routes,
         services=services,
         limits=limits[0] if limits else CallerLimits(),
@@ -138,52 +146,52 @@
     return DecodedConfiguration(table, tuple(problems))
 
 
-def _parts(kind, raw_parts, what, convert, problems):
-    """Return what the readable parts say; add a problem for each other one."""
-    found = []
-    for number, raw in enumerate(raw_parts):
-        where = f"{what} {number}"
+def _decode_parts(type_, encoded_parts, part_name, convert, problems):
+    """Convert the valid parts; append a problem for each invalid one."""
+    converted = []
+    for number, encoded in enumerate(encoded_parts):
+        location = f"{part_name} {number}"
         try:
-            found.append(convert(decode_as(kind, raw, where)))
+            converted.append(convert(decode_as(type_, encoded, location)))
         except MalformedAnswer as error:
-            problems.append(Problem(where, str(error)))
-    return found
+            problems.append(Problem(location, str(error)))
+    return converted
 
 
-def _route(fields):
+def _to_route(fields):
     services = [(each.service, each.weight) for each in fields.backends or ()]
     if not services and fields.service is None:
-        raise MalformedAnswer("a route to no service")
+        raise MalformedAnswer("route without service")
     return Route(
         name=fields.name,
         host=fields.host,
         prefix=fields.prefix,
-        kind=fields.kind,
+        type_=fields.type_,
         services=tuple(services) or ((fields.service, 1.0),),
-        timeout_s=fields.timeoutMs / MS,
-        objective_s=(fields.sloMs or fields.timeoutMs) / MS,
+        timeout_s=fields.timeoutMs / MS_PER_S,
+        objective_s=(fields.sloMs or fields.timeoutMs) / MS_PER_S,
         priority=fields.priority or 0,
         max_attempts=fields.maxAttempts or 1,
         is_public=bool(fields.public),
         is_resumable=bool(fields.resumable),
-        pause_limit_s=(fields.gapTargetMs or 0) / MS,
+        pause_limit_s=(fields.gapTargetMs or 0) / MS_PER_S,
     )
 
 
-def _service(fields):
+def _to_service(fields):
     engine = fields.engine or _WireEngine()
     return ServiceSpec(
         name=fields.name,
-        max_connections=fields.maxConns or MOST_CONNECTIONS,
-        models=tuple(_model(model) for model in engine.models or ()),
+        max_connections=fields.maxConns or DEFAULT_MAX_CONNECTIONS,
+        models=tuple(_to_model(model) for model in engine.models or ()),
         slots=engine.slots or 0,
-        open_s=(engine.formMs or 0) / MS,
+        open_s=(engine.formMs or 0) / MS_PER_S,
         loads_per_s=engine.loadsPerS or 1.0,
-        times=_times(engine),
+        times=_to_engine_times(engine),
     )
 
 
-def _model(fields):
+def _to_model(fields):
     return EngineModel(
         name=fields.name,
         size=fields.size,
@@ -194,29 +202,29 @@
     )
 
 
-def _times(engine):
+def _to_engine_times(engine):
     default = EngineTimes()
     return EngineTimes(
-        step_s=(engine.step_ms or default.step_s * MS) / MS,
-        step_per_request_s=(engine.per_seq_ms or 0.0) / MS,
+        step_s=(engine.step_ms or default.step_s * MS_PER_S) / MS_PER_S,
+        step_per_request_s=(engine.per_seq_ms or 0.0) / MS_PER_S,
         steps_per_event=engine.stride or 1,
         prefill_tokens_per_s=engine.read_per_s or default.prefill_tokens_per_s,
         chunk_tokens=engine.chunk or default.chunk_tokens,
     )
 
 
-def _keys(fields):
+def _to_key_pairs(fields):
     """Return ``(key, workspace)`` pairs."""
     workspace = Workspace(fields.name, fields.priority)
     return [(key, workspace) for key in fields.apiKeys or ()]
 
 
-def _limits(fields):
+def _to_caller_limits(fields):
     fields = fields or _WireLimits()
     default = CallerLimits()
     return CallerLimits(
         header_bytes=fields.maxHeaderBytes or default.header_bytes,
         body_bytes=fields.maxBodyBytes or default.body_bytes,
-        header_s=(fields.headerTimeoutMs or default.header_s * MS) / MS,
-        idle_s=(fields.idleTimeoutMs or default.idle_s * MS) / MS,
+        header_s=(fields.headerTimeoutMs or default.header_s * MS_PER_S) / MS_PER_S,
+        idle_s=(fields.idleTimeoutMs or default.idle_s * MS_PER_S) / MS_PER_S,
     )
--- a/cowslipcourse/platform/doors.py
+++ b/cowslipcourse/platform/doors.py
@@ -1,33 +1,35 @@
-"""What callers and the platform ask a daemon besides requests."""
+"""HTTP applications for service discovery and readiness checks."""
 
 from cowslipcourse.adapters.answers import Answer, json_answer, one_path_app
 
 __all__ = ["directory_app", "ready_app"]
 
-MOST_ADDRESSES = 64
-"""Callers read no more addresses than that."""
+MAX_ADDRESSES = 64
+"""Addresses per answer; callers read no more than that."""
 
 
 def directory_app(addresses, ttl_s):
-    """Return the application that says which addresses to use.
+    """Return the application that answers ``/resolve`` with daemons' addresses.
 
-    :param addresses: callable that returns the addresses.
-    :param ttl_s: time for which callers may keep them.
+    :param addresses: callable that returns the addresses of ready daemons.
+    :param ttl_s: seconds for which callers may cache them.
     """
 
     def resolve(query):
-        found = addresses()
-        if not found:
+        ready_addresses = addresses()
+        if not ready_addresses:
             return Answer(b"no daemon is ready", 503, media_type="text/plain")
-        return json_answer({"addresses": found[:MOST_ADDRESSES], "ttlS": ttl_s})
+        return json_answer(
+            {"addresses": ready_addresses[:MAX_ADDRESSES], "ttlS": ttl_s}
+        )
 
     return one_path_app("/resolve", resolve)
 
 
 def ready_app(is_ready):
-    """Return the application that says whether the daemon is ready.
+    """Return the application that answers ``/ready`` with 200 or 503.
 
-    :param is_ready: callable.
+    :param is_ready: callable that returns whether the daemon is ready.
     """
     return one_path_app(
         "/ready", lambda query: Answer(status=200 if is_ready() else 503)
--- a/cowslipcourse/platform/edge.py
+++ b/cowslipcourse/platform/edge.py
@@ -1,4 +1,4 @@
-"""Headers of callers' requests and of targets' answers."""
+"""Headers of callers' requests and of targets' responses."""
 
 from typing import NamedTuple
 
@@ -9,28 +9,28 @@
     "CallerHeaders",
     "attempt_id",
     "attempt_id_header",
-    "header_bytes",
     "is_not_executed",
     "not_executed_head",
     "parse_caller_headers",
     "response_headers",
     "retry_after_header",
     "target_headers",
+    "total_header_bytes",
 ]
 
-MS = 1000.0
+MS_PER_S = 1000.0
 
-_ATTEMPT = b"x-attempt-id"
-_COME_BACK = "Retry-After"
-_BUDGET = b"x-time-budget-ms"
-_EXPECTED_ID = b"x-expect-instance"
-_KEY = b"authorization"
-_KEY_SCHEME = b"bearer "
-_LAST_EVENT = b"last-event-id"
+_ATTEMPT_ID = b"x-attempt-id"
+_RETRY_AFTER = "Retry-After"
+_TIME_BUDGET_MS = b"x-time-budget-ms"
+_EXPECTED_INSTANCE = b"x-expect-instance"
+_AUTHORIZATION = b"authorization"
+_BEARER_SCHEME = b"bearer "
+_LAST_EVENT_ID = b"last-event-id"
 _MODEL = b"x-model"
 _NOT_EXECUTED = b"x-not-executed"
-_URGENCY = b"x-request-priority"
-_WORKSPACE = b"x-tenant"
+_REQUEST_PRIORITY = b"x-request-priority"
+_TENANT = b"x-tenant"
 
 _HOP_BY_HOP = frozenset(
     (
@@ -46,20 +46,29 @@
         b"expect",
     )
 )
-# Set by the system alone, whatever a caller sends.
-_OWN = frozenset((_KEY, _WORKSPACE, _EXPECTED_ID, _BUDGET, _URGENCY, b"content-length"))
+# Set by the system only; values that a caller sends are dropped.
+_SYSTEM_HEADERS = frozenset(
+    (
+        _AUTHORIZATION,
+        _TENANT,
+        _EXPECTED_INSTANCE,
+        _TIME_BUDGET_MS,
+        _REQUEST_PRIORITY,
+        b"content-length",
+    )
+)
 MISDIRECTED_REQUEST = 421
-"""Status of a target that is not the one that was meant; it has run nothing."""
+"""Status of a target that is not the addressed one; it has not run the request."""
 
 
 class CallerHeaders(NamedTuple):
-    """What the headers of a caller's request say.
+    """Values of the headers of a caller's request.
 
     :param attempt_id: id of the caller's attempt; empty if there is none.
-    :param time_budget_s: seconds that the caller will wait, or ``None``.
-    :param key: the caller's key, or ``None``.
-    :param model: model that is asked for, or empty.
-    :param last_event_id: id of the last event that the caller has, or ``None``.
+    :param time_budget_s: seconds for which the caller waits, or ``None``.
+    :param key: the caller's API key, or ``None``.
+    :param model: requested model, or empty.
+    :param last_event_id: id of the last event that the caller received, or ``None``.
     """
 
     attempt_id: bytes = b""
@@ -69,103 +78,106 @@
     last_event_id: int | None = None
 
 
-def header_bytes(headers):
-    """Return the length of a request's headers."""
+def total_header_bytes(headers):
+    """Return the size of a request's headers on the wire, in bytes."""
     return sum(len(name) + len(value) + 4 for name, value in headers)
 
 
 def parse_caller_headers(headers):
-    """Return the :class:`CallerHeaders` in a request's headers.
+    """Parse a request's headers into :class:`CallerHeaders`.
 
     :param headers: ``(lower-case name, value)`` pairs.
-    :raises BadRequest: a header cannot be read.
+    :raises BadRequest: a header has an invalid value.
     """
-    found = dict(headers)
+    values_by_name = dict(headers)
     try:
-        budget = found.get(_BUDGET)
-        last_event_id = found.get(_LAST_EVENT)
+        time_budget_ms = values_by_name.get(_TIME_BUDGET_MS)
+        last_event_id = values_by_name.get(_LAST_EVENT_ID)
         return CallerHeaders(
-            attempt_id=found.get(_ATTEMPT, b""),
-            time_budget_s=None if budget is None else float(budget) / MS,
-            key=_key(found.get(_KEY)),
-            model=found.get(_MODEL, b"").decode("latin-1"),
+            attempt_id=values_by_name.get(_ATTEMPT_ID, b""),
+            time_budget_s=None
+            if time_budget_ms is None
+            else float(time_budget_ms) / MS_PER_S,
+            key=_bearer_token(values_by_name.get(_AUTHORIZATION)),
+            model=values_by_name.get(_MODEL, b"").decode("latin-1"),
             last_event_id=int(last_event_id) if last_event_id else None,
         )
     except ValueError as error:
-        raise BadRequest(f"a header cannot be read: {error}") from error
+        raise BadRequest(f"invalid header value: {error}") from error
 
 
 def attempt_id(headers):
-    """Return the id of the caller's attempt, for logs, or an empty text."""
-    return dict(headers).get(_ATTEMPT, b"").decode("latin-1")
+    """Return the id of the caller's attempt for logs; empty if there is none."""
+    return dict(headers).get(_ATTEMPT_ID, b"").decode("latin-1")
 
 
-def _key(value):
-    if value is None or not value.lower().startswith(_KEY_SCHEME):
+def _bearer_token(value):
+    if value is None or not value.lower().startswith(_BEARER_SCHEME):
         return None
-    return value[len(_KEY_SCHEME) :].strip().decode("latin-1")
+    return value[len(_BEARER_SCHEME) :].strip().decode("latin-1")
 
 
 def attempt_id_header(fields):
-    """Return the header that the answer to a request bears too.
+    """Return the attempt id header, which the response must repeat.
 
     :param fields: :class:`CallerHeaders`
     """
-    return _ATTEMPT, fields.attempt_id
+    return _ATTEMPT_ID, fields.attempt_id
 
 
-def target_headers(headers, entry, left_s, urgency, workspace, last_event_id=None):
+def target_headers(headers, entry, remaining_s, urgency, workspace, last_event_id=None):
     """Return the headers of the request to a target.
 
     :param headers: the caller's ``(lower-case name, value)`` pairs.
-    :param entry: :class:`~cowslipcourse.ports.TargetEntry` that is meant.
-    :param left_s: seconds left for the answer.
-    :param urgency: from 0, the most urgent, to 9.
+    :param entry: :class:`~cowslipcourse.ports.TargetEntry` of the target.
+    :param remaining_s: seconds to the deadline of the response.
+    :param urgency: from 0 (most urgent) to 9.
     :param workspace: name of the caller's workspace, or ``None``.
-    :param last_event_id: id of the last event of a stream that is resumed; ``None`` to
-        leave it as the caller sent it.
+    :param last_event_id: id of the last event received of a resumed stream; ``None``
+        keeps the caller's header.
     """
-    dropped = _HOP_BY_HOP | _OWN | _named_by_connection(headers)
-    kept = [(name, value) for name, value in headers if name not in dropped]
-    kept.append((_BUDGET, b"%d" % max(1, int(left_s * MS))))
-    kept.append((_EXPECTED_ID, entry.id.encode()))
-    kept.append((_URGENCY, b"%d" % urgency))
+    excluded = _HOP_BY_HOP | _SYSTEM_HEADERS | _connection_options(headers)
+    kept = [(name, value) for name, value in headers if name not in excluded]
+    kept.append((_TIME_BUDGET_MS, b"%d" % max(1, int(remaining_s * MS_PER_S))))
+    kept.append((_EXPECTED_INSTANCE, entry.id.encode()))
+    kept.append((_REQUEST_PRIORITY, b"%d" % urgency))
     if workspace is not None:
-        kept.append((_WORKSPACE, workspace.encode()))
+        kept.append((_TENANT, workspace.encode()))
     if last_event_id is not None:
-        kept = [(name, value) for name, value in kept if name != _LAST_EVENT]
-        kept.append((_LAST_EVENT, b"%d" % last_event_id))
+        kept = [(name, value) for name, value in kept if name != _LAST_EVENT_ID]
+        kept.append((_LAST_EVENT_ID, b"%d" % last_event_id))
     return tuple(kept)
 
 
-def _named_by_connection(headers):
-    """Return the headers that concern only the caller's connection, by its word."""
+def _connection_options(headers):
+    """Return the header names that a ``Connection`` header declares hop-by-hop."""
     values = [value.lower() for name, value in headers if name == b"connection"]
     return {part.strip() for value in values for part in value.split(b",")}
 
 
 def response_headers(headers):
-    """Return the headers of a target's answer that go to the caller."""
+    """Return the headers of a target's response that are forwarded to the caller."""
     return [(name, value) for name, value in headers if name not in _HOP_BY_HOP]
 
 
 def retry_after_header(seconds):
-    """Return the header that tells a caller when to come back, as a dictionary.
+    """Return a dictionary with the ``Retry-After`` header, or an empty one.
 
-    Callers here take fractions, and count them against what is left of their time.
+    The platform's callers accept fractions of a second and subtract the wait from
+    their time budget.
 
-    :param seconds: seconds, or ``None`` if coming back does not help.
+    :param seconds: seconds to wait, or ``None`` if a retry does not help.
     """
-    return {} if seconds is None else {_COME_BACK: f"{seconds:.3f}"}
+    return {} if seconds is None else {_RETRY_AFTER: f"{seconds:.3f}"}
 
 
 def not_executed_head(status):
-    """Return the head of an answer which says that the request has not run."""
+    """Return the head of a response that declares the request not executed."""
     return ResponseHead(status, ((_NOT_EXECUTED, b"1"),))
 
 
 def is_not_executed(head):
-    """Whether an answer proves that the request has not run and will not.
+    """Return whether a response proves that the request has not run and will not.
 
     :param head: :class:`~cowslipcourse.exchange.ResponseHead`
     """
--- a/cowslipcourse/platform/engines.py
+++ b/cowslipcourse/platform/engines.py
@@ -1,4 +1,4 @@
-"""Reports of and orders to engines over HTTP."""
+"""Reads reports from engines and sends them orders over HTTP."""
 
 import asyncio
 
@@ -11,19 +11,19 @@
 
 __all__ = ["HttpEngineControl"]
 
-_NETWORK = (aiohttp.ClientError, asyncio.TimeoutError, OSError)
-_ANSWERS = {
+_NETWORK_ERRORS = (aiohttp.ClientError, asyncio.TimeoutError, OSError)
+_RESULTS_BY_STATUS = {
     202: OrderResult.BEGUN,
     200: OrderResult.DONE,
     409: OrderResult.STATE_DIFFERS,
     412: OrderResult.EPOCH_TOO_OLD,
     421: OrderResult.OTHER_ENGINE,
 }
-_EXPECTED_ID = "X-Expect-Instance"
+_EXPECTED_INSTANCE = "X-Expect-Instance"
 
 
 class HttpEngineControl:
-    """Meets :class:`~cowslipcourse.ports.EngineControl`.
+    """Implements :class:`~cowslipcourse.ports.EngineControl`.
 
     :param settings: :class:`~cowslipcourse.entry.settings.ControlSettings`
     """
@@ -52,7 +52,7 @@
         if order.model:
             body["model"] = order.model
         if order.operation is OrderOperation.CLOSE:
-            # What waits at the head is still served.
+            # Requests that are queued at the head are still served.
             body["closeMode"] = "queue"
         if order.members:
             body["members"] = list(order.members)
@@ -63,7 +63,7 @@
             msgspec.json.encode(body),
             self.settings.order_timeout_s,
         )
-        return _ANSWERS.get(status, OrderResult.REFUSED)
+        return _RESULTS_BY_STATUS.get(status, OrderResult.REFUSED)
 
     async def close(self):
         """Close the connections."""
@@ -73,7 +73,7 @@
     async def _call(self, method, entry, path, body, timeout_s):
         if self._session is None:
             self._session = aiohttp.ClientSession()
-        headers = {_EXPECTED_ID: entry.id, "Content-Type": "application/json"}
+        headers = {_EXPECTED_INSTANCE: entry.id, "Content-Type": "application/json"}
         try:
             async with self._session.request(
                 method,
@@ -83,5 +83,5 @@
                 timeout=aiohttp.ClientTimeout(total=timeout_s),
             ) as response:
                 return response.status, await response.read()
-        except _NETWORK as error:
+        except _NETWORK_ERRORS as error:
             raise TargetUnreachable(repr(error)) from error
--- a/cowslipcourse/platform/entries.py
+++ b/cowslipcourse/platform/entries.py
@@ -1,4 +1,4 @@
-"""Entries of the platform's list of targets, and what engines report."""
+"""Decodes entries of the platform's list of targets and engines' reports."""
 
 from typing import Literal
 
@@ -23,7 +23,7 @@
 
 
 class _WireGroup(msgspec.Struct, frozen=True):
-    # Empty outside a group; the other fields mean nothing then.
+    # Empty outside a group; the other fields are meaningless then.
     name: str = ""
     epoch: Count = 0
     rank: Count = 0
@@ -31,26 +31,27 @@
 
 
 class _WireEntry(msgspec.Struct, frozen=True):
-    """Every field that the platform always writes is required, used here or not.
+    """A row of the list.
 
-    One that is missing or of another type shows that something else wrote the row.
+    Every field that the platform always writes is required, even if unused: a missing
+    one or one of another type shows that something else wrote the row.
     """
 
     service: Name
     address: Address
     zone: Name
     version: str
-    # Of a whole group, if the target is an engine.
+    # Per group if the target is an engine.
     slots: Positive
-    # Whether it takes new work; its state in a group is another field.
+    # Whether the target accepts new work; its state in a group is a separate field.
     state: Literal["ready", "draining"]
-    # Not used: what matters of a cold engine shows in its times.
+    # Unused: the effect of a cold engine shows in its measured times.
     coldLeftMs: Quantity  # noqa: N815
-    # Counts the engine's own writes to the list. In a report the field of this name
-    # counts accepted orders, so this one must not be used for orders.
+    # Counts the engine's own writes to the list. In a report the same field counts
+    # accepted orders, so this one must not be used for orders.
     sequence: Count
-    # Unix time in milliseconds at which this life of the target began. Where targets
-    # have a new id at each start the platform does not write it.
+    # Unix time in ms at which this incarnation of the target started. Absent where
+    # targets get a new id at each start.
     born: Positive | msgspec.UnsetType = msgspec.UNSET
     domain: str = ""
     staged: tuple[Name, ...] = ()
@@ -59,7 +60,7 @@
 
 
 class _WireReport(msgspec.Struct, frozen=True):
-    # Counts the orders that this life has accepted.
+    # Counts the orders that this incarnation has accepted.
     sequence: Count
     born: Positive | msgspec.UnsetType = msgspec.UNSET
     staged: tuple[Name, ...] = ()
@@ -71,14 +72,14 @@
 
 
 def decode_entry(target_id, content):
-    """Return the :class:`~cowslipcourse.ports.TargetEntry` of a list row.
+    """Decode a row of the list into a :class:`~cowslipcourse.ports.TargetEntry`.
 
     :param target_id: key of the row.
     :param content: JSON bytes.
-    :raises MalformedAnswer: the row names no target that can be used.
+    :raises MalformedAnswer: the row does not describe a usable target.
     """
-    what = f"entry {target_id}"
-    fields = decode_as(_WireEntry, content, what)
+    description = f"entry {target_id}"
+    fields = decode_as(_WireEntry, content, description)
     return TargetEntry(
         id=target_id,
         service=fields.service,
@@ -88,30 +89,31 @@
         is_leaving=fields.state == "draining",
         domain=fields.domain,
         staged=fields.staged,
-        membership=_membership(fields, what),
+        membership=_to_membership(fields, description),
         incarnation=fields.born or UNKNOWN_INCARNATION,
     )
 
 
 def decode_report(content):
-    """Return the :class:`~cowslipcourse.ports.EngineReport` in an answer.
+    """Decode a response into an :class:`~cowslipcourse.ports.EngineReport`.
 
-    :raises MalformedAnswer: the answer cannot be read.
+    :param content: JSON bytes.
+    :raises MalformedAnswer: the response cannot be decoded.
     """
     fields = decode_as(_WireReport, content, "report")
     return EngineReport(
         order_count=fields.sequence,
-        membership=_membership(fields, "report"),
+        membership=_to_membership(fields, "report"),
         staged=fields.staged,
         running=fields.inFlight,
         waiting=fields.waiting,
-        # Absent or 0 where the platform declares none.
+        # Absent or 0 where the platform states none.
         pace=fields.pace or 1.0,
         incarnation=fields.born or UNKNOWN_INCARNATION,
     )
 
 
-def _membership(fields, what):
+def _to_membership(fields, description):
     group = fields.group
     if group is None or not group.name:
         return None
@@ -119,14 +121,14 @@
         group=group.name,
         epoch=group.epoch,
         rank=group.rank,
-        state=_group_state(group.state, what),
+        state=_to_group_state(group.state, description),
         # An engine serves at most the model of its group.
         model=fields.models[0].name if fields.models else "",
     )
 
 
-def _group_state(value, what):
+def _to_group_state(value, description):
     try:
         return GroupState(value)
     except ValueError as error:
-        raise MalformedAnswer(f"unreadable {what}: {error}") from error
+        raise MalformedAnswer(f"invalid {description}: {error}") from error
--- a/cowslipcourse/platform/eras.py
+++ b/cowslipcourse/platform/eras.py
@@ -1,41 +1,46 @@
-"""The era that each answer of the platform's store tells."""
+"""Tracks the era that the platform's store states in each response."""
 
 from cowslipcourse.adapters.log import get_logger
 from cowslipcourse.exceptions import MalformedAnswer
 
-__all__ = ["ERA_HEADER", "Eras"]
+__all__ = ["ERA_HEADER", "EraTracker"]
 
 ERA_HEADER = "Store-Era"
-MOST_DIGITS = 6
-"""Of an era: points stay below 2**60."""
+MAX_ERA_DIGITS = 6
+"""Digits of an era; keeps packed versions below 2**60."""
 
 log = get_logger(__name__)
 
 
-class Eras:
-    """The newest era of the store that is known.
+class EraTracker:
+    """Keeps the newest known era of the store.
 
-    :ivar newest: number of the era; 0 as long as the store tells none.
+    :ivar newest: number of the era; 0 as long as the store has stated none.
     """
 
     def __init__(self):
         self.newest = 0
 
-    def see(self, headers):
-        """Take in the era of an answer and return it.
+    def observe(self, headers):
+        """Record the era of a response and return it.
 
-        :param headers: mapping of the answer's headers.
-        :raises MalformedAnswer: it tells none, though others did; it is no number; or
-            it is of an earlier era, so that it tells of what is gone.
+        :param headers: mapping of the response's headers.
+        :raises MalformedAnswer: the era is missing although earlier responses stated
+            one, is not a number, or is older than the newest, so that the response
+            describes a state that was rolled back.
         """
         text = headers.get(ERA_HEADER)
         if text is None and not self.newest:
             return 0
         if text is None or not _is_number(text):
-            raise MalformedAnswer(f"an answer of the store in era {text!r}")
+            raise MalformedAnswer(
+                f"store response with invalid {ERA_HEADER} header: {text!r}"
+            )
         era = int(text)
         if era < self.newest:
-            raise MalformedAnswer(f"an answer of era {era} after era {self.newest}")
+            raise MalformedAnswer(
+                f"store response of era {era}, older than era {self.newest}"
+            )
         if era > self.newest:
             log.warning("store-era", known=self.newest, era=era)
             self.newest = era
@@ -43,4 +48,4 @@
 
 
 def _is_number(text):
-    return text.isascii() and text.isdigit() and len(text) <= MOST_DIGITS
+    return text.isascii() and text.isdigit() and len(text) <= MAX_ERA_DIGITS
--- a/cowslipcourse/platform/store.py
+++ b/cowslipcourse/platform/store.py
@@ -1,4 +1,4 @@
-"""The platform's store over HTTP."""
+"""HTTP client of the platform's store."""
 
 import asyncio
 import base64
@@ -14,7 +14,7 @@
     ReplyLost,
     StoreUnavailable,
 )
-from cowslipcourse.platform.eras import Eras
+from cowslipcourse.platform.eras import EraTracker
 from cowslipcourse.platform.wire import Count, decode_as
 from cowslipcourse.ports import (
     RowChanges,
@@ -39,15 +39,16 @@
 CONDITION_FAILED = 412
 HISTORY_DROPPED = 410
 
-_NOT_SENT = (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError)
-_NETWORK = (aiohttp.ClientError, asyncio.TimeoutError, OSError)
+_NOT_SENT_ERRORS = (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError)
+_NETWORK_ERRORS = (aiohttp.ClientError, asyncio.TimeoutError, OSError)
 
 
 class _WireRow(msgspec.Struct, frozen=True):
     key: str
-    # JSON holds base64; empty for a row that was dropped.
+    # Base64 in JSON; absent for a deleted row.
     value: bytes | None = None
-    # Of the transaction that wrote the row; in whole answers, of the newest one.
+    # Version of the transaction that wrote the row; at the top level of a response,
+    # the newest version of the store.
     ver: Count = 0
     deleted: bool | None = None
 
@@ -59,10 +60,10 @@
 
 
 class RowPage(NamedTuple):
-    """Rows as one call returns them.
+    """One page of rows.
 
     :param rows: :class:`~cowslipcourse.ports.StoredRow`
-    :param version: newest point of the whole store.
+    :param version: newest packed version of the whole store.
     :param has_more: whether further keys follow.
     """
 
@@ -76,12 +77,13 @@
 
 
 class HttpRowStore:
-    """Meets :class:`~cowslipcourse.ports.RowStore`.
+    """Implements :class:`~cowslipcourse.ports.RowStore`.
 
     All rows have the empty ``part``: a part's rate limits are far above what is
-    written. ``ver`` of an answer is the newest version of the whole store, ``ver`` of
-    a row that of the transaction which wrote it. Here both are points, in the order of
-    the eras that the store tells: see :func:`~cowslipcourse.ports.pack_version`.
+    written. ``ver`` of a response is the newest version of the whole store, ``ver``
+    of a row that of the transaction which wrote it. Both are converted to packed
+    versions, which the era orders first: see
+    :func:`~cowslipcourse.ports.pack_version`.
 
     :param settings: :class:`~cowslipcourse.entry.settings.StoreSettings`
     """
@@ -89,12 +91,12 @@
     def __init__(self, settings):
         self._settings = settings
         self._session = None
-        self._eras = Eras()
+        self._era_tracker = EraTracker()
 
     @property
     def era(self):
         """See :class:`~cowslipcourse.ports.RowStore`."""
-        return self._eras.newest
+        return self._era_tracker.newest
 
     async def read_table(self, table):
         """See :class:`~cowslipcourse.ports.RowStore`."""
@@ -103,17 +105,19 @@
             query = {"table": table, "part": "", "from": start, "limit": "500"}
             page = await self._get("/rows-get", query, self._settings.timeout_s)
             rows += page.rows
-            # The first page's version: what changes between pages is in the feed.
+            # The first page's version: changes between pages are read from the feed.
             version = page.version if version is None else version
             if era_of(page.version) != era_of(version):
-                raise StoreUnavailable("the store came back older while it was read")
+                raise StoreUnavailable(
+                    "the store was restored to an older state while a table was read"
+                )
             if not page.has_more or not page.rows:
                 return RowChanges(tuple(rows), version)
             start = page.rows[-1].key + "\0"
 
-    async def changes(self, table, after, wait_s):
+    async def wait_for_changes(self, table, after, wait_s):
         """See :class:`~cowslipcourse.ports.RowStore`."""
-        self._check_era(after)
+        self._require_current_era(after)
         query = {
             "table": table,
             "after": str(unpack_version(after)),
@@ -122,13 +126,13 @@
         page = await self._get(
             "/rows-feed", query, wait_s + self._settings.feed_margin_s
         )
-        # The newer era may have reached the version too, with other changes.
-        self._check_era(after)
+        # A newer era may have reached the same version with other changes.
+        self._require_current_era(after)
         return RowChanges(page.rows, page.version)
 
-    def _check_era(self, after):
-        if era_of(after) != self._eras.newest:
-            raise HistoryDropped(f"of era {era_of(after)}")
+    def _require_current_era(self, after):
+        if era_of(after) != self._era_tracker.newest:
+            raise HistoryDropped(f"version of era {era_of(after)}")
 
     async def write(self, row_write):
         """See :class:`~cowslipcourse.ports.RowStore`."""
@@ -136,36 +140,39 @@
         name = f"{row_write.table}/{row_write.key}"
         value = base64.b64encode(row_write.value).decode()
         expected = []
-        if row_write.expected and era_of(row_write.expected) != self._eras.newest:
+        if (
+            row_write.expected_version
+            and era_of(row_write.expected_version) != self._era_tracker.newest
+        ):
             raise ConditionFailed([name])
-        if row_write.expected is not None:
-            expected = [{**row, "ver": unpack_version(row_write.expected)}]
+        if row_write.expected_version is not None:
+            expected = [{**row, "ver": unpack_version(row_write.expected_version)}]
         body = {"expected": expected, "puts": [{**row, "value": value}], "deletes": []}
         try:
-            async with self._client().post(
+            async with self._http_session().post(
                 "/rows-tx",
                 data=msgspec.json.encode(body),
                 headers={"Content-Type": "application/json"},
                 timeout=aiohttp.ClientTimeout(total=self._settings.timeout_s),
             ) as response:
                 content = await response.read()
-        except _NOT_SENT as error:
+        except _NOT_SENT_ERRORS as error:
             raise StoreUnavailable(repr(error)) from error
-        except _NETWORK as error:
+        except _NETWORK_ERRORS as error:
             raise ReplyLost(repr(error)) from error
         if response.status == CONDITION_FAILED:
             raise ConditionFailed([name])
         if response.status != 200:
             raise StoreUnavailable(f"the store answered {response.status}")
         try:
-            era = self._eras.see(response.headers)
+            era = self._era_tracker.observe(response.headers)
             version = decode_as(_WireWritten, content, "/rows-tx answer").ver
         except MalformedAnswer as error:
-            # It was written, at a version that is not known.
+            # The row was written, but at an unknown version.
             raise ReplyLost(str(error)) from error
-        if row_write.expected and era_of(row_write.expected) != era:
-            # The version that was expected has been given out again.
-            raise ReplyLost(f"written in era {era}")
+        if row_write.expected_version and era_of(row_write.expected_version) != era:
+            # Another era: the expected version was assigned a second time.
+            raise ReplyLost(f"row written in era {era}")
         return pack_version(era, version)
 
     async def close(self):
@@ -173,7 +180,7 @@
         if self._session is not None:
             await self._session.close()
 
-    def _client(self):
+    def _http_session(self):
         if self._session is None:
             self._session = aiohttp.ClientSession(f"http://{self._settings.address}")
         return self._session
@@ -183,35 +190,35 @@
             total=timeout_s, sock_connect=self._settings.timeout_s
         )
         try:
-            async with self._client().get(
+            async with self._http_session().get(
                 path, params=query, timeout=timeout
             ) as response:
                 content = await response.read()
-        except _NETWORK as error:
+        except _NETWORK_ERRORS as error:
             raise StoreUnavailable(repr(error)) from error
         if response.status == HISTORY_DROPPED:
             raise HistoryDropped(path)
         if response.status != 200:
             raise StoreUnavailable(f"{path} answered {response.status}")
         try:
-            return decode_rows(content, self._eras.see(response.headers))
+            return decode_rows(content, self._era_tracker.observe(response.headers))
         except MalformedAnswer as error:
             raise StoreUnavailable(f"{path}: {error}") from error
 
 
 def decode_rows(content, era):
-    """Return the :class:`RowPage` in an answer.
+    """Decode a response into a :class:`RowPage`.
 
     :param content: JSON bytes.
-    :param era: of the store that gave the answer.
-    :raises MalformedAnswer: it cannot be read.
+    :param era: era of the store in the response.
+    :raises MalformedAnswer: the response cannot be decoded.
     """
     fields = decode_as(_WireRows, content, "rows")
-    rows = tuple(_row(row, era) for row in fields.rows)
+    rows = tuple(_to_stored_row(row, era) for row in fields.rows)
     return RowPage(rows, pack_version(era, fields.ver), bool(fields.hasMore))
 
 
-def _row(fields, era):
+def _to_stored_row(fields, era):
     return StoredRow(
         key=fields.key,
         value=fields.value or b"",
--- a/cowslipcourse/platform/wire.py
+++ b/cowslipcourse/platform/wire.py
@@ -1,8 +1,8 @@
-"""Decoding of what the platform sends: typed structures, one kind of failure.
+"""Validated decoding of the platform's JSON.
 
-Rows of the store may come from writers other than the platform. Nothing that does not
-fit its structure gets past this module, and nothing but
-:class:`~cowslipcourse.exceptions.MalformedAnswer` is raised for it.
+Rows of the store may come from writers other than the platform, so everything is
+checked against a typed structure. Whatever does not fit raises
+:class:`~cowslipcourse.exceptions.MalformedAnswer` and nothing else.
 """
 
 from typing import Annotated
@@ -13,27 +13,27 @@
 
 __all__ = ["Count", "Name", "Positive", "Quantity", "decode_as"]
 
-LONGEST_NAME = 200
-"""Bytes of a key of the store; no name on the platform is longer."""
+MAX_NAME_LENGTH = 200
+"""Limit of the store's keys, in bytes; no name on the platform is longer."""
 
-Name = Annotated[str, msgspec.Meta(min_length=1, max_length=LONGEST_NAME)]
+Name = Annotated[str, msgspec.Meta(min_length=1, max_length=MAX_NAME_LENGTH)]
 Count = Annotated[int, msgspec.Meta(ge=0, le=1 << 62)]
 Positive = Annotated[int, msgspec.Meta(ge=1, le=1 << 62)]
 Quantity = Annotated[float, msgspec.Meta(ge=0, le=1e12)]
-"""A number that is not negative, in the platform's unit for it."""
+"""A non-negative number, in the unit that the platform uses for the field."""
 
 _decoders = {}
 
 
-def decode_as(kind, content, what):
-    """Return a structure that JSON bytes hold.
+def decode_as(type_, content, description):
+    """Decode JSON bytes into a typed structure.
 
-    :param kind: :class:`msgspec.Struct` or another type that msgspec knows.
+    :param type_: :class:`msgspec.Struct` or another type that msgspec supports.
     :param content: JSON bytes.
-    :param what: says in errors what was decoded.
-    :raises MalformedAnswer: the bytes are not JSON, or do not fit the structure.
+    :param description: what is decoded, for error messages.
+    :raises MalformedAnswer: the bytes are not JSON, or do not match the type.
     """
-    decoder = _decoders.get(kind)
+    decoder = _decoders.get(type_)
     if decoder is None:
-        decoder = _decoders[kind] = msgspec.json.Decoder(kind)
-    return decoded(decoder, content, what)
+        decoder = _decoders[type_] = msgspec.json.Decoder(type_)
+    return decoded(decoder, content, description)
--- a/cowslipcourse/ports/engines.py
+++ b/cowslipcourse/ports/engines.py
@@ -1,4 +1,4 @@
-"""What engines say of themselves, and the orders that form groups of them."""
+"""Engines' entries and reports, and the orders that form groups of them."""
 
 from enum import StrEnum
 from typing import NamedTuple, Protocol
@@ -17,11 +17,11 @@
 
 
 UNKNOWN_INCARNATION = 0
-"""Incarnation of a target that does not tell its lives apart."""
+"""Incarnation of a target that does not state one."""
 
 
 class GroupState(StrEnum):
-    """How far an engine is in its group."""
+    """State of an engine in its group."""
 
     JOINING = "joining"
     READY = "ready"
@@ -31,13 +31,13 @@
 
 
 class GroupMembership(NamedTuple):
-    """The group that an engine belongs to.
+    """An engine's membership of a group.
 
     :param group: group name.
     :param epoch: epoch of the group.
-    :param rank: place among the members; 0 is the head.
+    :param rank: index among the members; 0 is the head.
     :param state: see :class:`GroupState`.
-    :param model: model of the group, or empty if not told.
+    :param model: model of the group, or empty if not stated.
     """
 
     group: str
@@ -50,16 +50,16 @@
 class TargetEntry(NamedTuple):
     """A target as the platform lists it.
 
-    :param id: name of the target; it may start again under it.
+    :param id: id of the target, which a restart may keep.
     :param service: service that it belongs to.
     :param address: ``ip:port``
-    :param data_centre: where it runs.
-    :param slots: requests that it runs at once.
-    :param is_leaving: whether it takes no new work.
+    :param data_centre: data centre in which it runs.
+    :param slots: number of requests that it runs concurrently.
+    :param is_leaving: whether it accepts no new work.
     :param domain: fabric domain, or empty for a plain service.
     :param staged: models whose weights are on its host.
-    :param membership: its group, or ``None``.
-    :param incarnation: Unix time in ms at which this life of the target began, or
+    :param membership: :class:`GroupMembership`, or ``None``.
+    :param incarnation: Unix time in ms at which the target last started, or
         :data:`UNKNOWN_INCARNATION`.
     """
 
@@ -76,15 +76,15 @@
 
 
 class EngineReport(NamedTuple):
-    """An engine's answer when asked directly.
+    """An engine's response to a direct request for its state.
 
-    :param order_count: orders that this life of the engine has accepted.
-    :param membership: its group, or ``None``.
+    :param order_count: number of orders accepted since the engine's last start.
+    :param membership: :class:`GroupMembership`, or ``None``.
     :param staged: models whose weights are on its host.
-    :param running: requests that run.
-    :param waiting: requests that wait.
-    :param pace: factor on its times; more than 1 means slow.
-    :param incarnation: life of the engine that reports; see :class:`TargetEntry`.
+    :param running: number of running requests.
+    :param waiting: number of queued requests.
+    :param pace: factor on its processing times; above 1 means slow.
+    :param incarnation: incarnation that reports; see :class:`TargetEntry`.
     """
 
     order_count: int
@@ -97,7 +97,7 @@
 
 
 class OrderOperation(StrEnum):
-    """What an order asks for."""
+    """Operation that an order requests."""
 
     JOIN = "join"
     OPEN = "open"
@@ -110,8 +110,9 @@
     """An order to one engine.
 
     :param operation: see :class:`OrderOperation`.
-    :param expected_order_count: order count the engine must have; it refuses otherwise.
-    :param group: group that is meant.
+    :param expected_order_count: order count that the engine must have; it refuses the
+        order otherwise.
+    :param group: group that the order concerns.
     :param epoch: epoch of the group.
     :param model: model to serve or to stage.
     :param members: ids of the members, the head first.
@@ -126,10 +127,11 @@
 
 
 class OrderResult(StrEnum):
-    """How an engine answered an order.
+    """Result of an order.
 
-    ``BEGUN`` counts up the engine's order count. ``DONE`` says that what was asked
-    for holds now, whether it held before or the order did it and counted up.
+    ``BEGUN`` increments the engine's order count. ``DONE`` says that the requested
+    state holds now: it held before, or the order established it and incremented the
+    count.
     """
 
     BEGUN = "begun"
@@ -141,20 +143,20 @@
 
 
 class EngineControl(Protocol):
-    """Direct calls to engines."""
+    """Direct requests to engines."""
 
     async def report(self, entry):
-        """Return the :class:`EngineReport` of an engine.
+        """Request the :class:`EngineReport` of an engine.
 
         :param entry: :class:`TargetEntry`
-        :raises TargetUnreachable: no answer in time.
-        :raises MalformedAnswer: the answer cannot be read.
+        :raises TargetUnreachable: no response in time.
+        :raises MalformedAnswer: the response cannot be decoded.
         """
 
     async def order(self, entry, order):
-        """Give an order and return an :class:`OrderResult`.
+        """Send an order and return an :class:`OrderResult`.
 
         :param entry: :class:`TargetEntry`
         :param order: :class:`EngineOrder`
-        :raises TargetUnreachable: it may have been carried out, or may be later.
+        :raises TargetUnreachable: the order may have been executed, or may be later.
         """
--- a/cowslipcourse/ports/peers.py
+++ b/cowslipcourse/ports/peers.py
@@ -1,4 +1,4 @@
-"""Calls between the daemons of the system."""
+"""Interface for calls between the system's daemons."""
 
 from typing import Any, NamedTuple, Protocol
 
@@ -6,16 +6,17 @@
 
 
 class ForwardedCall(NamedTuple):
-    """A keyed call that is handed to the key's home.
+    """A call with an idempotency key, forwarded to the key's home gateway.
 
-    :param key: key as the caller gave it.
+    :param key: key as the caller sent it.
     :param workspace: workspace of the caller.
     :param service: service name.
     :param operation: operation name.
-    :param body: body.
+    :param body: request body.
     :param remaining_s: seconds to the deadline; 0 for none.
-    :param window: window of the home in which the key was minted or claimed.
-    :param incarnation: run of the home gateway.
+    :param window: time window of the home gateway in which the key was minted or
+        claimed.
+    :param incarnation: incarnation of the home gateway.
     """
 
     key: str
@@ -29,15 +30,15 @@
 
 
 class ForwardResponse(NamedTuple):
-    """How a forwarded call ended.
+    """Result of a forwarded call.
 
-    :param error_code: code of the error, empty if the call completed.
-    :param detail: sentence for people.
-    :param retry_after_s: seconds after which a retry makes sense; 0 for none.
-    :param status: HTTP status of the target's answer.
+    :param error_code: code of the error; empty if the call completed.
+    :param detail: human-readable description of the error.
+    :param retry_after_s: seconds after which a retry is useful; 0 for none.
+    :param status: HTTP status of the target's response.
     :param content_type: media type of the body.
-    :param body: body.
-    :param remembered: whether the call had been run before.
+    :param body: response body.
+    :param remembered: whether the outcome is that of an earlier run of the call.
     """
 
     error_code: str = ""
@@ -50,37 +51,37 @@
 
 
 class PeerHandler(Protocol):
-    """What a daemon does when a peer calls."""
+    """Handles calls from peers."""
 
     async def heartbeat(self, heartbeat: Any) -> Any:
-        """Return the answer to a :class:`~cowslipcourse.membership.Heartbeat`."""
+        """Return the reply to a :class:`~cowslipcourse.membership.Heartbeat`."""
 
     async def forward(self, call: ForwardedCall) -> ForwardResponse:
         """Run a forwarded call."""
 
 
 class PeerNetwork(Protocol):
-    """How a daemon reaches its peers and is reached by them."""
+    """Sends calls to peers and receives theirs."""
 
     async def listen(self, handler: PeerHandler) -> None:
-        """Start to answer peers."""
+        """Start to serve peers."""
 
     async def heartbeat(self, address: str, heartbeat: Any, timeout_s: float) -> Any:
-        """Send a heartbeat and return the answer.
+        """Send a heartbeat and return the reply.
 
-        :raises PeerUnreachable: no answer in time.
+        :raises PeerUnreachable: no reply in time.
         """
 
     async def forward(
         self, address: str, call: ForwardedCall, timeout_s: float
     ) -> ForwardResponse:
-        """Hand over a call.
+        """Forward a call to a peer.
 
-        :raises PeerUnreachable: it may have been run there.
+        :raises PeerUnreachable: the peer may have run the call.
         """
 
     async def close_connections_except(self, addresses: set[str]) -> None:
-        """Close connections to any other address."""
+        """Close connections to all addresses but these."""
 
     async def close(self) -> None:
-        """Stop to answer and close every connection."""
+        """Stop serving and close all connections."""
--- a/cowslipcourse/ports/platform.py
+++ b/cowslipcourse/ports/platform.py
@@ -1,4 +1,4 @@
-"""What the platform gives: table service, object store and VM list."""
+"""Interfaces of the platform: table service, object store and VM list."""
 
 from typing import Any, NamedTuple, Protocol
 
@@ -7,7 +7,7 @@
 __all__ = ["ABSENT", "ObjectStore", "Row", "TableService", "Transaction", "VmList"]
 
 ABSENT = 0
-"""Row version that stands for a row that does not exist."""
+"""Version of a row that does not exist."""
 
 
 class Row(NamedTuple):
@@ -15,7 +15,7 @@
 
     :param key: primary key.
     :param value: JSON object.
-    :param version: grows with every commit, also over deletions.
+    :param version: increases with every commit, also across deletions.
     """
 
     key: str
@@ -24,7 +24,7 @@
 
 
 class Transaction(NamedTuple):
-    """Writes that take effect together or not at all.
+    """Conditional writes that are applied atomically.
 
     :param conditions: expected version by key; :data:`ABSENT` for no row.
     :param writes: new value by key; ``None`` deletes the row.
@@ -40,13 +40,13 @@
     async def read(self, key: str) -> Row | None:
         """Return a row, or ``None`` if there is none.
 
-        :raises StoreUnavailable: if the service did not answer.
+        :raises StoreUnavailable: if the service did not respond.
         """
 
     async def scan(self, prefix: str) -> list[Row]:
         """Return the rows whose key starts with the prefix, in key order.
 
-        :raises StoreUnavailable: if the service did not answer.
+        :raises StoreUnavailable: if the service did not respond.
         """
 
     async def commit(self, transaction: Transaction) -> int:
@@ -70,15 +70,15 @@
     async def get(self, name: str) -> bytes | None:
         """Return an object, or ``None`` if there is none.
 
-        :raises StoreUnavailable: if the store did not answer.
+        :raises StoreUnavailable: if the store did not respond.
         """
 
 
 class VmList(Protocol):
-    """The platform's lagging list of live and leaving VMs."""
+    """The platform's list of live and leaving VMs, which lags behind."""
 
     async def list_vms(self) -> list[VM]:
-        """Return the VMs, with the platform's own labels.
+        """Return the VMs, with the platform's labels.
 
-        :raises StoreUnavailable: if the platform did not answer.
+        :raises StoreUnavailable: if the platform did not respond.
         """
--- a/cowslipcourse/ports/points.py
+++ b/cowslipcourse/ports/points.py
@@ -1,31 +1,31 @@
-"""Points in the history of the platform's store.
+"""Packed versions of the platform's store.
 
-The store may come back from a copy that is some seconds old. It counts that as a new
-era, in which it gives versions out again. A point is an era and a version in one
-number: points are in the order in which they came to be, and none comes twice.
+The store may be restored from a copy that is some seconds old. That starts a new era,
+in which it assigns some versions a second time. A packed version holds era and version
+in one number, so that packed versions are unique and ordered by time.
 """
 
 __all__ = ["era_of", "pack_version", "unpack_version"]
 
-ERA_SHIFT = 40
-"""Bits of a version: a thousand writes a second for 34 years."""
-_VERSIONS = (1 << ERA_SHIFT) - 1
+VERSION_BITS = 40
+"""Bits of a version: enough for 1000 writes per second over 34 years."""
+_VERSION_MASK = (1 << VERSION_BITS) - 1
 
 
 def pack_version(era, version):
-    """Return the point of a version.
+    """Pack an era and a version into one number.
 
-    :param era: number of the store's era; 0 as long as it tells none.
-    :param version: version that the store gave out in it.
+    :param era: number of the store's era; 0 as long as it has stated none.
+    :param version: version that the store assigned in that era.
     """
-    return era << ERA_SHIFT | version
+    return era << VERSION_BITS | version
 
 
-def era_of(point):
-    """Return the era of a point."""
-    return point >> ERA_SHIFT
+def era_of(packed_version):
+    """Return the era of a packed version."""
+    return packed_version >> VERSION_BITS
 
 
-def unpack_version(point):
-    """Return the version that the store knows a point by."""
-    return point & _VERSIONS
+def unpack_version(packed_version):
+    """Return the store's own version, without the era."""
+    return packed_version & _VERSION_MASK
--- a/cowslipcourse/ports/rows.py
+++ b/cowslipcourse/ports/rows.py
@@ -1,4 +1,4 @@
-"""Rows of the platform's store, with versions and a feed of changes."""
+"""Interface of the platform's store: versioned rows and a feed of changes."""
 
 from typing import NamedTuple, Protocol
 
@@ -11,7 +11,7 @@
     :param key: key within its table.
     :param value: content; empty if deleted.
     :param version: version of the transaction that wrote it.
-    :param deleted: whether the row was dropped (only in a feed).
+    :param deleted: whether the row was deleted (only in a feed).
     """
 
     key: str
@@ -21,25 +21,26 @@
 
 
 class RowWrite(NamedTuple):
-    """Write of one row, under a condition.
+    """A conditional write of one row.
 
     :param table: table name.
     :param key: key within the table.
     :param value: new content.
-    :param expected: version that the row must have, 0 for none; ``None`` for any.
+    :param expected_version: version that the row must have; 0 for no row, ``None``
+        for any.
     """
 
     table: str
     key: str
     value: bytes
-    expected: int | None = None
+    expected_version: int | None = None
 
 
 class RowChanges(NamedTuple):
-    """Rows and the version up to which they are complete.
+    """Changed rows and the version up to which they are complete.
 
     :param rows: tuple of :class:`StoredRow`.
-    :param version: pass it on to hear of what changes next.
+    :param version: pass it to the next call to get later changes.
     """
 
     rows: tuple[StoredRow, ...]
@@ -49,26 +50,26 @@
 class RowStore(Protocol):
     """The platform's transactional store.
 
-    Versions are points in its history: see :func:`~cowslipcourse.ports.pack_version`.
+    Versions are packed versions: see :func:`~cowslipcourse.ports.pack_version`.
     """
 
     @property
     def era(self):
-        """Newest era that an answer has told; 0 as long as there is none."""
+        """Newest era that a response has stated; 0 as long as there is none."""
 
     async def read_table(self, table):
         """Return all rows of a table as :class:`RowChanges`.
 
-        :raises StoreUnavailable: the store did not answer.
+        :raises StoreUnavailable: the store did not respond.
         """
 
-    async def changes(self, table, after, wait_s):
-        """Return :class:`RowChanges` once there is a change, or after a time.
+    async def wait_for_changes(self, table, after, wait_s):
+        """Return :class:`RowChanges` as soon as there is a change or the wait is over.
 
-        :param after: version up to which the table is known.
-        :param wait_s: longest time to wait for a change.
+        :param after: version up to which the caller knows the table.
+        :param wait_s: maximum wait for a change, in seconds.
         :raises HistoryDropped: the table must be read again.
-        :raises StoreUnavailable: the store did not answer.
+        :raises StoreUnavailable: the store did not respond.
         """
 
     async def write(self, row_write):
--- a/cowslipcourse/ports/targets.py
+++ b/cowslipcourse/ports/targets.py
@@ -1,4 +1,4 @@
-"""What engines and plain services offer."""
+"""Interface of engines and plain services."""
 
 from collections.abc import AsyncIterator
 from enum import StrEnum
@@ -16,11 +16,11 @@
 
 
 class EngineLoad(NamedTuple):
-    """An engine's own report of its load, which lags.
+    """An engine's report of its load, which lags behind.
 
-    :param running: sequences in the batch.
-    :param waiting: sequences queued.
-    :param batch_limit: most sequences in the batch.
+    :param running: number of sequences in the batch.
+    :param waiting: number of queued sequences.
+    :param batch_limit: maximum number of sequences in the batch.
     :param token_s: recent seconds per token of one sequence.
     """
 
@@ -31,18 +31,18 @@
 
 
 class EngineStatus(NamedTuple):
-    """What a target says of itself.
+    """Status that a target reports.
 
     :param vm: VM name.
-    :param incarnation: incarnation of the VM it runs on.
+    :param incarnation: incarnation of the VM that it runs on.
     :param state: ``idle``, ``loading``, ``ready`` or ``leaving``.
     :param group: group it was loaded for, or empty.
     :param epoch: epoch of that group.
-    :param model: model loaded, or empty.
+    :param model: loaded model, or empty.
     :param version: version of the model.
-    :param fence: newest fencing token seen, for targets that check it.
+    :param fence: newest fencing token received, for targets that check it.
     :param load: load report.
-    :param prefixes: hashes of recently cached prompt prefixes; may have gaps.
+    :param prefixes: hashes of recently cached prompt prefixes; may be incomplete.
     """
 
     vm: str
@@ -58,7 +58,7 @@
 
 
 class OrderKind(StrEnum):
-    """What an order asks of an engine."""
+    """Operation that an order requests."""
 
     LOAD = "load"
     UNLOAD = "unload"
@@ -67,15 +67,15 @@
 class Order(NamedTuple):
     """An order to an engine.
 
-    :param kind: what to do.
-    :param fence: fencing token of the lease under which it is given.
-    :param group: group the engine shall serve.
+    :param kind: requested operation.
+    :param fence: fencing token of the lease under which the order is sent.
+    :param group: group that the engine is to serve.
     :param epoch: epoch of that group.
     :param model: model to load.
     :param version: version of the model.
     :param adapters: adapters to load beside the model.
     :param members: VM names of the group, the leader first.
-    :param load_bytes: bytes of weights that this member reads.
+    :param load_bytes: bytes of weights that this member loads.
     """
 
     kind: OrderKind
@@ -94,11 +94,11 @@
 
     :param request_id: id of the caller's request.
     :param attempt_id: id of this attempt, echoed with every event.
-    :param group: group that shall serve it.
+    :param group: group that is to serve it.
     :param epoch: epoch of that group.
     :param priority: larger is more urgent.
-    :param resume_from: offset of the first token wanted.
-    :param body: caller's body as received.
+    :param resume_from: offset of the first requested token.
+    :param body: caller's body, unchanged.
     """
 
     request_id: str
@@ -111,11 +111,11 @@
 
 
 class ServiceResponse(NamedTuple):
-    """A plain service's answer.
+    """A plain service's response.
 
     :param status: HTTP status.
     :param content_type: media type of the body.
-    :param body: body.
+    :param body: response body.
     """
 
     status: int
@@ -124,28 +124,28 @@
 
 
 class TargetClient(Protocol):
-    """Calls to engines and plain services, by base URL."""
+    """Client of engines and plain services, addressed by base URL."""
 
     async def probe(self, address: str) -> EngineStatus:
-        """Return what the target says of itself.
+        """Return the status that the target reports.
 
-        :raises TargetUnreachable: no answer in time.
-        :raises MalformedAnswer: the answer cannot be read.
+        :raises TargetUnreachable: no response in time.
+        :raises MalformedAnswer: the response cannot be decoded.
         """
 
     async def order(self, address: str, order: Order) -> None:
-        """Give an order; it is taken, not finished, when this returns.
+        """Send an order; it is accepted, not completed, when this returns.
 
-        :raises TargetRefused: for example an old fencing token.
+        :raises TargetRefused: for example because of an old fencing token.
         :raises TargetUnreachable: the order may have arrived.
         """
 
     def generate(
         self, address: str, request: GenerateRequest
     ) -> AsyncIterator[list[bytes]]:
-        """Yield batches of raw events of the answer, in order.
+        """Yield batches of raw events of the response, in order.
 
-        The first batch is empty: the engine has begun to answer.
+        The first batch is empty and marks the start of the response.
 
         :raises TargetRefused: nothing was started.
         :raises TargetUnreachable: no more events will come.
@@ -156,7 +156,7 @@
         """Ask the engine to stop an attempt; failures are ignored."""
 
     async def refuses_connections(self, address: str) -> bool:
-        """Return whether its host answers, and nobody listens there."""
+        """Return whether the host responds but no process listens on the port."""
 
     async def call(
         self, address: str, operation: str, attempt_id: str, body: bytes
@@ -165,5 +165,5 @@
 
         :raises TargetRefused: nothing was started.
         :raises TargetUnreachable: ``sent`` says whether it may have run.
-        :raises MalformedAnswer: the answer belongs to another call.
+        :raises MalformedAnswer: the response belongs to another call.
         """
--- a/cowslipcourse/requests/__init__.py
+++ b/cowslipcourse/requests/__init__.py
@@ -1,12 +1,12 @@
-"""The life of one request: keys, outcomes and whole answers."""
+"""Idempotency keys, remembered outcomes and the relay of streamed responses."""
 
 from cowslipcourse.requests.keys import MintedKey, parse_minted_key
-from cowslipcourse.requests.outcomes import Completed, Ended, OutcomeStore
+from cowslipcourse.requests.outcomes import Completed, Failed, OutcomeStore
 from cowslipcourse.requests.relay import StreamRelay
 
 __all__ = [
     "Completed",
-    "Ended",
+    "Failed",
     "MintedKey",
     "OutcomeStore",
     "StreamRelay",
--- a/cowslipcourse/requests/keys.py
+++ b/cowslipcourse/requests/keys.py
@@ -1,10 +1,10 @@
 """Idempotency keys.
 
-A key made from a prefix that a gateway gave out names its home: the run of the
-gateway which alone may run the request, and the time window in which that run
-remembers it::
+A key with a prefix that a gateway issued identifies its home: the gateway incarnation
+that alone may run the request, and the time window in which that incarnation remembers
+the outcome::
 
-    cw1.<gateway>.<incarnation>.<window>.<caller's own part>
+    cw1.<gateway>.<incarnation>.<window>.<nonce>
 """
 
 from typing import NamedTuple
@@ -13,17 +13,17 @@
 
 __all__ = ["MAX_KEY_CHARS", "MintedKey", "check_key", "key_prefix", "parse_minted_key"]
 
-SCHEME = "cw1"
+KEY_SCHEME = "cw1"
 MAX_KEY_CHARS = 200
 
 
 class MintedKey(NamedTuple):
-    """A key with a home.
+    """A key with a prefix that its home gateway issued.
 
     :param gateway: name of the home gateway.
-    :param incarnation: run of the home gateway.
-    :param window: time window of that run.
-    :param nonce: the caller's own part.
+    :param incarnation: incarnation of the home gateway.
+    :param window: time window of that incarnation.
+    :param nonce: part that the caller appended.
     """
 
     gateway: str
@@ -33,14 +33,15 @@
 
 
 def key_prefix(gateway, incarnation, window):
-    """Return the prefix to which callers append their own part."""
-    return f"{SCHEME}.{gateway}.{incarnation}.{window}."
+    """Return the prefix to which callers append a nonce."""
+    return f"{KEY_SCHEME}.{gateway}.{incarnation}.{window}."
 
 
 def check_key(key):
-    """Raise unless a key may be used.
+    """Validate a key.
 
-    :raises BadRequest: too long, or with characters that do not belong in a header.
+    :raises BadRequest: the key is empty, too long, or has characters that are not
+        allowed in a header.
     """
     if (
         not key
@@ -49,19 +50,21 @@
         or not key.isprintable()
     ):
         raise BadRequest(
-            f"an idempotency key has 1 to {MAX_KEY_CHARS} ASCII characters"
+            f"an idempotency key needs 1 to {MAX_KEY_CHARS} printable ASCII characters"
         )
 
 
 def parse_minted_key(key):
-    """Return the :class:`MintedKey`, or ``None`` for a caller's own key.
+    """Return the :class:`MintedKey`, or ``None`` for a key without issued prefix.
 
-    :raises BadRequest: it has our scheme but cannot be read.
+    :raises BadRequest: the key starts with the scheme but is malformed.
     """
     scheme, _, rest = key.partition(".")
-    if scheme != SCHEME:
+    if scheme != KEY_SCHEME:
         return None
     parts = rest.split(".", 3)
     if len(parts) != 4 or not all(parts) or not parts[2].isdecimal():
-        raise BadRequest("the key has our scheme but not our form")
+        raise BadRequest(
+            "malformed key: the form is cw1.GATEWAY.INCARNATION.WINDOW.NONCE"
+        )
     return MintedKey(parts[0], parts[1], int(parts[2]), parts[3])
--- a/cowslipcourse/requests/relay.py
+++ b/cowslipcourse/requests/relay.py
@@ -1,6 +1,6 @@
-"""Relay of a streamed answer: every token once, in order, and only its own.
+"""Relay of a streamed response: each of its tokens once and in order, no others.
 
-Events are checked by their first line and passed on as they are, without decoding.
+Events are checked by their first line and forwarded without decoding.
 """
 
 from cowslipcourse.exceptions import MalformedAnswer
@@ -8,66 +8,67 @@
 __all__ = ["END_DATA", "StreamRelay"]
 
 END_DATA = b"data: [DONE]"
-_ID = b"id: "
+_ID_FIELD = b"id: "
 
 
 class StreamRelay:
-    """Position in one answer, over all attempts.
+    """Position in one response, across all attempts.
 
-    :ivar offset: number of tokens passed on so far.
-    :ivar complete: whether the engine's end event came in its place.
+    :ivar offset: number of tokens forwarded so far.
+    :ivar complete: whether the engine's end event was received at its place.
     """
 
     def __init__(self):
         self.offset = 0
         self.complete = False
-        self._fault = None
+        self._error = None
 
     def filter_events(self, attempt_id, events):
-        """Check events and return what is to be passed on, as one piece.
+        """Check events and return the data to forward, joined.
 
         Drops tokens that were forwarded before. Stops at the first malformed event;
         :meth:`raise_for_malformed` then raises, once the caller has forwarded the
         valid events before it.
 
-        :param attempt_id: attempt that the events must belong to.
+        :param attempt_id: id of the attempt to which the events must belong.
         :param events: raw events in order.
         """
-        expected = _ID + attempt_id.encode() + b":"
-        passed = []
-        self._fault = None
+        expected_prefix = _ID_FIELD + attempt_id.encode() + b":"
+        forwarded = []
+        self._error = None
         for event in events:
             try:
-                data = self._next(expected, event)
+                data = self._data_to_forward(expected_prefix, event)
             except MalformedAnswer as error:
-                self._fault = error
+                self._error = error
                 break
             if data is not None:
-                passed.append(data)
-                passed.append(b"\n\n")
-        return b"".join(passed)
+                forwarded.append(data)
+                forwarded.append(b"\n\n")
+        return b"".join(forwarded)
 
     def raise_for_malformed(self):
-        """Raise if an event was out of place.
+        """Raise if the last events had a malformed one.
 
-        :raises MalformedAnswer: an event of another attempt, a gap, an early end.
+        :raises MalformedAnswer: an event belongs to another attempt, has no offset,
+            leaves a gap or comes after the end, or the end comes too early.
         """
-        if self._fault is not None:
-            raise self._fault
-
-    def _next(self, expected, event):
-        """Return the data of an event that is to be passed on, else ``None``."""
-        first, _, data = event.partition(b"\n")
-        if not first.startswith(expected) or not data.startswith(b"data: "):
-            raise MalformedAnswer("an event of another attempt")
+        if self._error is not None:
+            raise self._error
+
+    def _data_to_forward(self, expected_prefix, event):
+        """Return the data of an event to forward, or ``None`` to drop it."""
+        id_line, _, data = event.partition(b"\n")
+        if not id_line.startswith(expected_prefix) or not data.startswith(b"data: "):
+            raise MalformedAnswer("event of another attempt")
         if self.complete:
-            raise MalformedAnswer("an event after the end")
-        offset = _offset(first[len(expected) :])
+            raise MalformedAnswer("event after the end of the stream")
+        offset = _parse_offset(id_line[len(expected_prefix) :])
         if offset > self.offset:
-            raise MalformedAnswer(f"token {self.offset} is missing")
+            raise MalformedAnswer(f"missing token {self.offset}")
         if offset < self.offset:
             if data == END_DATA:
-                raise MalformedAnswer("the end came too early")
+                raise MalformedAnswer("premature end of the stream")
             return None
         if data == END_DATA:
             self.complete = True
@@ -76,7 +77,7 @@
         return data
 
 
-def _offset(text):
+def _parse_offset(text):
     if not text.isdigit():
-        raise MalformedAnswer("an event without offset")
+        raise MalformedAnswer("event without offset")
     return int(text)
--- a/features/steps/era_steps.py
+++ b/features/steps/era_steps.py
@@ -91,7 +91,7 @@
     async def act(client):
         read = await client.read_table(TABLE)
         _come_back(context.rows, copy)
-        await _note(context, client.changes(TABLE, read.version, WAIT_S))
+        await _note(context, client.wait_for_changes(TABLE, read.version, WAIT_S))
 
     _play(context, act)
 
--- a/features/steps/exchange_steps.py
+++ b/features/steps/exchange_steps.py
@@ -73,7 +73,7 @@
         return found
 
     assert asyncio.run(ages()) == [True, False]
-    assert pool_module.KEEP_MARGIN_S > 0
+    assert pool_module.KEEP_ALIVE_MARGIN_S > 0
 
 
 @then("it is known that nothing was sent")
--- a/features/support/knowledge.py
+++ b/features/support/knowledge.py
@@ -45,7 +45,7 @@
             raise StoreUnavailable("away")
         return RowChanges(self.rows(table), self.version)
 
-    async def changes(self, table, after, wait_s):
+    async def wait_for_changes(self, table, after, wait_s):
         await asyncio.sleep(0.05)
         if self.is_away:
             raise StoreUnavailable("away")
