--- a/cowslipcourse/platform/eras.py
+++ b/cowslipcourse/platform/eras.py
@@ -33,9 +33,7 @@
         if text is None and not self.newest:
             return 0
         if text is None or not _is_number(text):
-            raise MalformedAnswer(
-                f"store response with invalid {ERA_HEADER} header: {text!r}"
-            )
+            raise MalformedAnswer(f"store response with invalid era {text!r}")
         era = int(text)
         if era < self.newest:
             raise MalformedAnswer(
--- a/cowslipcourse/requests/relay.py
+++ b/cowslipcourse/requests/relay.py
@@ -65,7 +65,7 @@
             raise MalformedAnswer("event after the end of the stream")
         offset = _parse_offset(id_line[len(expected_prefix) :])
         if offset > self.offset:
-            raise MalformedAnswer(f"missing token {self.offset}")
+            raise MalformedAnswer(f"token {self.offset} is missing")
         if offset < self.offset:
             if data == END_DATA:
                 raise MalformedAnswer("premature end of the stream")
--- a/features/steps/variant_steps.py
+++ b/features/steps/variant_steps.py
@@ -83,10 +83,10 @@
 
 def _lost_is_end():
     def lost(self, error):
-        if self._answer is not None and self._answer.ends_with_connection:
-            self._answer.complete = True
+        if self._response is not None and self._response.is_close_delimited:
+            self._response.complete = True
         self._closed = True
-        self._wake()
+        self._wake_waiter()
 
     return mock.patch.object(TargetConnection, "connection_lost", lost)
 
@@ -111,7 +111,7 @@
 }
 MECHANISMS = {
     "comparing the attempt of an answer": lambda: mock.patch.object(
-        TargetConnection, "_is_ours", lambda self, head: True
+        TargetConnection, "_matches_request", lambda self, head: True
     ),
     "telling a reset from an orderly end": _lost_is_end,
     "dropping events that came before": lambda: mock.patch.object(
