--- a/cowslipcourse/entry/forwarding.py
+++ b/cowslipcourse/entry/forwarding.py
@@ -53,4 +53,4 @@
             log.info("deadline", request=call.id, seconds=waited_s)
             raise DeadlineWhileRunning("no answer in time") from error
         finally:
-            self._context.quarantine.note_over(call)
+            self._context.quarantine.note_finished(call)
