--- a/cowslipcourse/platform/configuration.py
+++ b/cowslipcourse/platform/configuration.py
@@ -166,7 +166,7 @@
         name=fields.name,
         host=fields.host,
         prefix=fields.prefix,
-        type_=fields.type_,
+        kind=fields.kind,
         services=tuple(services) or ((fields.service, 1.0),),
         timeout_s=fields.timeoutMs / MS_PER_S,
         objective_s=(fields.sloMs or fields.timeoutMs) / MS_PER_S,
