--- a/cowslipcourse/gateway/generation.py
+++ b/cowslipcourse/gateway/generation.py
@@ -150,7 +150,7 @@
                 async with aclosing(batches):
                     async for events in batches:
                         if not events:
-                            self._run.has_begun = True
+                            self._run.answer_started = True
                             continue
                         if attempt_id not in self.attempts:
                             self._begin(spec, attempt_id, granted_at, checked_at)
@@ -186,7 +186,7 @@
 
         run = GroupRun(leader, self._relay.offset, cancel)
         # Whoever is alone at an engine does not wait there for others to end.
-        run.has_begun = self._is_alone_at(spec.group)
+        run.answer_started = self._is_alone_at(spec.group)
         return run
 
     def _is_alone_at(self, group):
--- a/cowslipcourse/gateway/quarantine_ports.py
+++ b/cowslipcourse/gateway/quarantine_ports.py
@@ -60,22 +60,22 @@
     """What a gateway sees of one run of a request at a group.
 
     :param entry: :class:`Leader`
-    :param reached: number of tokens that the caller has.
+    :param last_event_id: number of tokens that the caller has.
     :param cancel: callable that asks the leader to end the run.
     """
 
-    def __init__(self, entry, reached, cancel):
+    def __init__(self, entry, last_event_id, cancel):
         self.entry = entry
-        self.has_begun = False
-        self.events = 0
-        self.reached = reached
+        self.answer_started = False
+        self.relayed_events = 0
+        self.last_event_id = last_event_id
         self.ended_by_target = False
         self._cancel = cancel
 
-    def note_events(self, number, reached):
+    def note_events(self, number, last_event_id):
         """Note that events of the answer have come."""
-        self.events += number
-        self.reached = reached
+        self.relayed_events += number
+        self.last_event_id = last_event_id
 
     def stop(self, _error):
         """Break it off; its stream ends without its last event."""
@@ -91,7 +91,7 @@
 
 
 class RecordPeers:
-    """The other gateways, reached through records that spread with heartbeats.
+    """The other gateways, last_event_id through records that spread with heartbeats.
 
     :param agent: :class:`~cowslipcourse.daemon.Agent`
     """
