--- a/cowslipcourse/emulator/daemons.py
+++ b/cowslipcourse/emulator/daemons.py
@@ -26,7 +26,9 @@
 
 
 class WholeSite:
-    """Meets :class:`~cowslipcourse.entry.scope.Scope`: one daemon keeps all domains.
+    """Meets :class:`~cowslipcourse.entry.scope.CoordinationScope`.
+
+    One daemon keeps all domains.
 
     :param acts: callable that tells whether it is this one.
     """
@@ -36,13 +38,13 @@
     def __init__(self, acts):
         self._acts = acts
 
-    def tends(self, data_centre):
+    def coordinates(self, data_centre):
         """Whether this daemon keeps the groups, wherever they are."""
         return self._acts()
 
 
 class DataCentres:
-    """Meets :class:`~cowslipcourse.entry.scope.Scope`: a part of the site.
+    """Meets :class:`~cowslipcourse.entry.scope.CoordinationScope`: a part of the site.
 
     :param tended: names of the data centres whose groups this daemon keeps.
     :param coordinators: number of daemons that keep groups.
@@ -52,7 +54,7 @@
         self.tended = frozenset(tended)
         self.coordinators = coordinators
 
-    def tends(self, data_centre):
+    def coordinates(self, data_centre):
         """Whether this daemon keeps the groups of a data centre."""
         return data_centre in self.tended
 
@@ -119,8 +121,8 @@
         """Take changes of the list of targets."""
         self.fleet.apply(changed, gone)
         if self.acts:
-            self.coordinator.domains.see_entries(changed)
-            self.coordinator.domains.see_gone(gone)
+            self.coordinator.domains.update_entries(changed)
+            self.coordinator.domains.mark_unlisted(gone)
 
     def take_news(self, news):
         """Take in what a coordinator has decided about a group."""
@@ -130,4 +132,4 @@
         now = self._heads.now()
         for target, epoch in self.fleet.suspects(now).items():
             for coordinator in self.coordinators:
-                coordinator.look_into(target, epoch)
+                coordinator.investigate(target, epoch)
--- a/cowslipcourse/entry/balancing.py
+++ b/cowslipcourse/entry/balancing.py
@@ -9,9 +9,9 @@
     short_models,
 )
 
-__all__ = ["Balancing"]
+__all__ = ["GroupBalancer"]
 
-LOOK_S = 0.25
+REBALANCE_INTERVAL_S = 0.25
 """Interval at which it is looked for models that are short."""
 FRESH_S = 0.5
 """Age of the other coordinators' plans up to which a change is begun."""
@@ -19,17 +19,17 @@
 """Interval at which they are read while a model is short and nothing else changes."""
 FORMING_S = 3.0
 """Time after its last new engine within which a domain forms its groups, if it can."""
-STANDBY_LOOK_S = 1.0
+STANDBY_INTERVAL_S = 1.0
 """Interval at which it is chosen which groups stand by."""
 
 log = get_logger(__name__)
 
 
-class Balancing:
+class GroupBalancer:
     """Looks at the groups of all domains, and chooses for those of this daemon.
 
     :param tools: :class:`~cowslipcourse.entry.tools.EntryTools`
-    :param domains: :class:`~cowslipcourse.entry.domains.Domains`
+    :param domains: :class:`~cowslipcourse.entry.domains.DomainTracker`
     :param table: :class:`~cowslipcourse.entry.plan_table.PlanTable`
     """
 
@@ -43,14 +43,14 @@
         self._served_at_read = {}
         self._standby = {}
 
-    async def look(self, spec, tended, now):
+    async def rebalance(self, spec, tended, now):
         """Choose again, if it is time.
 
         :param spec: :class:`~cowslipcourse.routes.ServiceSpec` of the engines.
         :param tended: names of the domains that this daemon keeps.
         :raises StoreError: the plans could not be read.
         """
-        if now - self._looked_at < LOOK_S:
+        if now - self._looked_at < REBALANCE_INTERVAL_S:
             return
         self._looked_at = now
         if self._must_read(spec, now):
@@ -61,7 +61,7 @@
             self._changes = self._choose(spec, now)
         if self._changes and self._changes != before:
             self._log(spec, now)
-        if now - self._standby_at >= STANDBY_LOOK_S:
+        if now - self._standby_at >= STANDBY_INTERVAL_S:
             self._standby_at = now
             places = {n: d.data_centre for n, d in self._domains.by_name.items()}
             self._standby = choose_standby(
@@ -79,7 +79,7 @@
         """Whether a change in this daemon's own domains waits for nothing."""
         return any(c.is_warm and c.domain in tended for c in self._changes)
 
-    def changes(self, domain, now):
+    def changes_to_begin(self, domain, now):
         """Return the :class:`~cowslipcourse.groups.Change` list to begin in a domain.
 
         None is begun by plans that may be outdated: another coordinator may have made
@@ -138,7 +138,7 @@
         """
         least = min(model.size for model in spec.models)
         for name, domain in self._domains.by_name.items():
-            is_forming = self._domains.grew_s_ago(name, now) < FORMING_S
+            is_forming = self._domains.time_since_growth_s(name, now) < FORMING_S
             if not is_forming or not self._table.is_readable(name):
                 continue
             groups = self._table.plan(name).groups
--- a/cowslipcourse/entry/census.py
+++ b/cowslipcourse/entry/census.py
@@ -6,7 +6,7 @@
 
 from cowslipcourse.adapters.log import get_logger
 
-__all__ = ["Census", "CensusWatch"]
+__all__ = ["GroupCountMonitor", "GroupCounts"]
 
 FREE = "free"
 """State of an engine that is in no group."""
@@ -14,7 +14,7 @@
 log = get_logger(__name__)
 
 
-class Census(NamedTuple):
+class GroupCounts(NamedTuple):
     """Groups and engines of all services with models, as this daemon sees them.
 
     :param groups: number of groups that take requests, by model.
@@ -25,21 +25,21 @@
     engines: dict[tuple[str, str], int]
 
 
-class CensusWatch:
+class GroupCountMonitor:
     """Counts groups and engines and logs when a model loses or regains its groups."""
 
     def __init__(self):
         self._known = {}
         self._unserved_since = {}
 
-    def look(self, table, fleet):
-        """Return the present :class:`Census`.
+    def count(self, table, fleet):
+        """Return the present :class:`GroupCounts`.
 
         :param table: :class:`~cowslipcourse.routes.RouteTable` or ``None``.
         :param fleet: :class:`~cowslipcourse.entry.fleet.FleetView`
         """
         if table is None:
-            return Census({}, {})
+            return GroupCounts({}, {})
         now = asyncio.get_running_loop().time()
         groups = {}
         for spec in table.services.values():
@@ -50,7 +50,7 @@
             _place_of(entry) for entry in fleet.entries.values() if entry.domain
         )
         self._note(groups, engines, now)
-        return Census(groups, engines)
+        return GroupCounts(groups, engines)
 
     def _note(self, groups, engines, now):
         """Log models that have lost their last group or have one again."""
--- a/cowslipcourse/entry/coordinator.py
+++ b/cowslipcourse/entry/coordinator.py
@@ -11,10 +11,10 @@
 import asyncio
 
 from cowslipcourse.adapters.log import get_logger
-from cowslipcourse.entry.balancing import Balancing
-from cowslipcourse.entry.domains import Domains
+from cowslipcourse.entry.balancing import GroupBalancer
+from cowslipcourse.entry.domains import DomainTracker
 from cowslipcourse.entry.engine_calls import EngineCalls
-from cowslipcourse.entry.own_links import OwnLinks
+from cowslipcourse.entry.own_links import IsolationDetector
 from cowslipcourse.entry.pauses import ticks
 from cowslipcourse.entry.plan_table import PlanTable
 from cowslipcourse.exceptions import StoreError
@@ -56,12 +56,12 @@
     :param store: :class:`~cowslipcourse.ports.RowStore`
     :param control: :class:`~cowslipcourse.ports.EngineControl`
     :param settings: :class:`~cowslipcourse.entry.settings.ControlSettings`
-    :param scope: :class:`~cowslipcourse.entry.scope.Scope`
+    :param scope: :class:`~cowslipcourse.entry.scope.CoordinationScope`
     :param tell: called with :class:`~cowslipcourse.peers.GroupNews` for all daemons.
     """
 
     def __init__(self, tools, store, control, settings, scope, tell):
-        self.domains = Domains(tools)
+        self.domains = DomainTracker(tools)
         self._tools = tools
         self._calls = EngineCalls(
             control,
@@ -71,23 +71,23 @@
             self._note_opened,
         )
         self.settings = settings
-        self._links = OwnLinks(self.domains, self._calls)
+        self._links = IsolationDetector(self.domains, self._calls)
         self._scope = scope
         self._tell = tell
         self._table = PlanTable(store, self.domains.see_plan)
-        self._balancing = Balancing(tools, self.domains, self._table)
+        self._balancing = GroupBalancer(tools, self.domains, self._table)
         self._load_limit = LoadLimit()
         self._investigated = {}
         self._tended = frozenset()
 
     @property
-    def unfit_until(self):
+    def isolated_until(self):
         """Loop time until which this daemon must not coordinate."""
-        return self._links.unfit_until
+        return self._links.isolated_until
 
     # What other parts tell.
 
-    def look_into(self, target, epoch):
+    def investigate(self, target, epoch):
         """Ask the members of a group whose head was found silent."""
         if not self._tended:
             return
@@ -123,7 +123,7 @@
         """Coordinate for ever, whichever domains are this daemon's turn."""
         async for _, late_s in ticks(TICK_S, lambda: not self._tended, REST_S):
             if late_s > OWN_PAUSE_S:
-                self._table.doubt()
+                self._table.invalidate()
             self._take_scope()
             if self._tended:
                 await self._tick()
@@ -133,20 +133,21 @@
         tended = frozenset(
             name
             for name, domain in self.domains.by_name.items()
-            if self._tools.table is not None and self._scope.tends(domain.data_centre)
+            if self._tools.table is not None
+            and self._scope.coordinates(domain.data_centre)
         )
         if bool(tended) != bool(self._tended):
             log.info("coordinating" if tended else "not-coordinating")
         if tended - self._tended:
             # Others may have kept them until now.
             log.info("domains-taken", domains=",".join(sorted(tended - self._tended)))
-            self._table.doubt()
+            self._table.invalidate()
         self._tended = tended
 
     async def _tick(self):
         try:
-            self._table.see_era()
-            if not self._table.is_known:
+            self._table.check_era()
+            if not self._table.is_valid:
                 await self._table.read()
             await self._balance()
             for domain in sorted(self._tended):
@@ -154,7 +155,7 @@
                     await self._tend(domain)
         except StoreError as error:
             log.warning("groups-not-tended", error=error.code, why=error)
-            self._table.doubt()
+            self._table.invalidate()
             await asyncio.sleep(TICK_S)
 
     async def _balance(self):
@@ -162,15 +163,12 @@
         for domain in sorted(self._tended):
             spec = self._spec(self.domains.by_name[domain])
             if spec is not None:
-                await self._balancing.look(spec, self._tended, now)
+                await self._balancing.rebalance(spec, self._tended, now)
                 return
 
     async def _tend(self, domain):
         now = asyncio.get_running_loop().time()
-        if (
-            self._table.is_lost(domain)
-            and await self._table.write_again(domain) is None
-        ):
+        if self._table.is_lost(domain) and await self._table.rewrite(domain) is None:
             return
         if not self._table.plan(domain).groups and self._is_settling(domain, now):
             return
@@ -192,9 +190,11 @@
 
     def _is_settling(self, domain, now):
         """Whether more engines, or domains to be divided with this one, may come."""
-        is_growing = self.domains.grew_s_ago(domain, now) < SETTLE_S
+        is_growing = self.domains.time_since_growth_s(domain, now) < SETTLE_S
         is_new = not self._table.plan(domain).version
-        return is_growing or (is_new and not self.domains.are_complete(domain, now))
+        return is_growing or (
+            is_new and not self.domains.are_all_discovered(domain, now)
+        )
 
     def _spec(self, knowledge):
         for engine in knowledge.engines.values():
@@ -216,7 +216,7 @@
         sizes = {model.name: model.size for model in spec.models}
         wanted = wishes(spec.models, self._table.plans.values())
         broken = broken_groups(plan, knowledge)
-        changes = self._balancing.changes(domain, now)
+        changes = self._balancing.changes_to_begin(domain, now)
         groups = revise(plan, views, sizes, wanted, shape, broken, changes)
         if groups == plan.groups:
             return
@@ -251,7 +251,7 @@
             self._calls.ask(engine)
 
     def _look_at_links(self):
-        self._links.look(self._tended, asyncio.get_running_loop().time())
+        self._links.check(self._tended, asyncio.get_running_loop().time())
 
     def _spawn_order(self, domain, engine_id, order, models):
         engine = self.domains.engine(domain, engine_id)
--- a/cowslipcourse/entry/daemon.py
+++ b/cowslipcourse/entry/daemon.py
@@ -10,17 +10,17 @@
 from cowslipcourse.adapters.web import WebServer
 from cowslipcourse.admission import SMALLEST_SITE, SharedRetryBudget
 from cowslipcourse.entry.attempts import Attempts
-from cowslipcourse.entry.census import CensusWatch
+from cowslipcourse.entry.census import GroupCountMonitor
 from cowslipcourse.entry.coordinator import Coordinator
 from cowslipcourse.entry.fleet import FleetView
 from cowslipcourse.entry.forwarding import Forwarder
 from cowslipcourse.entry.front import FrontApp
-from cowslipcourse.entry.knowledge import Knowledge
+from cowslipcourse.entry.knowledge import StateReplica
 from cowslipcourse.entry.metrics import EntryMetrics
 from cowslipcourse.entry.peer_link import PeerLink
-from cowslipcourse.entry.registering import Registering
-from cowslipcourse.entry.reloading import SettingsWatch
-from cowslipcourse.entry.roles import Roles
+from cowslipcourse.entry.registering import DaemonRegistrar
+from cowslipcourse.entry.reloading import SettingsWatcher
+from cowslipcourse.entry.roles import RoleAssignment
 from cowslipcourse.entry.side_apps import metrics_app, peer_app
 from cowslipcourse.entry.silence import SilenceWatch
 from cowslipcourse.entry.tools import EntryTools
@@ -59,7 +59,7 @@
 
     def __init__(self, settings, path):
         self._settings = settings
-        self.watch = SettingsWatch(path, settings, self._take_settings)
+        self.watch = SettingsWatcher(path, settings, self._take_settings)
         self._incarnation = time.time_ns()
         self._sequence = 0
         self._is_ready = False
@@ -88,10 +88,10 @@
             settings, self._fleet, attempts, budget, silence, self.quarantine, rng
         )
         self._front = FrontApp(self._tools, Forwarder(self._tools), self._metrics)
-        self._registering = Registering(settings, self._store, self._learn, rng)
-        self.knowledge = Knowledge(settings, self._store, self._registry, rng, self)
-        self._roles = Roles(
-            settings, self._registry, self._registering, self.knowledge, self
+        self._registering = DaemonRegistrar(settings, self._store, self._learn, rng)
+        self.replica = StateReplica(settings, self._store, self._registry, rng, self)
+        self._roles = RoleAssignment(
+            settings, self._registry, self._registering, self.replica, self
         )
         self._coordinator = Coordinator(
             self._tools,
@@ -99,7 +99,7 @@
             self._control,
             settings.control,
             self._roles,
-            self.tell_news,
+            self.broadcast_group_news,
         )
 
     async def run(self, stopping):
@@ -112,7 +112,7 @@
                 listen.directory,
             ),
             WebServer(ready_app(lambda: self._is_ready), listen.ready),
-            WebServer(peer_app(self.knowledge.state), listen.peer),
+            WebServer(peer_app(self.replica.state), listen.peer),
         ]
         if listen.metrics:
             servers.append(WebServer(metrics_app(self._metrics), listen.metrics))
@@ -122,7 +122,7 @@
         log.info("started", daemon=self._settings.name, incarnation=self._incarnation)
         for coroutine in (
             self._link.run(),
-            *self.knowledge.coroutines(),
+            *self.replica.coroutines(),
             self._tools.silence.run(),
             self.quarantine.run(),
             self._coordinator.run(),
@@ -149,7 +149,7 @@
         log.info("stopping", in_flight=self._front.in_flight)
         self._is_ready = False
         self._front.drain(until)
-        self._link.tell()
+        self._link.heartbeat_now()
         while loop.time() < until:
             await asyncio.sleep(STOP_LOOK_S)
             # Idle connections are no reason to stay: whoever still keeps one has a
@@ -176,19 +176,19 @@
 
     # What is learnt.
 
-    def take_configuration(self, table):
+    def apply_configuration(self, table):
         """Put a newer configuration in force."""
         self._tools.table = table
         self._is_ready = not self._front.is_draining
         log.info("configuration", version=table.version, routes=len(table))
         # Which entries name engines follows from the services.
-        self._coordinator.domains.see_entries(self._fleet.entries.values())
+        self._coordinator.domains.update_entries(self._fleet.entries.values())
 
-    def take_targets(self, entries, gone):
+    def apply_targets(self, entries, gone):
         """Apply changes to the list of targets."""
         self._fleet.apply(entries, gone)
-        self._coordinator.domains.see_entries(entries)
-        self._coordinator.domains.see_gone(gone)
+        self._coordinator.domains.update_entries(entries)
+        self._coordinator.domains.mark_unlisted(gone)
 
     # Peers.
 
@@ -205,13 +205,13 @@
             front_address=settings.listen.front,
             data_centre=settings.data_centre,
             is_ready=self._is_ready,
-            configuration=self.knowledge.configuration,
+            configuration=self.replica.configuration_version,
         )
         return Heartbeat(
             member=member,
             sequence=self._sequence,
             is_fit=self._is_fit(now),
-            targets_version=self.knowledge.targets_version,
+            targets_version=self.replica.targets_version,
             in_flight=dict(self._fleet.in_flight),
             suspects=self._fleet.suspects(now),
             interval_s=self.heartbeat_interval_s(),
@@ -225,15 +225,15 @@
     def _is_fit(self, now):
         """Whether others may rely on it: it reads the store, reaches engines, stays."""
         return (
-            self.knowledge.is_current
-            and now >= self._coordinator.unfit_until
+            self.replica.is_current
+            and now >= self._coordinator.isolated_until
             and not self._front.is_draining
         )
 
-    def heard(self, message):
+    def investigate_suspects(self, message):
         """Take in what a peer's heartbeat or digest tells."""
         for target, epoch in message.suspects.items():
-            self._coordinator.look_into(target, epoch)
+            self._coordinator.investigate(target, epoch)
 
     def _count_daemons(self, now):
         known = self._registry.number_known(now) + 1
@@ -243,20 +243,20 @@
         """Take in what a coordinator has decided about a group."""
         self._fleet.take_news(news, asyncio.get_running_loop().time())
 
-    def tell_news(self, news):
+    def broadcast_group_news(self, news):
         """Tell all daemons, this one first, what was decided about a group."""
         self.take_news(news)
-        self._link.tell_news(news)
+        self._link.broadcast_group_news(news)
 
-    def push(self, changes):
+    def push_changes(self, changes):
         """Send changes of targets to the daemons of the data centre."""
-        self._link.push(changes)
+        self._link.push_changes(changes)
 
     def _on_suspect(self):
         now = asyncio.get_running_loop().time()
-        self._link.tell()
+        self._link.heartbeat_now()
         for target, epoch in self._fleet.suspects(now).items():
-            self._coordinator.look_into(target, epoch)
+            self._coordinator.investigate(target, epoch)
 
     def _addresses(self):
         now = asyncio.get_running_loop().time()
@@ -273,28 +273,28 @@
         for known in registrations:
             self._registry.add_address(known.peer_address, known.data_centre, now)
         self._count_daemons(now)
-        self._link.tell()
+        self._link.heartbeat_now()
 
     async def _keep_house(self):
-        census = CensusWatch()
+        census = GroupCountMonitor()
         while True:
             await asyncio.sleep(SWEEP_S)
             self._count_daemons(asyncio.get_running_loop().time())
             self._tools.attempts.sweep()
-            self._metrics.state("in_flight", self._front.in_flight)
-            self._metrics.state("quarantined", self.quarantine.size)
-            self._metrics.fleet(census.look(self._tools.table, self._fleet))
+            self._metrics.set_state("in_flight", self._front.in_flight)
+            self._metrics.set_state("quarantined", self.quarantine.size)
+            self._metrics.set_group_counts(census.count(self._tools.table, self._fleet))
             self._look_at_era()
 
     def _look_at_era(self):
         """Write again what the store may have lost, if it has come back older."""
         # Others that read the store tell its points too.
-        era = era_of(self.knowledge.targets_version)
+        era = era_of(self.replica.targets_version)
         if era > max(self._era, era_of(self._registering.version)):
-            self._registering.note_lost()
+            self._registering.rewrite_later()
             self.quarantine.note_lost()
         self._era = era
-        self._metrics.state("store_era", era)
+        self._metrics.set_state("store_era", era)
 
 
 def _exit_on_failure(task):
--- a/cowslipcourse/entry/domains.py
+++ b/cowslipcourse/entry/domains.py
@@ -5,7 +5,7 @@
 from cowslipcourse.adapters.log import get_logger
 from cowslipcourse.groups import DomainKnowledge
 
-__all__ = ["Domains"]
+__all__ = ["DomainTracker"]
 
 OTHERS_S = 2.0
 """Time without a new domain after which all are taken as known: they are listed up to
@@ -15,7 +15,7 @@
 log = get_logger(__name__)
 
 
-class Domains:
+class DomainTracker:
     """What is known of engines, by domain.
 
     :param tools: :class:`~cowslipcourse.entry.tools.EntryTools`
@@ -33,12 +33,12 @@
         """All engines that are listed, or needed still, in a list."""
         return [e for domain in self.by_name.values() for e in domain.engines.values()]
 
-    def see_entries(self, entries):
+    def update_entries(self, entries):
         """Take in changed entries; those that name no engine are taken as gone."""
         now = asyncio.get_running_loop().time()
         for entry in entries:
             if not self._is_engine(entry):
-                self.see_gone((entry.id,))
+                self.mark_unlisted((entry.id,))
                 continue
             self._leave_other_domain(entry)
             self._first_heard_at.setdefault(entry.domain, now)
@@ -47,7 +47,7 @@
                 self._grown_at[entry.domain] = now
             domain.see_entry(entry)
 
-    def see_gone(self, ids):
+    def mark_unlisted(self, ids):
         """Note ids that the list no longer holds."""
         for engine_id in ids:
             known = self._domain_of.get(engine_id)
@@ -82,11 +82,11 @@
         for engine_id in self.by_name[plan.domain].forget(plan.names):
             del self._domain_of[engine_id]
 
-    def grew_s_ago(self, domain, now):
+    def time_since_growth_s(self, domain, now):
         """Return the seconds since a domain got an engine; 0 if it never did."""
         return now - self._grown_at.get(domain, now)
 
-    def are_complete(self, domain, now):
+    def are_all_discovered(self, domain, now):
         """Whether all domains are likely to be known that are divided with a new one.
 
         :param domain: name of the domain that is to get its first groups.
--- a/cowslipcourse/entry/following.py
+++ b/cowslipcourse/entry/following.py
@@ -57,7 +57,7 @@
         return self._has_read and self._failed_since is None
 
     @property
-    def was_lost(self):
+    def was_unavailable(self):
         """Whether the store did not answer until now, and nobody told what changed."""
         return self._failed_since is not None and not self._was_fed()
 
@@ -66,19 +66,19 @@
             return False
         return asyncio.get_running_loop().time() - self._fed_since >= FED_S
 
-    def note_fed(self):
+    def note_peer_update(self):
         """Note that another daemon has told what it read in the store."""
         if self._failed_since is not None and self._fed_since is None:
             self._fed_since = asyncio.get_running_loop().time()
 
     @property
-    def was_lost_lately(self):
+    def has_failed_recently(self):
         """Whether the store refused this daemon a short while ago."""
         if self._failed_at is None:
             return False
         return asyncio.get_running_loop().time() - self._failed_at < LATELY_S
 
-    def follow(self, active):
+    def set_following(self, active):
         """Follow the store, or rest until told to go on."""
         if active == self._active.is_set():
             return
@@ -89,7 +89,7 @@
         else:
             self._active.clear()
 
-    def read_again(self):
+    def request_full_read(self):
         """Read the whole table instead of waiting for changes the next time."""
         self._version = None
 
--- a/cowslipcourse/entry/front.py
+++ b/cowslipcourse/entry/front.py
@@ -7,7 +7,7 @@
 from cowslipcourse.adapters.log import get_logger
 from cowslipcourse.entry.accounting import SERVED
 from cowslipcourse.entry.calls import Responder, read_call
-from cowslipcourse.entry.stopping import RequestDurations, can_end
+from cowslipcourse.entry.stopping import RequestDurations, can_finish
 from cowslipcourse.exceptions import CallerGone, GatewayDraining, RequestError
 from cowslipcourse.platform.edge import attempt_id, come_back_header
 
@@ -77,8 +77,8 @@
             raise
         finally:
             self.in_flight -= 1
-            self._metrics.request(outcome, time.monotonic() - started_at)
-            self._metrics.account(ended.route, ended.model, ended.cause)
+            self._metrics.observe_request(outcome, time.monotonic() - started_at)
+            self._metrics.count_cause(ended.route, ended.model, ended.cause)
 
     async def _serve(self, scope, receive, responder, ended):
         call = await read_call(scope, receive, self._tools.table)
@@ -114,7 +114,7 @@
         if self._ends_at is None:
             return
         left_s = self._ends_at - call.arrived_at
-        if not can_end(left_s, self._durations.longest_s(call.route)):
+        if not can_finish(left_s, self._durations.longest_s(call.route)):
             raise GatewayDraining("this daemon is about to end", GO_ELSEWHERE_S)
 
     async def _fail(self, error, scope, receive, send, responder, ended):
--- a/cowslipcourse/entry/knowledge.py
+++ b/cowslipcourse/entry/knowledge.py
@@ -11,7 +11,7 @@
 from cowslipcourse.adapters.log import get_logger
 from cowslipcourse.entry.change_history import ChangeHistory
 from cowslipcourse.entry.following import TableFollower
-from cowslipcourse.entry.peer_reading import PeerReading, read_state
+from cowslipcourse.entry.peer_reading import PeerReadPolicy, read_state
 from cowslipcourse.entry.target_list import TargetList
 from cowslipcourse.exceptions import (
     ConfigurationError,
@@ -27,7 +27,7 @@
 )
 from cowslipcourse.ports import era_of
 
-__all__ = ["Knowledge"]
+__all__ = ["StateReplica"]
 
 RETURN_S = 2.2
 """After an outage, entries that lapsed meanwhile are back within about two seconds."""
@@ -46,53 +46,53 @@
 log = get_logger(__name__)
 
 
-class Knowledge:
+class StateReplica:
     """Keeps configuration and targets up to date and hands on what changes.
 
     :param settings: :class:`~cowslipcourse.entry.settings.EntrySettings`
     :param store: :class:`~cowslipcourse.ports.RowStore`
     :param registry: :class:`~cowslipcourse.peers.PeerRegistry`
     :param rng: :class:`random.Random` that spreads reads over peers.
-    :param listener: has ``take_configuration(table)``, ``take_targets(entries, gone)``
-        and ``push(TargetChanges)``.
+    :param listener: has ``apply_configuration(table)``,
+        ``apply_targets(entries, gone)`` and ``push_changes(TargetChanges)``.
     """
 
     def __init__(self, settings, store, registry, rng, listener):
-        self._reading = PeerReading(registry, rng)
+        self._read_policy = PeerReadPolicy(registry, rng)
         self._listener = listener
         self._content = None
-        self._list = TargetList()
+        self._target_list = TargetList()
         self._history = ChangeHistory()
         self._states = {}
         self._refused = None
-        self._settled_at = 0.0
-        self._held = {}
+        self._recovered_at = 0.0
+        self._held_until = {}
         self._unsettled = asyncio.Event()
         self._session = None
-        self._follows = True
-        self.configuration = 0
+        self._follows_store = True
+        self.configuration_version = 0
         self.targets_version = 0
         self._configuration = TableFollower(
             store,
             settings.store,
             CONFIGURATION_TABLE,
-            self._see_configuration,
-            lambda after, changes: self._see_configuration(changes),
+            self._on_configuration_rows,
+            lambda after, changes: self._on_configuration_rows(changes),
             0.0,
         )
         self._targets = TableFollower(
             store,
             settings.store,
             TARGETS_TABLE,
-            self._see_all_targets,
-            self._see_targets,
+            self._on_target_snapshot,
+            self._on_target_changes,
             settings.store.batch_s,
         )
 
     @property
-    def follows(self):
+    def follows_store(self):
         """Whether this daemon reads the store."""
-        return self._follows
+        return self._follows_store
 
     @property
     def is_current(self):
@@ -101,20 +101,20 @@
         Of a daemon that rests it is assumed, unless it was refused lately.
         """
         tables = self._configuration, self._targets
-        if not self._follows:
-            return not any(table.was_lost_lately for table in tables)
+        if not self._follows_store:
+            return not any(table.has_failed_recently for table in tables)
         return all(table.is_current for table in tables)
 
-    def follow(self, active):
+    def set_following(self, active):
         """Read the store, or leave that to others.
 
         A daemon rests only once it knows a configuration and targets.
         """
-        if not active and not (self.configuration and self.targets_version):
+        if not active and not (self.configuration_version and self.targets_version):
             return
-        self._follows = active
-        self._configuration.follow(active)
-        self._targets.follow(active)
+        self._follows_store = active
+        self._configuration.set_following(active)
+        self._targets.set_following(active)
 
     def coroutines(self):
         """Return the coroutines that keep it up to date."""
@@ -131,8 +131,8 @@
         :param known_configuration: version of the configuration that the peer has.
         :param known_targets: store version of the targets that the peer has.
         """
-        has_newer = self.configuration > known_configuration
-        configuration = self.configuration if has_newer else None
+        has_newer = self.configuration_version > known_configuration
+        configuration = self.configuration_version if has_newer else None
         after = min(known_targets, self.targets_version)
         key = configuration, after, self.targets_version
         if key not in self._states:
@@ -143,7 +143,7 @@
 
     def _state(self, has_newer, after):
         configuration = self._content if has_newer else None
-        version, contents = self.targets_version, self._list.contents
+        version, contents = self.targets_version, self._target_list.contents
         if after == version:
             return PeerState(configuration, version, {}, after)
         found = self._history.since(after)
@@ -155,12 +155,12 @@
 
     # From the store.
 
-    def _see_configuration(self, changes):
+    def _on_configuration_rows(self, changes):
         for row in changes.rows:
             if row.key == CONFIGURATION_KEY and not row.deleted:
-                self._take_configuration(row.value)
+                self._apply_configuration(row.value)
 
-    def _take_configuration(self, content):
+    def _apply_configuration(self, content):
         """Put a newer configuration in force; an unreadable one changes nothing."""
         if content in (self._content, self._refused):
             return
@@ -170,70 +170,74 @@
             self._refused = content
             log.warning("configuration-refused", error=error.code, why=error)
             return
-        if table.version <= self.configuration:
+        if table.version <= self.configuration_version:
             return
         for problem in problems:
             log.warning("configuration-part-refused", problem=problem)
-        self.configuration = table.version
+        self.configuration_version = table.version
         self._content = content
         self._states.clear()
-        self._listener.take_configuration(table)
+        self._listener.apply_configuration(table)
 
-    def _see_all_targets(self, everything):
+    def _on_target_snapshot(self, everything):
         listed = {row.key: row.value for row in everything.rows}
         # What the store lists has come back, or was never gone.
-        self._held = {t: at for t, at in self._held.items() if t not in listed}
-        known = self._list.contents
+        self._held_until = {
+            t: at for t, at in self._held_until.items() if t not in listed
+        }
+        known = self._target_list.contents
         is_older = era_of(everything.version) > era_of(self.targets_version)
-        if is_older or self._targets.was_lost or not known:
+        if is_older or self._targets.was_unavailable or not known:
             loop = asyncio.get_running_loop()
-            self._settled_at = loop.time() + RETURN_S
+            self._recovered_at = loop.time() + RETURN_S
             self._unsettled.set()
             # What is missing may be back in a moment. A store that has come back older
             # may also list what a target has since replaced, and will write again.
             listed = {**listed, **known} if is_older else {**known, **listed}
-        self._take_all_targets(listed, everything.version)
+        self._replace_targets(listed, everything.version)
 
-    def _take_all_targets(self, listed, version):
+    def _replace_targets(self, listed, version):
         self.targets_version = version
-        before = dict(self._list.contents)
-        changes = self._list.replace(listed)
-        after = self._list.contents
+        before = dict(self._target_list.contents)
+        changes = self._target_list.replace(listed)
+        after = self._target_list.contents
         changed = [t for t, content in after.items() if before.get(t) != content]
         self._note_history(changed, changes.gone)
         log.info(
             "targets-read",
-            number=len(self._list.entries),
+            number=len(self._target_list.entries),
             version=version,
             changed=len(changes.entries),
             gone=",".join(changes.gone),
         )
-        self._listener.take_targets(*changes)
+        self._listener.apply_targets(*changes)
 
-    def _see_targets(self, after, changes):
+    def _on_target_changes(self, after, changes):
         loop = asyncio.get_running_loop()
         gone = tuple(row.key for row in changes.rows if row.deleted)
-        if loop.time() < self._settled_at:
-            self._held |= dict.fromkeys(gone, loop.time() + HOLD_S)
+        if loop.time() < self._recovered_at:
+            self._held_until |= dict.fromkeys(gone, loop.time() + HOLD_S)
             self._unsettled.set()
             gone = ()
         changed = {row.key: row.value for row in changes.rows if not row.deleted}
-        self._held = {t: at for t, at in self._held.items() if t not in changed}
+        self._held_until = {
+            t: at for t, at in self._held_until.items() if t not in changed
+        }
         message = TargetChanges(after, changes.version, changed, gone)
         self._apply(message)
         versions = {row.key: row.version for row in changes.rows}
         for part in split_changes(message, versions):
-            self._listener.push(part)
+            self._listener.push_changes(part)
 
     def _note_history(self, changed, gone):
         self._states.clear()
         # Entries of earlier lives that came late are in no list.
-        changed = [target for target in changed if target in self._list.contents]
+        changed = [target for target in changed if target in self._target_list.contents]
         self._history.note(self.targets_version, changed, gone)
 
     def _apply(self, message):
         self.targets_version = max(self.targets_version, message.version)
-        changes = self._list.apply(message.changed, message.gone)
+        changes = self._target_list.apply(message.changed, message.gone)
         self._note_history(message.changed, message.gone)
         if any(changes):
             leaving = [entry.id for entry in changes.entries if entry.is_leaving]
@@ -244,18 +248,18 @@
                 leaving=",".join(leaving),
                 gone=",".join(changes.gone),
             )
-        self._listener.take_targets(*changes)
+        self._listener.apply_targets(*changes)
 
-    def _drop_held(self, now):
+    def _drop_expired_held(self, now):
         """Drop the entries that were held and have not come back, for all daemons."""
-        due = tuple(target for target, at in self._held.items() if now >= at)
+        due = tuple(target for target, at in self._held_until.items() if now >= at)
         if not due:
             return
-        self._held = {t: at for t, at in self._held.items() if t not in due}
+        self._held_until = {t: at for t, at in self._held_until.items() if t not in due}
         version = self.targets_version
         message = TargetChanges(version, version, {}, due)
         self._apply(message)
-        self._listener.push(message)
+        self._listener.push_changes(message)
 
     async def _settle(self):
         """Read all targets again once what lapsed in an outage had time to return."""
@@ -263,29 +267,32 @@
         settled_at = 0.0
         while True:
             await self._unsettled.wait()
-            while self._held or self._settled_at > settled_at:
+            while self._held_until or self._recovered_at > settled_at:
                 await asyncio.sleep(LOOK_S)
-                self._drop_held(loop.time())
-                if self._settled_at > settled_at and loop.time() >= self._settled_at:
-                    settled_at = self._settled_at
-                    self._targets.read_again()
+                self._drop_expired_held(loop.time())
+                if (
+                    self._recovered_at > settled_at
+                    and loop.time() >= self._recovered_at
+                ):
+                    settled_at = self._recovered_at
+                    self._targets.request_full_read()
             self._unsettled.clear()
 
     # From peers.
 
-    def take_push(self, message):
+    def apply_push(self, message):
         """Take in a reporter's :class:`~cowslipcourse.peers.TargetChanges`.
 
         One that leads to no newer version may tell of entries that another reporter
         holds back, or has held back until now.
         """
-        if self._follows:
+        if self._follows_store:
             return
         if message.version <= self.targets_version:
             self._drop_late(message)
         elif message.after <= self.targets_version:
             self._apply(message)
-            self._targets.note_fed()
+            self._targets.note_peer_update()
 
     def _drop_late(self, message):
         """Drop what a push of a version that is known here says has gone."""
@@ -301,39 +308,39 @@
         loop = asyncio.get_running_loop()
         while True:
             await asyncio.sleep(LOOK_S)
-            sources = self._reading.sources(self, loop.time())
+            sources = self._read_policy.sources(self, loop.time())
             if sources:
                 succeeded = await self._read_one_of(sources)
-                self._reading.note(succeeded, loop.time())
+                self._read_policy.note(succeeded, loop.time())
 
     async def _read_one_of(self, members):
         """Read the first peer that answers; return whether one did."""
         if self._session is None:
             self._session = aiohttp.ClientSession()
         for member in members[:MOST_SOURCES]:
-            known = self.configuration, self._wanted_after()
+            known = self.configuration_version, self._wanted_after()
             try:
                 state = await read_state(self._session, member.peer_address, *known)
-                self._take_state(state)
+                self._apply_peer_state(state)
             except (PeerUnreachable, MalformedAnswer) as error:
                 log.info("peer-not-read", peer=member.name, why=error)
                 continue
             return True
         return False
 
-    def _take_state(self, state):
+    def _apply_peer_state(self, state):
         if state.configuration is not None:
-            self._take_configuration(state.configuration)
+            self._apply_configuration(state.configuration)
         version = state.targets_version
         if version <= self._wanted_after():
             return
         if state.after is not None and state.after <= self.targets_version:
             self._apply(TargetChanges(state.after, version, state.targets, state.gone))
         elif state.after is None and state.targets:
-            self._take_all_targets(dict(state.targets), version)
+            self._replace_targets(dict(state.targets), version)
 
     def _wanted_after(self):
         """Return the store version after which a peer's targets are of use."""
-        if self._follows and self.is_current:
+        if self._follows_store and self.is_current:
             return EVERY_VERSION
         return self.targets_version
--- a/cowslipcourse/entry/metrics.py
+++ b/cowslipcourse/entry/metrics.py
@@ -68,12 +68,12 @@
             registry=self._registry,
         )
 
-    def request(self, outcome, seconds):
+    def observe_request(self, outcome, seconds):
         """Count a request that is over."""
         self._requests.labels(outcome).inc()
         self._seconds.observe(seconds)
 
-    def account(self, route, model, cause):
+    def count_cause(self, route, model, cause):
         """Count a request that is over under the one cause of its end.
 
         :param route: name of the route; empty if it was not found.
@@ -86,10 +86,10 @@
             self._routes.add(route)
         self._account.labels(route, model, cause).inc()
 
-    def fleet(self, census):
+    def set_group_counts(self, census):
         """Set the numbers of groups and engines.
 
-        :param census: :class:`~cowslipcourse.entry.census.Census`
+        :param census: :class:`~cowslipcourse.entry.census.GroupCounts`
         """
         self._groups.clear()
         for model, number in census.groups.items():
@@ -102,10 +102,10 @@
         """Return a log handler that counts what is logged, by event and level."""
         return _EventCounter(self._events)
 
-    def state(self, name, value):
+    def set_state(self, name, value):
         """Set a value of the daemon's state."""
         self._state.labels(name).set(value)
 
-    def text(self):
+    def render(self):
         """Return all metrics as text."""
         return generate_latest(self._registry)
--- a/cowslipcourse/entry/own_links.py
+++ b/cowslipcourse/entry/own_links.py
@@ -2,7 +2,7 @@
 
 from cowslipcourse.adapters.log import get_logger
 
-__all__ = ["OwnLinks"]
+__all__ = ["IsolationDetector"]
 
 MOST_SILENT = 0.4
 """Share of a coordinator's engines that may seem lost before it doubts itself: two of
@@ -20,10 +20,10 @@
 log = get_logger(__name__)
 
 
-class OwnLinks:
+class IsolationDetector:
     """Doubts this daemon's own links if too many engines seem silent at once.
 
-    :param domains: :class:`~cowslipcourse.entry.domains.Domains`
+    :param domains: :class:`~cowslipcourse.entry.domains.DomainTracker`
     :param calls: :class:`~cowslipcourse.entry.engine_calls.EngineCalls`
     """
 
@@ -34,11 +34,11 @@
         self._unfit_until = 0.0
 
     @property
-    def unfit_until(self):
+    def isolated_until(self):
         """Loop time until which this daemon must not coordinate."""
         return self._unfit_until
 
-    def look(self, tended, now):
+    def check(self, tended, now):
         """Look again after an engine was found silent.
 
         :param tended: names of the domains that this daemon keeps.
--- a/cowslipcourse/entry/peer_link.py
+++ b/cowslipcourse/entry/peer_link.py
@@ -40,8 +40,9 @@
 
     :param settings: :class:`~cowslipcourse.entry.settings.EntrySettings`
     :param registry: :class:`~cowslipcourse.peers.PeerRegistry`
-    :param daemon: has ``heartbeat()``, ``heartbeat_interval_s()``, ``heard(message)``,
-        ``take_news(news)``, ``knowledge`` and ``quarantine``.
+    :param daemon: has ``heartbeat()``, ``heartbeat_interval_s()``,
+        ``investigate_suspects(message)``, ``take_news(news)``, ``replica`` and
+        ``quarantine``.
     """
 
     def __init__(self, settings, registry, daemon):
@@ -76,7 +77,7 @@
             self._beat()
             await asyncio.sleep(self._settings.peers.interval_s)
 
-    def tell(self):
+    def heartbeat_now(self):
         """Send a heartbeat to the whole data centre at once."""
         self._told_all_at = None
         self._beat()
@@ -110,7 +111,7 @@
         if near is not None:
             self._send(encode(near), self._registry.near_addresses(now))
 
-    def tell_news(self, news):
+    def broadcast_group_news(self, news):
         """Send a :class:`~cowslipcourse.peers.GroupNews` to all daemons, once.
 
         One that is lost costs what there is without news: the list tells it later.
@@ -146,7 +147,7 @@
         """Send a message to some daemons, once; a datagram may be lost."""
         self._send(encode(message), addresses)
 
-    def push(self, changes):
+    def push_changes(self, changes):
         """Send changes of targets to the own data centre."""
         content = encode(changes)
         if len(content) > MOST_BYTES:
@@ -172,7 +173,7 @@
             return
         now = asyncio.get_running_loop().time()
         if isinstance(message, TargetChanges):
-            self._daemon.knowledge.take_push(message)
+            self._daemon.replica.apply_push(message)
         elif isinstance(message, GroupNews):
             self._daemon.take_news(message)
         elif isinstance(message, CrashReports | QuarantineNews | RequestCleared):
@@ -182,7 +183,7 @@
                 self._take_heartbeat(message, now)
         elif self._registry.note_digest(message, now):
             self._hand_on(content, message, now)
-            self._daemon.heard(message)
+            self._daemon.investigate_suspects(message)
 
     def _take_heartbeat(self, heartbeat, now):
         """Take in a heartbeat, and answer the first one of a run with an own one.
@@ -196,7 +197,7 @@
         if is_first:
             own = self._daemon.heartbeat()
             self._send(encode(own), [heartbeat.member.peer_address])
-        self._daemon.heard(heartbeat)
+        self._daemon.investigate_suspects(heartbeat)
 
     def _hand_on(self, content, digest, now):
         """Bring another data centre's digest to the own one, once."""
--- a/cowslipcourse/entry/peer_reading.py
+++ b/cowslipcourse/entry/peer_reading.py
@@ -5,19 +5,19 @@
 from cowslipcourse.exceptions import PeerUnreachable
 from cowslipcourse.peers import decode_state
 
-__all__ = ["PeerReading", "read_state"]
+__all__ = ["PeerReadPolicy", "read_state"]
 
 BEHIND_S = 0.3
 """Time for a push to arrive before the state is read instead."""
 PEER_TIMEOUT_S = 1.0
 """Longest read of a peer's state: 20 KB over a link of 20 Mbit/s that others use."""
 FIRST_PAUSE_S = 0.1
-LONGEST_PAUSE_S = 0.8
+MAX_BACKOFF_S = 0.8
 """Pauses after reads of which none succeeded: whoever reads again at once keeps the
 links full that made the first reads late."""
 
 
-class PeerReading:
+class PeerReadPolicy:
     """Decides whether peers must be read, and which.
 
     :param registry: :class:`~cowslipcourse.peers.PeerRegistry`
@@ -34,13 +34,15 @@
     def sources(self, knowledge, now):
         """Return the members to read from, in order, if something is missing.
 
-        :param knowledge: has ``configuration``, ``targets_version``, ``is_current``
-            and ``follows``.
+        :param knowledge: has ``configuration_version``, ``targets_version``,
+            ``is_current`` and ``follows_store``.
         :param now: loop time.
         """
         if now < self._paused_until:
             return []
-        newer = self._registry.with_newer_configuration(knowledge.configuration, now)
+        newer = self._registry.with_newer_configuration(
+            knowledge.configuration_version, now
+        )
         if newer:
             return self._shuffled(newer)
         near = [heartbeat for heartbeat in self._registry.near(now) if heartbeat.is_fit]
@@ -60,7 +62,7 @@
             self._pause_s = FIRST_PAUSE_S
             return
         self._paused_until = now + self._pause_s * self._rng.uniform(0.5, 1.5)
-        self._pause_s = min(LONGEST_PAUSE_S, 2 * self._pause_s)
+        self._pause_s = min(MAX_BACKOFF_S, 2 * self._pause_s)
 
     def _shuffled(self, members):
         """Any of them: the link of one could not serve its whole data centre."""
@@ -70,7 +72,7 @@
     def _missed_version(self, knowledge, near, now):
         """Return the version that a lost push must have brought, or ``None``."""
         newest = max((h.targets_version for h in near), default=0)
-        if knowledge.follows or newest <= knowledge.targets_version:
+        if knowledge.follows_store or newest <= knowledge.targets_version:
             self._missed = None
             return None
         if self._missed is None or self._missed[0] <= knowledge.targets_version:
--- a/cowslipcourse/entry/plan_table.py
+++ b/cowslipcourse/entry/plan_table.py
@@ -35,16 +35,16 @@
         self.plans = {}
 
     @property
-    def is_known(self):
+    def is_valid(self):
         """Whether the rows were read and nothing has cast doubt on them since."""
         return self._confirmed_at is not None
 
-    def see_era(self):
+    def check_era(self):
         """Read the rows again if the store has come back older since."""
         if self._store.era != era_of(self._known_to):
             self._confirmed_at = None
 
-    def doubt(self):
+    def invalidate(self):
         """Read the rows again before anything is done."""
         self._confirmed_at = None
 
@@ -92,11 +92,11 @@
             self._take(plan, is_own=False)
         self._unreadable = frozenset(unreadable)
         self._known_to = found.version
-        self._lost = self._keep_lost(known) if may_be_lost else set()
+        self._lost = self._restore_lost(known) if may_be_lost else set()
         self._confirmed_at = self._read_at = asked_at
         log.info("plans-read", domains=len(self.plans), version=found.version)
 
-    def _keep_lost(self, known):
+    def _restore_lost(self, known):
         """Keep the plans that are newer than what the store has come back with.
 
         :param known: :class:`~cowslipcourse.groups.DomainPlan` by domain, as known
@@ -132,7 +132,7 @@
         """
         return await self._write(plan, groups, plan.next_epoch)
 
-    async def write_again(self, domain):
+    async def rewrite(self, domain):
         """Write the plan of a domain again that the store has lost.
 
         :returns: the new plan; ``None`` if the row had changed and all were read again.
--- a/cowslipcourse/entry/registering.py
+++ b/cowslipcourse/entry/registering.py
@@ -7,7 +7,7 @@
 from cowslipcourse.peers import Registration, decode_registration, encode_registration
 from cowslipcourse.ports import RowWrite
 
-__all__ = ["Registering"]
+__all__ = ["DaemonRegistrar"]
 
 DAEMONS_TABLE = "daemons"
 REGISTER_AGAIN_S = 0.5
@@ -17,7 +17,7 @@
 log = get_logger(__name__)
 
 
-class Registering:
+class DaemonRegistrar:
     """This daemon's row, and the rows of the others.
 
     :param settings: :class:`~cowslipcourse.entry.settings.EntrySettings`
@@ -44,14 +44,14 @@
         return self._version
 
     @property
-    def finished_at(self):
+    def completed_at(self):
         """Loop time since when the others have been known, or ``None``."""
         return self._finished_at
 
     async def run(self):
         """Write this daemon's row, read the others', and write again what is lost."""
         self._version = await self._register()
-        while not await self.read_others():
+        while not await self.read_registrations():
             await asyncio.sleep(REGISTER_AGAIN_S)
         self._finished_at = asyncio.get_running_loop().time()
         while True:
@@ -76,11 +76,11 @@
             log.info("registered", version=version)
             return version
 
-    def note_lost(self):
+    def rewrite_later(self):
         """Write the row again in a while: the store may have lost it."""
         self._may_be_lost.set()
 
-    async def read_others(self):
+    async def read_registrations(self):
         """Learn the other daemons' addresses; return whether that was possible."""
         try:
             found = await self._store.read_table(DAEMONS_TABLE)
--- a/cowslipcourse/entry/reloading.py
+++ b/cowslipcourse/entry/reloading.py
@@ -9,7 +9,7 @@
 from cowslipcourse.exceptions import SettingsError
 from cowslipcourse.settings_file import load_settings
 
-__all__ = ["SettingsWatch", "changed_keys"]
+__all__ = ["SettingsWatcher", "changed_sections"]
 
 LOOK_S = 1.0
 """Interval at which the file is looked at; it may change without a signal."""
@@ -19,13 +19,13 @@
 log = get_logger(__name__)
 
 
-def changed_keys(old, new):
+def changed_sections(old, new):
     """Return the names of the sections in which two settings differ."""
     names = type(old).model_fields
     return [name for name in names if getattr(old, name) != getattr(new, name)]
 
 
-class SettingsWatch:
+class SettingsWatcher:
     """Reads the settings file again when it changes or when told to.
 
     :param path: settings file.
@@ -57,7 +57,7 @@
         except SettingsError as error:
             log.warning("settings-refused", why=why, problems=error)
             return
-        changed = changed_keys(self._settings, settings)
+        changed = changed_sections(self._settings, settings)
         needs_start = [name for name in changed if name in AT_START_ONLY]
         log.info(
             "settings-read",
--- a/cowslipcourse/entry/roles.py
+++ b/cowslipcourse/entry/roles.py
@@ -5,7 +5,7 @@
 from cowslipcourse.adapters.log import get_logger
 from cowslipcourse.peers import order_of_registration
 
-__all__ = ["Roles", "is_settled"]
+__all__ = ["RoleAssignment", "is_settled"]
 
 ROLE_LOOK_S = 0.1
 """Interval at which a daemon looks whether it is a reporter."""
@@ -18,33 +18,33 @@
 log = get_logger(__name__)
 
 
-def is_settled(finished_at, now):
+def is_settled(completed_at, now):
     """Whether a daemon may have heard all who registered before it.
 
     :param finished_at: loop time at which it had registered and knew the others'
         addresses, or ``None``.
     :param now: loop time.
     """
-    return finished_at is not None and now - finished_at >= SETTLE_S
+    return completed_at is not None and now - completed_at >= SETTLE_S
 
 
-class Roles:
+class RoleAssignment:
     """Decides again and again which roles are this daemon's.
 
-    It meets :class:`~cowslipcourse.entry.scope.Scope`.
+    It meets :class:`~cowslipcourse.entry.scope.CoordinationScope`.
 
     :param settings: :class:`~cowslipcourse.entry.settings.EntrySettings`
     :param registry: :class:`~cowslipcourse.peers.PeerRegistry`
-    :param registering: :class:`~cowslipcourse.entry.registering.Registering`
-    :param knowledge: has ``follow(active)``.
+    :param registering: :class:`~cowslipcourse.entry.registering.DaemonRegistrar`
+    :param knowledge: has ``set_following(active)``.
     :param daemon: has ``heartbeat()`` and ``is_draining``.
     """
 
-    def __init__(self, settings, registry, registering, knowledge, daemon):
+    def __init__(self, settings, registry, registering, replica, daemon):
         self._settings = settings
         self._registry = registry
         self._registering = registering
-        self._knowledge = knowledge
+        self._replica = replica
         self._daemon = daemon
         self._is_reporter = False
         self._firsts = {}
@@ -59,7 +59,7 @@
         """Number of daemons that keep groups; 1 if none is known."""
         return max(1, len(self._firsts))
 
-    def tends(self, data_centre):
+    def coordinates(self, data_centre):
         """Whether this daemon keeps the groups of a data centre's domains.
 
         :param data_centre: name of the data centre, or ``None`` if it is not known.
@@ -78,7 +78,7 @@
         while True:
             await asyncio.sleep(ROLE_LOOK_S)
             now = loop.time()
-            if not is_settled(self._registering.finished_at, now):
+            if not is_settled(self._registering.completed_at, now):
                 continue
             own = self._daemon.heartbeat()
             reporters = self._registry.reporters(own, now)
@@ -86,11 +86,13 @@
             self._firsts = self._registry.first_reporters(own, now)
             # Without any reporter everybody reads. The second one reads once the first
             # is late: two at once were half of a large site's calls to the store.
-            self._knowledge.follow(not reporters or self._registry.speaks(own, now))
+            self._replica.set_following(
+                not reporters or self._registry.speaks(own, now)
+            )
             if self._daemon.is_draining:
                 continue
             if is_reporter and not was_reporter:
                 log.info("reporting", data_centre=self._settings.data_centre)
                 # Daemons elsewhere may have registered after this one had read.
-                is_reporter = await self._registering.read_others()
+                is_reporter = await self._registering.read_registrations()
             was_reporter = is_reporter
--- a/cowslipcourse/entry/scope.py
+++ b/cowslipcourse/entry/scope.py
@@ -2,15 +2,15 @@
 
 from typing import Protocol
 
-__all__ = ["Scope"]
+__all__ = ["CoordinationScope"]
 
 
-class Scope(Protocol):
+class CoordinationScope(Protocol):
     """What a coordinator asks about its part of the site."""
 
     @property
     def coordinators(self) -> int:
         """Number of daemons that keep groups, this one included; 1 if none is known."""
 
-    def tends(self, data_centre: str | None) -> bool:
+    def coordinates(self, data_centre: str | None) -> bool:
         """Whether this daemon keeps the groups of a data centre's domains."""
--- a/cowslipcourse/entry/side_apps.py
+++ b/cowslipcourse/entry/side_apps.py
@@ -13,7 +13,7 @@
     :param metrics: :class:`~cowslipcourse.entry.metrics.EntryMetrics`
     """
     return one_path_app(
-        "/metrics", lambda query: Answer(metrics.text(), media_type="text/plain")
+        "/metrics", lambda query: Answer(metrics.render(), media_type="text/plain")
     )
 
 
--- a/cowslipcourse/entry/stopping.py
+++ b/cowslipcourse/entry/stopping.py
@@ -7,7 +7,7 @@
 
 from collections import deque
 
-__all__ = ["RequestDurations", "can_end"]
+__all__ = ["RequestDurations", "can_finish"]
 
 REMEMBERED = 100
 """Answers of a route by which a daemon knows how long they take; 10 s of a busy one."""
@@ -38,7 +38,7 @@
         return max(known) if known else UNKNOWN_SHARE * route.timeout_s
 
 
-def can_end(left_s, longest_s):
+def can_finish(left_s, longest_s):
     """Whether a request that comes now is likely to end before the daemon does.
 
     :param left_s: seconds until the daemon closes its last connections.
--- a/features/steps/accounting_steps.py
+++ b/features/steps/accounting_steps.py
@@ -9,7 +9,7 @@
 
 from cowslipcourse.emulator.clock import run_paused
 from cowslipcourse.entry.accounting import StreamTimes, late_cause, shortage
-from cowslipcourse.entry.census import CensusWatch
+from cowslipcourse.entry.census import GroupCountMonitor
 from cowslipcourse.entry.fleet import FleetView, Place
 from cowslipcourse.entry.metrics import EntryMetrics
 from cowslipcourse.ports import GroupState, Membership, TargetEntry
@@ -141,14 +141,14 @@
             context.said.append((record.getMessage(), record.fields))
 
     async def look():
-        watch = CensusWatch()
-        watch.look(context.routes, context.fleet)
+        watch = GroupCountMonitor()
+        watch.count(context.routes, context.fleet)
         broken = [_entry(target, GroupState.BROKEN) for target in ("a", "b")]
         context.fleet.apply(broken, ())
-        watch.look(context.routes, context.fleet)
+        watch.count(context.routes, context.fleet)
         await asyncio.sleep(seconds)
         context.fleet.apply([_entry("a")], ())
-        context.census = watch.look(context.routes, context.fleet)
+        context.census = watch.count(context.routes, context.fleet)
 
     handler = Keep()
     logger = logging.getLogger("cowslipcourse.entry.census")
@@ -172,9 +172,9 @@
 @then("the numbers of groups and engines are on the metrics address")
 def step_metrics(context):
     metrics = EntryMetrics()
-    metrics.fleet(context.census)
-    metrics.account("r", "small", "no-group")
-    text = metrics.text().decode()
+    metrics.set_group_counts(context.census)
+    metrics.count_cause("r", "small", "no-group")
+    text = metrics.render().decode()
     assert 'cowslip_groups{model="small"} 1.0' in text
     assert 'cowslip_engines{model="small",state="broken"} 1.0' in text
     counted = 'cowslip_account_total{cause="no-group",model="small",route="r"} 1.0'
--- a/features/steps/balance_steps.py
+++ b/features/steps/balance_steps.py
@@ -6,8 +6,8 @@
 from behave import given, then, when
 
 from cowslipcourse.emulator import run_paused
-from cowslipcourse.entry.balancing import Balancing
-from cowslipcourse.entry.domains import Domains
+from cowslipcourse.entry.balancing import GroupBalancer
+from cowslipcourse.entry.domains import DomainTracker
 from cowslipcourse.entry.fleet import FleetView
 from cowslipcourse.groups import (
     DomainPlan,
@@ -201,7 +201,7 @@
 
 
 class _Table:
-    """Meets what :class:`Balancing` uses of the plan table; always just read."""
+    """Meets what :class:`GroupBalancer` uses of the plan table; always just read."""
 
     def __init__(self, plans):
         self.plans = plans
@@ -245,16 +245,18 @@
 
 
 async def _chosen_after(context, seconds):
-    domains = Domains(context.tools)
+    domains = DomainTracker(context.tools)
     for plan in context.plans.values():
-        domains.see_entries(_members(plan))
+        domains.update_entries(_members(plan))
     await asyncio.sleep(10.0)
-    domains.see_entries(context.newcomers)
+    domains.update_entries(context.newcomers)
     await asyncio.sleep(seconds)
     now = asyncio.get_running_loop().time()
-    balancing = Balancing(context.tools, domains, _Table(context.plans))
-    await balancing.look(context.spec, set(context.plans), now)
-    return [c for domain in context.plans for c in balancing.changes(domain, now)]
+    balancing = GroupBalancer(context.tools, domains, _Table(context.plans))
+    await balancing.rebalance(context.spec, set(context.plans), now)
+    return [
+        c for domain in context.plans for c in balancing.changes_to_begin(domain, now)
+    ]
 
 
 @then("after {seconds:d} s it has chosen nothing")
--- a/features/steps/knowledge_steps.py
+++ b/features/steps/knowledge_steps.py
@@ -82,11 +82,11 @@
 @then("a resting daemon that took all its pushes knows {targets}")
 def step_pushed(context, targets):
     rests, _, listener = make_knowledge(FlakyStore())
-    rests.configuration, rests.targets_version = 7, 1
+    rests.configuration_version, rests.targets_version = 7, 1
     listener.targets = {"t1", "t2"}
-    rests.follow(False)
+    rests.set_following(False)
     for push in context.pushes:
-        rests.take_push(push)
+        rests.apply_push(push)
     assert listener.targets == set(targets.split()), context.pushes
 
 
@@ -110,17 +110,17 @@
         knowledge = context.knowledge
         store.is_away = True
         await asyncio.sleep(0.4)
-        knowledge.follow(False)
+        knowledge.set_following(False)
         store.is_away = False
         for version in range(2, 10):
             if told:
                 changed = {"t1": entry_content(sequence=version)}
                 push = TargetChanges(version - 1, version, changed, ())
-                knowledge.take_push(push)
+                knowledge.apply_push(push)
             await asyncio.sleep(0.5)
         store.targets = {"t1"}
         store.version = 10
-        knowledge.follow(True)
+        knowledge.set_following(True)
 
     _play(context, change, (1,))
 
@@ -148,7 +148,7 @@
         await asyncio.sleep(4.0)
         context.store.is_away = True
         await asyncio.sleep(0.4)
-        knowledge.follow(False)
+        knowledge.set_following(False)
         for second in range(1, 7):
             await asyncio.sleep(1.0)
             context.fit[second] = knowledge.is_current
@@ -187,9 +187,9 @@
 @given("a daemon that rests with targets version 5")
 def step_rests(context):
     context.knowledge, context.registry, context.listener = make_knowledge(FlakyStore())
-    context.knowledge.configuration = 7
+    context.knowledge.configuration_version = 7
     context.knowledge.targets_version = 5
-    context.knowledge.follow(False)
+    context.knowledge.set_following(False)
 
 
 @given("a daemon that rests and knows t1 and t2 at version 5")
@@ -197,12 +197,12 @@
     step_rests(context)
     content = entry_content()
     listed = dict.fromkeys(("t1", "t2"), content)
-    context.knowledge._take_all_targets(listed, 5)
+    context.knowledge._replace_targets(listed, 5)
 
 
 def _push(context, after, version, changed, gone):
     fields = {target: entry_content(sequence=version) for target in changed}
-    context.knowledge.take_push(TargetChanges(after, version, fields, gone))
+    context.knowledge.apply_push(TargetChanges(after, version, fields, gone))
 
 
 @when("a push from version {after:d} to {version:d} arrives that changes {changed:w}")
@@ -228,7 +228,7 @@
 
 @when("a push from version 7 to 8 arrives")
 def step_push(context):
-    context.knowledge.take_push(TargetChanges(7, 8, {}, ("t1",)))
+    context.knowledge.apply_push(TargetChanges(7, 8, {}, ("t1",)))
 
 
 @then("the push is not applied")
@@ -237,7 +237,7 @@
 
 
 def _sources(context, now):
-    return context.knowledge._reading.sources(context.knowledge, now)
+    return context.knowledge._read_policy.sources(context.knowledge, now)
 
 
 @then("the daemon reads a peer that is ahead")
@@ -253,7 +253,7 @@
 def step_knows_seven(context):
     context.knowledge, _, context.listener = make_knowledge(FlakyStore())
     content = FlakyStore().rows(CONFIGURATION_TABLE)
-    context.knowledge._see_configuration(RowChanges(content, 1))
+    context.knowledge._on_configuration_rows(RowChanges(content, 1))
 
 
 @when("a peer gives it configuration 6")
@@ -262,7 +262,7 @@
     store.configuration = 6
     content = store.rows(CONFIGURATION_TABLE)[0].value
     assert encode_state(PeerState(content, 1, {}))
-    context.knowledge._take_configuration(content)
+    context.knowledge._apply_configuration(content)
 
 
 @then("configuration 7 is in force")
--- a/features/steps/life_steps.py
+++ b/features/steps/life_steps.py
@@ -221,7 +221,7 @@
 @when("entries of llm, desk and nobody come, all with the domain d1")
 def step_entries(context):
     async def run():
-        context.coordinator.domains.see_entries(
+        context.coordinator.domains.update_entries(
             [_entry(name, service=name) for name in ("llm", "desk", "nobody")]
         )
 
@@ -258,7 +258,7 @@
             WholeSite(lambda: True),
             lambda news: None,
         )
-        coordinator.domains.see_entries(world.entries())
+        coordinator.domains.update_entries(world.entries())
         tasks = [asyncio.create_task(c) for c in (coordinator.run(), world.run())]
         await asyncio.sleep(3.0)
         for task in tasks:
--- a/features/steps/older_store_steps.py
+++ b/features/steps/older_store_steps.py
@@ -72,7 +72,7 @@
     "and nothing is written again"
 )
 def step_comes_back_for_good(context):
-    with mock.patch.object(PlanTable, "_keep_lost", lambda self, known: set()):
+    with mock.patch.object(PlanTable, "_restore_lost", lambda self, known: set()):
         run_paused(_run(context))
 
 
--- a/features/steps/outside_steps.py
+++ b/features/steps/outside_steps.py
@@ -206,9 +206,9 @@
         await asyncio.sleep(3.0)
         context.before = listener.table
         context.store.configuration_content = b"[]"
-        knowledge.follow(False)
+        knowledge.set_following(False)
         await asyncio.sleep(0.5)
-        knowledge.follow(True)
+        knowledge.set_following(True)
         await asyncio.sleep(3.0)
         context.after, context.is_current = listener.table, knowledge.is_current
         for task in tasks:
--- a/features/steps/practice_steps.py
+++ b/features/steps/practice_steps.py
@@ -136,8 +136,8 @@
     while True:
         entries = world.entries()
         present = {entry.id for entry in entries}
-        coordinator.domains.see_gone(listed - present)
-        coordinator.domains.see_entries(entries)
+        coordinator.domains.mark_unlisted(listed - present)
+        coordinator.domains.update_entries(entries)
         listed = present
         await asyncio.sleep(LIST_S)
 
--- a/features/steps/question_steps.py
+++ b/features/steps/question_steps.py
@@ -8,7 +8,7 @@
 from cowslipcourse.emulator.clock import run_paused
 from cowslipcourse.entry import engine_calls
 from cowslipcourse.entry.engine_calls import EngineCalls
-from cowslipcourse.entry.own_links import OwnLinks
+from cowslipcourse.entry.own_links import IsolationDetector
 from cowslipcourse.entry.settings import ControlSettings
 from cowslipcourse.exceptions import TargetUnreachable
 from cowslipcourse.groups import EngineKnowledge
@@ -153,15 +153,15 @@
         begun = loop.time()
 
         def look():
-            links.look(context.tended, loop.time())
-            if links.unfit_until and context.doubted_at is None:
+            links.check(context.tended, loop.time())
+            if links.isolated_until and context.doubted_at is None:
                 context.doubted_at = loop.time() - begun
 
         def heard(engine, report, asked_at):
             engine.silent_since = None
 
         calls = EngineCalls(_Reach(unreached), SETTINGS, heard, look, None)
-        links = OwnLinks(context.domains, calls)
+        links = IsolationDetector(context.domains, calls)
         for _ in range(4):
             for engine in asked:
                 calls.ask(engine)
--- a/features/steps/size_steps.py
+++ b/features/steps/size_steps.py
@@ -8,7 +8,7 @@
 
 from cowslipcourse.emulator.clock import run_paused
 from cowslipcourse.entry import roles
-from cowslipcourse.entry.peer_reading import LONGEST_PAUSE_S, PeerReading
+from cowslipcourse.entry.peer_reading import MAX_BACKOFF_S, PeerReadPolicy
 from cowslipcourse.entry.settings import PeerSettings
 from cowslipcourse.exceptions import MalformedAnswer
 from cowslipcourse.peers import (
@@ -333,7 +333,7 @@
 
 
 async def _read_all(knowledge, changes):
-    knowledge._see_all_targets(changes)
+    knowledge._on_target_snapshot(changes)
 
 
 @given("the list of a site of {number:d} targets")
@@ -366,15 +366,15 @@
     rng = random.Random(seed)
     source, _, source_listener = make_knowledge(FlakyStore())
     reader, _, _ = make_knowledge(FlakyStore())
-    reader.configuration, reader._follows = 7, False
-    source_listener.push = reader.take_push
+    reader.configuration_version, reader._follows_store = 7, False
+    source_listener.push = reader.apply_push
     context.differ, context.whole = [], 0
 
     async def run():
         rows = tuple(StoredRow(_id(n), _entry(n), 1) for n in range(40))
-        source._see_all_targets(RowChanges(rows, 1))
+        source._on_target_snapshot(RowChanges(rows, 1))
         # Entries that go are not held back.
-        source._settled_at = 0.0
+        source._recovered_at = 0.0
         for version in range(2, STEPS):
             _change(rng, source, version)
             if rng.random() < 0.2:
@@ -397,25 +397,27 @@
     push = source._listener.push
     if rng.random() < 0.1:
         # Entries that were held back go without a newer version.
-        source._held = {_id(rng.randrange(60)): 0.0}
-        source._drop_held(1.0)
+        source._held_until = {_id(rng.randrange(60)): 0.0}
+        source._drop_expired_held(1.0)
         return
     if rng.random() < 0.4:
         source._listener.push = lambda message: None
-    source._see_targets(source.targets_version, changes)
+    source._on_target_changes(source.targets_version, changes)
     source._listener.push = push
 
 
 def _read(context, source, reader):
-    state = decode_state(source.state(reader.configuration, reader.targets_version))
+    state = decode_state(
+        source.state(reader.configuration_version, reader.targets_version)
+    )
     context.whole += state.after is None
-    reader._take_state(state)
+    reader._apply_peer_state(state)
 
 
 def _differences(source, reader):
     if reader.targets_version != source.targets_version:
         return []
-    theirs, ours = source._list.contents, reader._list.contents
+    theirs, ours = source._target_list.contents, reader._target_list.contents
     return [key for key in theirs | ours if theirs.get(key) != ours.get(key)]
 
 
@@ -446,21 +448,21 @@
 @then("a reader that misses the third part stands at the version of the second")
 def step_missed(context):
     reader, _, _ = make_knowledge(FlakyStore())
-    reader.configuration, reader.targets_version = 7, 100
-    reader.follow(False)
+    reader.configuration_version, reader.targets_version = 7, 100
+    reader.set_following(False)
     for number, part in enumerate(context.parts):
         if number != 2:
-            reader.take_push(part)
+            reader.apply_push(part)
     assert reader.targets_version == context.parts[1].version
 
 
 class _Behind:
     """A daemon that rests and has missed a push."""
 
-    configuration = 7
+    configuration_version = 7
     targets_version = 5
     is_current = True
-    follows = False
+    follows_store = False
 
 
 @given("{behind:d} daemons that all missed the same push, and {rest:d} that did not")
@@ -473,7 +475,7 @@
         )
     context.first = {}
     for number in range(behind):
-        reading = PeerReading(registry, random.Random(number))
+        reading = PeerReadPolicy(registry, random.Random(number))
         assert reading.sources(_Behind, 10.0) == []
         first = reading.sources(_Behind, 10.4)[0].name
         context.first[first] = context.first.get(first, 0) + 1
@@ -488,7 +490,7 @@
 def step_failing(context):
     registry = PeerRegistry(PeerSettings(alive_s=100.0), "north")
     registry.note_heartbeat(heartbeat("b", 3, targets_version=8), 0.0)
-    context.reading = PeerReading(registry, random.Random(3))
+    context.reading = PeerReadPolicy(registry, random.Random(3))
 
 
 @then("it pauses longer and longer, up to 0.8 s, and goes on at once after a success")
@@ -500,7 +502,7 @@
         assert context.reading.sources(_Behind, now)
         context.reading.note(False, now)
         pauses.append(_pause_s(context.reading, now))
-    assert pauses[0] < 0.2 < pauses[-1] <= 1.5 * LONGEST_PAUSE_S, pauses
+    assert pauses[0] < 0.2 < pauses[-1] <= 1.5 * MAX_BACKOFF_S, pauses
     now += 1.3
     context.reading.note(True, now)
     assert context.reading.sources(_Behind, now)
--- a/features/steps/variant_steps.py
+++ b/features/steps/variant_steps.py
@@ -64,7 +64,7 @@
         store = FlakyStore()
         store.configuration = version
         row = store.rows(knowledge_module.CONFIGURATION_TABLE)[0]
-        knowledge._take_configuration(row.value)
+        knowledge._apply_configuration(row.value)
     assert listener.table.version == 7, listener.table.version
 
 
@@ -76,9 +76,11 @@
 
 
 def _without_versions():
-    knowledge_type = knowledge_module.Knowledge
+    knowledge_type = knowledge_module.StateReplica
     plain = property(lambda self: _NoVersion(0), lambda self, value: None)
-    return mock.patch.object(knowledge_type, "configuration", plain, create=True)
+    return mock.patch.object(
+        knowledge_type, "configuration_version", plain, create=True
+    )
 
 
 def _lost_is_end():
--- a/features/support/coordinator_runs.py
+++ b/features/support/coordinator_runs.py
@@ -171,7 +171,7 @@
     """Bring the list to a coordinator as it is."""
     while True:
         await asyncio.sleep(LIST_S)
-        coordinator.domains.see_entries(world.entries())
+        coordinator.domains.update_entries(world.entries())
         tools.fleet.apply(world.entries(), ())
 
 
@@ -185,12 +185,12 @@
         if site.overloads and rng.random() < OLD_LIST_SHARE:
             await asyncio.sleep(rng.uniform(1.0, OLDEST_LIST_S))
         present = {entry.id for entry in entries}
-        coordinator.domains.see_gone(listed - present)
-        coordinator.domains.see_entries(entries)
+        coordinator.domains.mark_unlisted(listed - present)
+        coordinator.domains.update_entries(entries)
         fleet.apply(entries, listed - present)
         listed = present
         if site.restarts and world.past_entries and rng.random() < OLD_ENTRY_SHARE:
-            coordinator.domains.see_entries([rng.choice(world.past_entries[-5:])])
+            coordinator.domains.update_entries([rng.choice(world.past_entries[-5:])])
 
 
 def _restart(world, engine, rng, site):
--- a/features/support/daemon_network.py
+++ b/features/support/daemon_network.py
@@ -5,8 +5,8 @@
 from typing import NamedTuple
 
 from cowslipcourse.entry.peer_link import PeerLink
-from cowslipcourse.entry.registering import Registering
-from cowslipcourse.entry.roles import Roles
+from cowslipcourse.entry.registering import DaemonRegistrar
+from cowslipcourse.entry.roles import RoleAssignment
 from cowslipcourse.entry.settings import EntrySettings
 from cowslipcourse.peers import (
     Heartbeat,
@@ -47,14 +47,14 @@
 
 
 class _Knowledge:
-    follows = True
+    follows_store = True
 
-    def take_push(self, message):
+    def apply_push(self, message):
         """Nothing is pushed here."""
 
-    def follow(self, active):
+    def set_following(self, active):
         """Note whether the store would be read."""
-        self.follows = active
+        self.follows_store = active
 
 
 class _Store:
@@ -92,7 +92,7 @@
         self._rng = random.Random(number)
         self._sequence = 0
         self._shape = network.shape
-        self.knowledge = _Knowledge()
+        self.replica = _Knowledge()
         self.sent_bytes = 0
         self.is_down = False
         address = f"10.{data_centre}.{number // 250}.{number % 250}"
@@ -142,18 +142,18 @@
 
     def starts(self, store):
         """Begin without a registration, and knowing nobody."""
-        self.registering = Registering(
+        self.registering = DaemonRegistrar(
             self.settings, store, self._learn, random.Random(1)
         )
-        self.roles = Roles(
-            self.settings, self.registry, self.registering, self.knowledge, self
+        self.roles = RoleAssignment(
+            self.settings, self.registry, self.registering, self.replica, self
         )
 
     def _learn(self, registrations):
         now = asyncio.get_running_loop().time()
         for known in registrations:
             self.registry.add_address(known.peer_address, known.data_centre, now)
-        self.link.tell()
+        self.link.heartbeat_now()
 
     async def live(self, after_s):
         """Start after a while, and live."""
@@ -163,7 +163,7 @@
         coroutines = self.registering.run(), self.roles.run(), self.link.run()
         await asyncio.gather(*coroutines)
 
-    def heard(self, message):
+    def investigate_suspects(self, message):
         """Nothing is looked into here."""
 
     def take_news(self, news):
@@ -234,7 +234,7 @@
         """Return the names of daemons that read the store, by data centre."""
         found = {}
         for daemon in self.daemons:
-            if daemon.knowledge.follows and not daemon.is_down:
+            if daemon.replica.follows_store and not daemon.is_down:
                 names = found.setdefault(daemon.settings.data_centre, [])
                 names.append(daemon.settings.name)
         return found
@@ -287,7 +287,7 @@
             place: [
                 daemon.settings.name
                 for daemon in self.daemons
-                if not daemon.is_down and daemon.roles.tends(place)
+                if not daemon.is_down and daemon.roles.coordinates(place)
             ]
             for place in places
         }
--- a/features/support/knowledge.py
+++ b/features/support/knowledge.py
@@ -4,7 +4,7 @@
 import json
 import random
 
-from cowslipcourse.entry.knowledge import Knowledge
+from cowslipcourse.entry.knowledge import StateReplica
 from cowslipcourse.entry.settings import EntrySettings
 from cowslipcourse.exceptions import HistoryDropped, StoreUnavailable
 from cowslipcourse.peers import Heartbeat, Member, PeerRegistry
@@ -68,14 +68,14 @@
         self.table = None
         self.pushes = []
 
-    def take_configuration(self, table):
+    def apply_configuration(self, table):
         self.table = table
 
-    def take_targets(self, entries, gone):
+    def apply_targets(self, entries, gone):
         self.targets |= {entry.id for entry in entries}
         self.targets -= set(gone)
 
-    def push(self, changes):
+    def push_changes(self, changes):
         self.pushes.append(changes)
 
 
@@ -92,7 +92,7 @@
     settings = _settings()
     registry = PeerRegistry(settings.peers, settings.data_centre)
     listener = Listener()
-    knowledge = Knowledge(settings, store, registry, random.Random(1), listener)
+    knowledge = StateReplica(settings, store, registry, random.Random(1), listener)
     return knowledge, registry, listener
 
 
--- a/measurements/balance_cost.py
+++ b/measurements/balance_cost.py
@@ -6,7 +6,7 @@
 import sys
 import time
 
-from cowslipcourse.entry.balancing import LOOK_S, STANDBY_LOOK_S
+from cowslipcourse.entry.balancing import REBALANCE_INTERVAL_S, STANDBY_INTERVAL_S
 from cowslipcourse.groups import (
     DomainPlan,
     PlannedGroup,
@@ -57,7 +57,7 @@
         lambda: choose_changes(plans, MODELS, lambda *_: True, lambda *_: 0)
     )
     standby_s = _seconds(lambda: choose_standby(plans, places, MODELS, lambda *_: 0))
-    share = changes_s / LOOK_S + standby_s / STANDBY_LOOK_S
+    share = changes_s / REBALANCE_INTERVAL_S + standby_s / STANDBY_INTERVAL_S
     print(f"{domains} domains: changes {1000 * changes_s:.2f} ms,", end=" ")
     print(f"standby {1000 * standby_s:.2f} ms, {share:.4f} of a core")
 
