--- a/cowslipcourse/entry/calls.py
+++ b/cowslipcourse/entry/calls.py
@@ -10,7 +10,7 @@
     HeadTooLarge,
     NoConfiguration,
 )
-from cowslipcourse.platform.edge import header_bytes, read_caller_fields
+from cowslipcourse.platform.edge import header_bytes, parse_caller_headers
 from cowslipcourse.quarantine import fingerprint
 
 __all__ = ["Call", "Responder", "read_call"]
@@ -29,12 +29,12 @@
     :param headers: ``(lower-case name, value)`` pairs as sent.
     :param body: whole body.
     :param fingerprint: what it has in common with its repeats, as bytes.
-    :param fields: :class:`~cowslipcourse.platform.edge.CallerFields`
+    :param fields: :class:`~cowslipcourse.platform.edge.CallerHeaders`
     :param route: :class:`~cowslipcourse.routes.Route`
     :param workspace: :class:`~cowslipcourse.routes.Workspace` or ``None``.
     :param arrived_at: loop time at which the head was there.
     :param deadline: loop time at which the caller or the operator gives up.
-    :param elsewhere_s: seconds that the caller has waited before it came here.
+    :param waited_elsewhere_s: seconds that the caller has waited before it came here.
     """
 
     id: str
@@ -48,11 +48,11 @@
     workspace: object
     arrived_at: float
     deadline: float
-    elsewhere_s: float = 0.0
+    waited_elsewhere_s: float = 0.0
 
-    def spent_s(self, now):
+    def waited_s(self, now):
         """Return the seconds that the caller has waited at a loop time."""
-        return self.elsewhere_s + now - self.arrived_at
+        return self.waited_elsewhere_s + now - self.arrived_at
 
     @property
     def workspace_name(self):
@@ -74,7 +74,7 @@
     headers = tuple(scope["headers"])
     if header_bytes(headers) > table.limits.header_bytes:
         raise HeadTooLarge("the head is too long")
-    fields = read_caller_fields(headers)
+    fields = parse_caller_headers(headers)
     host = dict(headers).get(b"host", b"").decode("latin-1")
     raw_path = scope["raw_path"]
     try:
@@ -86,7 +86,7 @@
     query = scope["query_string"]
     path = raw_path + b"?" + query if query else raw_path
     name = None if workspace is None else workspace.name
-    budget_s = NO_BUDGET_S if fields.budget_s is None else fields.budget_s
+    budget_s = NO_BUDGET_S if fields.time_budget_s is None else fields.time_budget_s
     return Call(
         id=fields.attempt_id.decode("latin-1"),
         method=scope["method"],
@@ -138,7 +138,7 @@
             {"type": "http.response.start", "status": status, "headers": headers}
         )
 
-    async def pass_on(self, body):
+    async def send_chunk(self, body):
         """Send a piece of the body."""
         await self._send(
             {"type": "http.response.body", "body": body, "more_body": True}
