--- a/features/steps/practice_steps.py
+++ b/features/steps/practice_steps.py
@@ -141,7 +141,7 @@
         entries = world.entries()
         present = {entry.id for entry in entries}
         coordinator.domains.mark_unlisted(listed - present)
-        coordinator.domains.see_entries(entries)
+        coordinator.domains.update_entries(entries)
         listed = present
         await asyncio.sleep(LIST_S)
 
--- a/features/steps/variant_steps.py
+++ b/features/steps/variant_steps.py
@@ -64,7 +64,7 @@
         store = FlakyStore()
         store.configuration = version
         row = store.rows(knowledge_module.CONFIGURATION_TABLE)[0]
-        knowledge._take_configuration(row.value)
+        knowledge._apply_configuration(row.value)
     assert listener.table.version == 7, listener.table.version
 
 
@@ -76,17 +76,19 @@
 
 
 def _without_versions():
-    knowledge_type = knowledge_module.Knowledge
+    knowledge_type = knowledge_module.StateReplica
     plain = property(lambda self: _NoVersion(0), lambda self, value: None)
-    return mock.patch.object(knowledge_type, "configuration", plain, create=True)
+    return mock.patch.object(
+        knowledge_type, "configuration_version", plain, create=True
+    )
 
 
 def _lost_is_end():
     def lost(self, error):
-        if self._answer is not None and self._answer.ends_with_connection:
-            self._answer.complete = True
+        if self._response is not None and self._response.is_close_delimited:
+            self._response.complete = True
         self._closed = True
-        self._wake()
+        self._wake_waiter()
 
     return mock.patch.object(TargetConnection, "connection_lost", lost)
 
@@ -111,7 +113,7 @@
 }
 MECHANISMS = {
     "comparing the attempt of an answer": lambda: mock.patch.object(
-        TargetConnection, "_is_ours", lambda self, head: True
+        TargetConnection, "_matches_request", lambda self, head: True
     ),
     "telling a reset from an orderly end": _lost_is_end,
     "dropping events that came before": lambda: mock.patch.object(
