--- a/cowslipcourse/gateway/quarantine_ports.py
+++ b/cowslipcourse/gateway/quarantine_ports.py
@@ -91,7 +91,7 @@
 
 
 class RecordPeers:
-    """The other gateways, last_event_id through records that spread with heartbeats.
+    """The other gateways, reached through records that spread with heartbeats.
 
     :param agent: :class:`~cowslipcourse.daemon.Agent`
     """
--- a/cowslipcourse/membership/serving.py
+++ b/cowslipcourse/membership/serving.py
@@ -119,7 +119,9 @@
         members = self._revision.members.values()
         within_s = self._times.isolation_s
         counted = 1 + sum(
-            self._contacts.counted(member, self._revision.number, now, within_s)
+            self._contacts.confirms_revision(
+                member, self._revision.number, now, within_s
+            )
             for member in members
             if member.name != self._member.name
         )
