--- a/cowslipcourse/entry/accounting.py
+++ b/cowslipcourse/entry/accounting.py
@@ -14,7 +14,7 @@
 
 SERVED = "served"
 """Stands for a request that was answered on time, where others have a cause."""
-LONG_WAIT_SHARE = 0.5
+LATE_SLOT_WAIT_FRACTION = 0.5
 """Share of a route's objective from which a wait for a place made an answer late."""
 
 
@@ -55,20 +55,20 @@
     """
 
     slot_wait_s: float
-    first_s: float
-    pause_s: float
+    first_event_s: float
+    longest_pause_s: float
     attempts: int
 
 
-def no_target_cause(places, tried):
+def no_target_cause(candidates, tried_ids):
     """Return the :class:`LossCause` of a request for which no place was found.
 
     :param places: list of :class:`~cowslipcourse.entry.fleet.Candidate` that serve it.
     :param tried: ids of targets that it was sent to already.
     """
-    if not places:
+    if not candidates:
         return LossCause.NO_GROUP
-    if all(place.entry.id in tried for place in places):
+    if all(candidate.entry.id in tried_ids for candidate in candidates):
         return LossCause.GROUPS_TRIED
     return LossCause.GROUPS_FULL
 
@@ -79,10 +79,10 @@
     :param route: :class:`~cowslipcourse.routes.Route`
     :param times: :class:`StreamTimes`
     """
-    if times.first_s > route.objective_s:
-        if times.slot_wait_s > route.objective_s * LONG_WAIT_SHARE:
+    if times.first_event_s > route.objective_s:
+        if times.slot_wait_s > route.objective_s * LATE_SLOT_WAIT_FRACTION:
             return LossCause.LATE_PLACE
         return LossCause.LATE_RETRY if times.attempts > 1 else LossCause.LATE_FIRST
-    if route.pause_limit_s and times.pause_s > route.pause_limit_s:
+    if route.pause_limit_s and times.longest_pause_s > route.pause_limit_s:
         return LossCause.LATE_PAUSE
     return None
--- a/cowslipcourse/entry/attempts.py
+++ b/cowslipcourse/entry/attempts.py
@@ -76,12 +76,14 @@
         """
         loop = asyncio.get_running_loop()
         entry = run.entry
-        fresh = not call.route.may_repeat
+        needs_new_connection = not call.route.may_repeat
         key = _connection_key(entry)
         self._fleet.request_started(entry.id)
         connection = None
         try:
-            connection = await self._pool.acquire(key, entry.address, fresh)
+            connection = await self._pool.acquire(
+                key, entry.address, needs_new_connection
+            )
             left_s = call.deadline - loop.time()
             if left_s <= 0:
                 raise TargetUnreachable("no time is left", sent=False)
@@ -96,7 +98,7 @@
                 run.ended_by_target = connection.ended_by_target
                 self._pool.release(key, connection)
 
-    def sweep(self):
+    def close_stale_connections(self):
         """Close connections that are too old or lead to targets that left."""
         entries = self._fleet.entries.values()
         self._pool.close_stale({_connection_key(entry) for entry in entries})
@@ -108,9 +110,9 @@
 
 
 def _target_request(call, entry, left_s, waited_s, last_event_id):
-    level = urgency(call.route, call.workspace, waited_s)
+    urgency_level = urgency(call.route, call.workspace, waited_s)
     headers = target_headers(
-        call.headers, entry, left_s, level, call.workspace_name, last_event_id
+        call.headers, entry, left_s, urgency_level, call.workspace_name, last_event_id
     )
     return TargetRequest(
         call.method, call.path, headers, call.body, attempt_id_header(call.fields)
--- a/cowslipcourse/entry/calls.py
+++ b/cowslipcourse/entry/calls.py
@@ -15,9 +15,9 @@
 
 __all__ = ["Call", "Responder", "read_call"]
 
-NO_BUDGET_S = 30.0
+DEFAULT_TIME_BUDGET_S = 30.0
 """Time for a request of a caller that does not say how long it waits."""
-NO_CONFIGURATION_RETRY_S = 0.5
+NO_CONFIGURATION_RETRY_AFTER_S = 0.5
 
 
 class Call(NamedTuple):
@@ -70,7 +70,7 @@
     """
     arrived_at = asyncio.get_running_loop().time()
     if table is None:
-        raise NoConfiguration("no configuration yet", NO_CONFIGURATION_RETRY_S)
+        raise NoConfiguration("no configuration yet", NO_CONFIGURATION_RETRY_AFTER_S)
     headers = tuple(scope["headers"])
     if header_bytes(headers) > table.limits.header_bytes:
         raise HeadTooLarge("the head is too long")
@@ -86,7 +86,9 @@
     query = scope["query_string"]
     path = raw_path + b"?" + query if query else raw_path
     name = None if workspace is None else workspace.name
-    budget_s = NO_BUDGET_S if fields.time_budget_s is None else fields.time_budget_s
+    time_budget_s = (
+        DEFAULT_TIME_BUDGET_S if fields.time_budget_s is None else fields.time_budget_s
+    )
     return Call(
         id=fields.attempt_id.decode("latin-1"),
         method=scope["method"],
@@ -98,22 +100,22 @@
         route=route,
         workspace=workspace,
         arrived_at=arrived_at,
-        deadline=arrived_at + min(budget_s, route.timeout_s),
+        deadline=arrived_at + min(time_budget_s, route.timeout_s),
     )
 
 
 async def _read_body(receive, limit_bytes):
-    pieces, length = [], 0
+    chunks, received_bytes = [], 0
     while True:
         message = await receive()
         if message["type"] == "http.disconnect":
             raise CallerGone("the caller left before its request was whole")
-        pieces.append(message.get("body", b""))
-        length += len(pieces[-1])
-        if length > limit_bytes:
+        chunks.append(message.get("body", b""))
+        received_bytes += len(chunks[-1])
+        if received_bytes > limit_bytes:
             raise BodyTooLarge("the body is too long")
         if not message.get("more_body"):
-            return b"".join(pieces)
+            return b"".join(chunks)
 
 
 class Responder:
@@ -123,16 +125,16 @@
     :param closes: callable that tells whether the connection shall end after it.
     """
 
-    def __init__(self, send, closes):
+    def __init__(self, send, should_close):
         self._send = send
-        self._closes = closes
+        self._should_close = should_close
         self.started = False
 
     async def start(self, status, headers):
         """Send status and headers."""
         self.started = True
         headers = list(headers)
-        if self._closes():
+        if self._should_close():
             headers.append((b"connection", b"close"))
         await self._send(
             {"type": "http.response.start", "status": status, "headers": headers}
--- a/cowslipcourse/entry/choosing.py
+++ b/cowslipcourse/entry/choosing.py
@@ -2,7 +2,7 @@
 
 __all__ = ["choose_group", "choose_target"]
 
-QUEUE_ALLOWED = 0.2
+MAX_QUEUED_FRACTION = 0.2
 """Requests that may wait at a group, as a fraction of what it runs at once: behind more
 of them a request would be late. One that is late already takes a free place only."""
 SAMPLE_SIZE = 2
@@ -10,7 +10,7 @@
 a second late; the best of all would be every daemon's choice at once."""
 
 
-def choose_group(places, tried, rng, sample=SAMPLE_SIZE, is_late=False):
+def choose_group(candidates, tried_ids, rng, sample_size=SAMPLE_SIZE, is_late=False):
     """Return the place with the least load, or ``None`` if all are full.
 
     Load that this answers: more requests than groups run, in a lasting burst, or as
@@ -22,20 +22,21 @@
     :param sample: number of places that are compared.
     :param is_late: whether the request cannot be on time whichever group takes it.
     """
-    part = 1 if is_late else 1 + QUEUE_ALLOWED
-    open_places = [
-        place
-        for place in places
-        if place.entry.id not in tried and place.in_flight < place.slots * part
+    capacity_factor = 1 if is_late else 1 + MAX_QUEUED_FRACTION
+    available = [
+        candidate
+        for candidate in candidates
+        if candidate.entry.id not in tried_ids
+        and candidate.in_flight < candidate.slots * capacity_factor
     ]
-    if not open_places:
+    if not available:
         return None
-    if len(open_places) > sample:
-        open_places = rng.sample(open_places, sample)
-    return min(open_places, key=lambda place: (place.in_flight, rng.random()))
+    if len(available) > sample_size:
+        available = rng.sample(available, sample_size)
+    return min(available, key=lambda candidate: (candidate.in_flight, rng.random()))
 
 
-def choose_target(places, tried, data_centre, rng):
+def choose_target(candidates, tried_ids, data_centre, rng):
     """Return the least loaded place of a plain service, or ``None``.
 
     :param places: list of :class:`~cowslipcourse.entry.fleet.Candidate`
@@ -43,14 +44,16 @@
     :param data_centre: this daemon's own; near targets are preferred at equal load.
     :param rng: :class:`random.Random`
     """
-    fresh = [place for place in places if place.entry.id not in tried]
-    if not fresh:
+    untried = [
+        candidate for candidate in candidates if candidate.entry.id not in tried_ids
+    ]
+    if not untried:
         return None
     return min(
-        fresh,
-        key=lambda place: (
-            place.in_flight / max(place.slots, 1),
-            place.entry.data_centre != data_centre,
+        untried,
+        key=lambda candidate: (
+            candidate.in_flight / max(candidate.slots, 1),
+            candidate.entry.data_centre != data_centre,
             rng.random(),
         ),
     )
--- a/cowslipcourse/entry/daemon.py
+++ b/cowslipcourse/entry/daemon.py
@@ -280,7 +280,7 @@
         while True:
             await asyncio.sleep(SWEEP_S)
             self._count_daemons(asyncio.get_running_loop().time())
-            self._context.attempt_sender.sweep()
+            self._context.attempt_sender.close_stale_connections()
             self._metrics.state("in_flight", self._front.in_flight)
             self._metrics.state("quarantined", self.quarantine.size)
             self._metrics.fleet(census.look(self._context.table, self._fleet))
--- a/cowslipcourse/entry/engine_calls.py
+++ b/cowslipcourse/entry/engine_calls.py
@@ -10,17 +10,17 @@
 
 __all__ = ["EngineClient"]
 
-QUESTIONS = 2
+SILENT_AFTER_TIMEOUTS = 2
 """Questions without an answer after which an engine counts as silent: packets are lost,
 and a group is taken apart for it."""
-MOST_QUESTIONS = 6
+MAX_REPORT_REQUESTS = 6
 """Questions to one engine at most, where own delays say nothing about it."""
 MAX_CONCURRENT_REPORTS = 24
 """Questions under way at once; orders wait for none of them. A call costs a small VM
 some 5 ms of its processor time, and an answer that is read after 0.15 s counts as none:
 a coordinator that asked hundreds of engines at once called 7,855 sound ones silent in
 25 s."""
-OWN_DELAY_S = 0.05
+MAX_TIMER_DELAY_S = 0.05
 """A time limit that is noticed so much later: this process stood still, and an answer
 may have come that it has not read."""
 
@@ -46,19 +46,19 @@
         self._on_report = on_report
         self._on_silent = on_silent
         self._on_opened = on_opened
-        self._busy = set()
+        self._busy_engines = set()
         self._tasks = set()
-        self._heard_at = float("-inf")
-        self._places = asyncio.Semaphore(MAX_CONCURRENT_REPORTS)
+        self._last_answer_at = float("-inf")
+        self._report_slots = asyncio.Semaphore(MAX_CONCURRENT_REPORTS)
 
     @property
-    def heard_at(self):
+    def last_answer_at(self):
         """Loop time at which an engine last answered a question."""
-        return self._heard_at
+        return self._last_answer_at
 
     def is_busy(self, engine):
         """Whether a call to an engine is under way."""
-        return _life(engine) in self._busy
+        return _engine_instance(engine) in self._busy_engines
 
     def request_report(self, engine):
         """Ask for a report unless a call is under way.
@@ -79,58 +79,58 @@
             self._spawn(engine, self._send_order(engine, order, models))
 
     def _spawn(self, engine, coroutine):
-        self._busy.add(_life(engine))
+        self._busy_engines.add(_engine_instance(engine))
         task = asyncio.create_task(coroutine)
         self._tasks.add(task)
-        task.add_done_callback(lambda done: self._done(engine, done))
+        task.add_done_callback(lambda done: self._finish_call(engine, done))
 
-    def _done(self, engine, task):
-        self._busy.discard(_life(engine))
+    def _finish_call(self, engine, task):
+        self._busy_engines.discard(_engine_instance(engine))
         self._tasks.discard(task)
         if not task.cancelled() and task.exception() is not None:
             log.warning("call-failed", engine=engine.id, why=repr(task.exception()))
 
     async def _request_report(self, engine):
         loop = asyncio.get_running_loop()
-        first_asked_at, unanswered = None, 0
-        for _ in range(MOST_QUESTIONS):
-            async with self._places:
-                asked_at = loop.time()
-                first_asked_at = first_asked_at or asked_at
+        first_requested_at, timeouts = None, 0
+        for _ in range(MAX_REPORT_REQUESTS):
+            async with self._report_slots:
+                requested_at = loop.time()
+                first_requested_at = first_requested_at or requested_at
                 try:
                     report = await self._control.report(engine.entry)
                 except (TargetError, MalformedAnswer) as error:
-                    why = error
+                    failure = error
                 else:
-                    self._note_answer(engine, report, asked_at)
+                    self._handle_report(engine, report, requested_at)
                     return
-            waited_s = loop.time() - asked_at
-            unanswered += waited_s < self._settings.report_timeout_s + OWN_DELAY_S
-            if unanswered >= QUESTIONS:
+            waited_s = loop.time() - requested_at
+            timeouts += waited_s < self._settings.report_timeout_s + MAX_TIMER_DELAY_S
+            if timeouts >= SILENT_AFTER_TIMEOUTS:
                 break
-        if unanswered < QUESTIONS:
-            log.info("engine-not-heard", engine=engine.id, why=why)
+        if timeouts < SILENT_AFTER_TIMEOUTS:
+            log.info("engine-not-heard", engine=engine.id, why=failure)
             return
         if engine.silent_since is None:
-            log.info("engine-silent", engine=engine.id, why=why)
-        engine.see_silence(first_asked_at)
+            log.info("engine-silent", engine=engine.id, why=failure)
+        engine.see_silence(first_requested_at)
         self._on_silent()
 
-    def _note_answer(self, engine, report, asked_at):
-        self._heard_at = asyncio.get_running_loop().time()
+    def _handle_report(self, engine, report, requested_at):
+        self._last_answer_at = asyncio.get_running_loop().time()
         if engine.silent_since is not None:
             log.info("engine-heard", engine=engine.id)
         if report.pace >= SLOW_PACE:
             log.info("engine-slow", engine=engine.id, pace=report.pace)
-        self._on_report(engine, report, asked_at)
+        self._on_report(engine, report, requested_at)
 
     async def _send_order(self, engine, order, models):
         sent_at = asyncio.get_running_loop().time()
         try:
-            answer = await self._control.order(engine.entry, order)
+            result = await self._control.order(engine.entry, order)
         except TargetError as error:
             log.info("order-lost", engine=engine.id, order=order.operation, why=error)
-            _note_not_begun(engine, order)
+            _clear_order_count(engine, order)
             return
         log.info(
             "order",
@@ -139,38 +139,38 @@
             group=order.group,
             epoch=order.epoch,
             expected=order.expected_order_count,
-            answer=answer,
+            answer=result,
         )
-        if answer is OrderResult.BEGUN:
+        if result is OrderResult.BEGUN:
             engine.note_begun(order)
-            _note_begun(engine, order, models, sent_at)
+            _record_order_start(engine, order, models, sent_at)
             if order.operation is OrderOperation.OPEN:
                 self._on_opened(engine, order)
-        elif answer is OrderResult.DONE:
+        elif result is OrderResult.DONE:
             # It may have counted up or not.
-            _note_not_begun(engine, order)
+            _clear_order_count(engine, order)
             if order.operation is OrderOperation.LEAVE:
                 engine.membership = None
         else:
-            _note_not_begun(engine, order)
-            if answer is OrderResult.OTHER_ENGINE:
+            _clear_order_count(engine, order)
+            if result is OrderResult.OTHER_ENGINE:
                 engine.see_other_engine(asyncio.get_running_loop().time())
             else:
                 engine.see_refusal(asyncio.get_running_loop().time())
 
 
-def _life(engine):
+def _engine_instance(engine):
     return engine.id, engine.incarnation
 
 
-def _note_not_begun(engine, order):
+def _clear_order_count(engine, order):
     """Forget the order count: it must be asked for before the next order."""
     engine.order_count = None
     if order.operation is OrderOperation.STAGE:
         engine.staging = None
 
 
-def _note_begun(engine, order, models, sent_at):
+def _record_order_start(engine, order, models, sent_at):
     if order.operation is OrderOperation.JOIN:
         engine.joined_at[order.epoch] = sent_at
         model = models[order.model]
--- a/cowslipcourse/entry/fleet.py
+++ b/cowslipcourse/entry/fleet.py
@@ -6,17 +6,17 @@
 
 __all__ = ["Candidate", "FleetView"]
 
-FIRST_SUSPECT_S = 1.0
+MIN_SUSPICION_S = 1.0
 """A repair takes 2.5 s and changes the group, which ends a suspicion before that."""
-LONGEST_SUSPECT_S = 8.0
-FORGET_SUSPECT_S = 4.0
+MAX_SUSPICION_S = 8.0
+SUSPICION_RESET_S = 4.0
 """Time without a new suspicion after which the next one is short again."""
 
 
 class _Suspicion(NamedTuple):
-    life: tuple[int, int]
-    until: float
-    length_s: float
+    instance: tuple[int, int]
+    expires_at: float
+    duration_s: float
 
 
 class Candidate(NamedTuple):
@@ -43,7 +43,7 @@
         self._entries = {}
         self._in_flight = {}
         self._peers_in_flight = {}
-        self._suspects = {}
+        self._suspicions = {}
         self._heads = GroupHeads()
         self.version = 0
 
@@ -66,17 +66,17 @@
             and not listed.is_leaving
         )
 
-    def apply(self, entries, gone):
+    def apply(self, entries, removed_ids):
         """Take changed entries and ids that are gone."""
         for entry in entries:
             self._entries[entry.id] = entry
-        for target in gone:
+        for target in removed_ids:
             self._entries.pop(target, None)
-        self._changed()
+        self._entries_changed()
 
-    def _changed(self):
+    def _entries_changed(self):
         self.version += 1
-        self._heads.see_entries(self._entries.values())
+        self._heads.update_entries(self._entries.values())
 
     def take_news(self, news, now):
         """Take in what a coordinator has decided about a group.
@@ -105,26 +105,28 @@
         """Do not choose a target for a while; return whether that is new."""
         if target in self.suspects(now):
             return False
-        life = self._life(target)
-        known = self._suspects.get(target)
-        last_s = known.length_s if known and known.life == life else 0.0
-        length_s = min(max(FIRST_SUSPECT_S, 2 * last_s), LONGEST_SUSPECT_S)
-        self._suspects[target] = _Suspicion(life, now + length_s, length_s)
+        instance = self._instance(target)
+        previous = self._suspicions.get(target)
+        previous_s = (
+            previous.duration_s if previous and previous.instance == instance else 0.0
+        )
+        duration_s = min(max(MIN_SUSPICION_S, 2 * previous_s), MAX_SUSPICION_S)
+        self._suspicions[target] = _Suspicion(instance, now + duration_s, duration_s)
         return True
 
     def suspects(self, now):
         """Return the epochs of suspected targets by id."""
-        for target, suspicion in list(self._suspects.items()):
-            is_old = now >= suspicion.until + FORGET_SUSPECT_S
-            if is_old or suspicion.life != self._life(target):
-                del self._suspects[target]
+        for target, suspicion in list(self._suspicions.items()):
+            is_forgotten = now >= suspicion.expires_at + SUSPICION_RESET_S
+            if is_forgotten or suspicion.instance != self._instance(target):
+                del self._suspicions[target]
         return {
-            target: suspicion.life[1]
-            for target, suspicion in self._suspects.items()
-            if now < suspicion.until
+            target: suspicion.instance[1]
+            for target, suspicion in self._suspicions.items()
+            if now < suspicion.expires_at
         }
 
-    def _life(self, target):
+    def _instance(self, target):
         """Return incarnation and epoch, in either of which a target begins anew."""
         entry = self._entries.get(target)
         if entry is None:
@@ -138,22 +140,24 @@
 
     def service_candidates(self, service, now):
         """Return the :class:`Candidate` list of a plain service."""
-        places = [
+        candidates = [
             Candidate(entry, self.load(entry.id), entry.slots)
             for entry in self._entries.values()
             if entry.service == service and not entry.is_leaving
         ]
-        return self._trusted(places, now)
+        return self._without_suspects(candidates, now)
 
-    def _trusted(self, places, now):
+    def _without_suspects(self, candidates, now):
         """Return the places that are not suspected; all if there are no others."""
         suspects = self.suspects(now)
-        return [p for p in places if p.entry.id not in suspects] or places
+        return [
+            candidate for candidate in candidates if candidate.entry.id not in suspects
+        ] or candidates
 
     def group_candidates(self, service, model, slots, now):
         """Return the :class:`Candidate` list of a model: heads of its open groups."""
-        places = [
+        candidates = [
             Candidate(entry, self.load(entry.id), slots)
-            for entry in self._heads.serving(service, model, now)
+            for entry in self._heads.serving_heads(service, model, now)
         ]
-        return self._trusted(places, now)
+        return self._without_suspects(candidates, now)
--- a/cowslipcourse/entry/forwarding.py
+++ b/cowslipcourse/entry/forwarding.py
@@ -22,8 +22,8 @@
 
     def __init__(self, context):
         self._context = context
-        self._plain = UnaryForwarder(context)
-        self._streams = StreamForwarder(context)
+        self._unary_forwarder = UnaryForwarder(context)
+        self._stream_forwarder = StreamForwarder(context)
         self._prior_waits = PriorWaitEstimator()
 
     async def forward(self, call, responder):
@@ -41,7 +41,7 @@
         service = self._context.choose_service(call.route)
         self._context.retry_budget.request(service, loop.time())
         is_stream = call.route.kind is RequestKind.STREAMING
-        forwarder = self._streams if is_stream else self._plain
+        forwarder = self._stream_forwarder if is_stream else self._unary_forwarder
         try:
             async with asyncio.timeout_at(call.deadline):
                 # Repeats of a request that ends its targets come at any daemon. When
--- a/cowslipcourse/entry/front.py
+++ b/cowslipcourse/entry/front.py
@@ -13,13 +13,13 @@
 
 __all__ = ["FrontApp"]
 
-GO_ELSEWHERE_S = 0.0
+DRAINING_RETRY_AFTER_S = 0.0
 """When to come back to another daemon: they are not known to be short of anything."""
 
 log = get_logger(__name__)
 
 
-class _Ended:
+class _RequestResult:
     """How a request ended, for the account of its route and model."""
 
     def __init__(self):
@@ -41,20 +41,20 @@
         self._forwarder = forwarder
         self._metrics = metrics
         self._durations = RequestDurations()
-        self._ends_at = None
+        self._closes_at = None
         self.in_flight = 0
 
     @property
     def is_draining(self):
         """Whether the daemon is about to stop."""
-        return self._ends_at is not None
+        return self._closes_at is not None
 
-    def drain(self, ends_at):
+    def drain(self, closes_at):
         """Let callers go elsewhere after their answers.
 
         :param ends_at: loop time at which the last connections will be closed.
         """
-        self._ends_at = ends_at
+        self._closes_at = closes_at
 
     async def __call__(self, scope, receive, send):
         """See the ASGI specification."""
@@ -63,14 +63,14 @@
         self.in_flight += 1
         started_at = time.monotonic()
         responder = Responder(send, lambda: self.is_draining)
-        outcome, ended = "ok", _Ended()
+        outcome, result = "ok", _RequestResult()
         try:
-            await self._serve(scope, receive, responder, ended)
+            await self._serve(scope, receive, responder, result)
         except CallerGone as error:
-            outcome, ended.cause = error.code, error.cause
+            outcome, result.cause = error.code, error.cause
         except RequestError as error:
-            outcome, ended.cause = error.code, error.cause
-            await self._fail(error, scope, receive, send, responder, ended)
+            outcome, result.cause = error.code, error.cause
+            await self._send_error(error, scope, receive, send, responder, result)
         except Exception:
             outcome = "crashed"
             log.exception("request-crashed", path=scope["path"])
@@ -78,51 +78,51 @@
         finally:
             self.in_flight -= 1
             self._metrics.request(outcome, time.monotonic() - started_at)
-            self._metrics.account(ended.route, ended.model, ended.cause)
+            self._metrics.account(result.route, result.model, result.cause)
 
-    async def _serve(self, scope, receive, responder, ended):
+    async def _serve(self, scope, receive, responder, result):
         call = await read_call(scope, receive, self._context.table)
-        ended.route, ended.model = call.route.name, call.fields.model
+        result.route, result.model = call.route.name, call.fields.model
         self._check_time_left(call)
         forwarding = asyncio.create_task(self._forwarder.forward(call, responder))
-        leaving = asyncio.create_task(_wait_disconnect(receive))
+        disconnect = asyncio.create_task(_wait_for_disconnect(receive))
         try:
             await asyncio.wait(
-                (forwarding, leaving), return_when=asyncio.FIRST_COMPLETED
+                (forwarding, disconnect), return_when=asyncio.FIRST_COMPLETED
             )
             if not forwarding.done():
                 log.info(
                     "caller-left",
                     request=call.id,
-                    route=ended.route,
-                    model=ended.model,
+                    route=result.route,
+                    model=result.model,
                     seconds=round(_now() - call.arrived_at, 3),
                 )
                 raise CallerGone("the caller left")
             forwarding.result()
             self._durations.note(call.route, _now() - call.arrived_at)
         finally:
-            leaving.cancel()
+            disconnect.cancel()
             forwarding.cancel()
-            await asyncio.gather(forwarding, leaving, return_exceptions=True)
+            await asyncio.gather(forwarding, disconnect, return_exceptions=True)
 
     def _check_time_left(self, call):
         """Refuse what cannot end before this daemon does.
 
         :raises GatewayDraining: it has not run; other daemons take it at once.
         """
-        if self._ends_at is None:
+        if self._closes_at is None:
             return
-        left_s = self._ends_at - call.arrived_at
+        left_s = self._closes_at - call.arrived_at
         if not can_end(left_s, self._durations.longest_s(call.route)):
-            raise GatewayDraining("this daemon is about to end", GO_ELSEWHERE_S)
+            raise GatewayDraining("this daemon is about to end", DRAINING_RETRY_AFTER_S)
 
-    async def _fail(self, error, scope, receive, send, responder, ended):
+    async def _send_error(self, error, scope, receive, send, responder, result):
         log.info(
             "request-failed",
             request=attempt_id(scope["headers"]),
-            route=ended.route,
-            model=ended.model,
+            route=result.route,
+            model=result.model,
             error=error.code,
             cause=error.cause,
             status=error.status,
@@ -144,6 +144,6 @@
     return asyncio.get_running_loop().time()
 
 
-async def _wait_disconnect(receive):
+async def _wait_for_disconnect(receive):
     while (await receive())["type"] != "http.disconnect":
         continue
--- a/cowslipcourse/entry/heads.py
+++ b/cowslipcourse/entry/heads.py
@@ -13,49 +13,49 @@
 
 __all__ = ["GroupHeads"]
 
-NEWS_S = 10.0
+OPENED_VALID_S = 10.0
 """Time for which a head is believed to serve that the list does not show yet: longer
 than the store is usually away. If the head ends, its entry goes, and so does belief."""
-MOST_REMEMBERED = 10_000
+MAX_REMEMBERED_GROUPS = 10_000
 """Groups whose least epoch is remembered, about 1 MB; names are not used again."""
-_OVER = (GroupState.CLOSING, GroupState.BROKEN)
+_ENDED_STATES = (GroupState.CLOSING, GroupState.BROKEN)
 
 
-class _Opened(NamedTuple):
+class _OpenedGroup(NamedTuple):
     group: str
     epoch: int
     model: str
     incarnation: int
-    from_s: float
+    serves_at: float
 
 
 class GroupHeads:
     """Heads of groups, from the list's entries and from news."""
 
     def __init__(self):
-        self._candidates = ()
-        self._newest_epoch = {}
+        self._possible_heads = ()
+        self._newest_epochs = {}
         self._leaving = frozenset()
-        self._least_epoch = {}
+        self._min_epochs = {}
         self._opened = {}
 
-    def see_entries(self, entries):
+    def update_entries(self, entries):
         """Take in the whole list.
 
         :param entries: iterable of :class:`~cowslipcourse.ports.TargetEntry`
         """
         joined = [entry for entry in entries if entry.membership is not None]
-        self._newest_epoch = {}
+        self._newest_epochs = {}
         for entry in joined:
             found = entry.membership
-            known = self._newest_epoch.get(found.group, 0)
-            self._newest_epoch[found.group] = max(known, found.epoch)
+            previous = self._newest_epochs.get(found.group, 0)
+            self._newest_epochs[found.group] = max(previous, found.epoch)
         self._leaving = frozenset(
             (entry.membership.group, entry.membership.epoch)
             for entry in joined
             if entry.is_leaving
         )
-        self._candidates = tuple(
+        self._possible_heads = tuple(
             entry
             for entry in entries
             if not entry.is_leaving
@@ -68,13 +68,13 @@
         :param entries: the whole list.
         :param now: loop time.
         """
-        known = self._least_epoch.pop(news.group, 0)
-        self._least_epoch[news.group] = max(known, news.epoch)
-        if len(self._least_epoch) > MOST_REMEMBERED:
-            del self._least_epoch[next(iter(self._least_epoch))]
+        previous = self._min_epochs.pop(news.group, 0)
+        self._min_epochs[news.group] = max(previous, news.epoch)
+        if len(self._min_epochs) > MAX_REMEMBERED_GROUPS:
+            del self._min_epochs[next(iter(self._min_epochs))]
         head = news.opened
         if head is not None:
-            self._opened[head.engine] = _Opened(
+            self._opened[head.engine] = _OpenedGroup(
                 news.group,
                 news.epoch,
                 head.model,
@@ -84,19 +84,19 @@
         self._opened = {
             engine: opened
             for engine, opened in self._opened.items()
-            if now < opened.from_s + NEWS_S
+            if now < opened.serves_at + OPENED_VALID_S
         }
-        self.see_entries(entries)
+        self.update_entries(entries)
 
     def opened_epoch(self, engine):
         """Return the epoch at which an engine was told to open, 0 if it was not."""
         opened = self._opened.get(engine)
         return 0 if opened is None else opened.epoch
 
-    def serving(self, service, model, now):
+    def serving_heads(self, service, model, now):
         """Return the entries of heads that serve a model, each in its open group."""
         found = []
-        for entry in self._candidates:
+        for entry in self._possible_heads:
             membership = self._membership(entry, now)
             if (
                 entry.service == service
@@ -110,11 +110,14 @@
     def _membership(self, entry, now):
         """Return the group of an engine by the list, or by news that is newer."""
         listed, opened = entry.membership, self._opened.get(entry.id)
-        if opened is None or not opened.from_s <= now < opened.from_s + NEWS_S:
+        if (
+            opened is None
+            or not opened.serves_at <= now < opened.serves_at + OPENED_VALID_S
+        ):
             return listed
         if opened.incarnation not in (UNKNOWN_INCARNATION, entry.incarnation):
             return listed
-        if listed is not None and _is_newer(listed, opened):
+        if listed is not None and _is_listed_newer(listed, opened):
             return listed
         return GroupMembership(
             opened.group, opened.epoch, 0, GroupState.OPEN, opened.model
@@ -122,9 +125,12 @@
 
     def _is_current(self, membership):
         group, epoch = membership.group, membership.epoch
-        least = self._least_epoch.get(group, 0)
-        newest = self._newest_epoch.get(group, 0)
-        return epoch >= max(least, newest) and (group, epoch) not in self._leaving
+        min_epoch = self._min_epochs.get(group, 0)
+        newest_epoch = self._newest_epochs.get(group, 0)
+        return (
+            epoch >= max(min_epoch, newest_epoch)
+            and (group, epoch) not in self._leaving
+        )
 
 
 def _is_open_head(membership):
@@ -135,11 +141,11 @@
     )
 
 
-def _is_newer(listed, opened):
+def _is_listed_newer(listed, opened):
     """Whether the list tells of what came after a head was told to open.
 
     Epochs are versions of the store, so they can be compared between groups.
     """
     if listed.epoch != opened.epoch:
         return listed.epoch > opened.epoch
-    return listed.state in _OVER
+    return listed.state in _ENDED_STATES
--- a/cowslipcourse/entry/outcomes.py
+++ b/cowslipcourse/entry/outcomes.py
@@ -10,11 +10,11 @@
     TargetUnreachable,
 )
 
-__all__ = ["NOT_RUN_STATUSES", "final_error", "may_have_run", "may_retry"]
+__all__ = ["NOT_EXECUTED_STATUSES", "final_error", "may_have_run", "may_retry"]
 
-NOT_RUN_STATUSES = (408, 421, 429, 503)
+NOT_EXECUTED_STATUSES = (408, 421, 429, 503)
 """Callers read these as proof that a request has not run and never will."""
-COME_BACK_S = 0.5
+RETRY_AFTER_S = 0.5
 """When to come back if no target takes a request: a fraction of a group's repair,
 after which another group has room or the repaired one serves."""
 
@@ -31,7 +31,7 @@
     return isinstance(error, AnswerBroken | MalformedAnswer | TargetSilent)
 
 
-def may_retry(route, runs, error):
+def may_retry(route, possible_runs, error):
     """Whether a request may be sent to another target.
 
     :param route: :class:`~cowslipcourse.routes.Route`
@@ -40,15 +40,15 @@
     """
     if not may_have_run(error):
         return True
-    return route.may_repeat and runs < route.max_attempts
+    return route.may_repeat and possible_runs < route.max_attempts
 
 
-def final_error(runs, cause=""):
+def final_error(possible_runs, cause=""):
     """Return the error that the caller gets if there are no attempts left.
 
     :param runs: attempts in which the request may have run.
     :param cause: why there are none.
     """
-    if runs:
+    if possible_runs:
         return TargetFailed("no target gave a whole answer", cause=cause)
-    return NoTargetAvailable("no target takes the request", COME_BACK_S, cause)
+    return NoTargetAvailable("no target takes the request", RETRY_AFTER_S, cause)
--- a/cowslipcourse/entry/own_links.py
+++ b/cowslipcourse/entry/own_links.py
@@ -52,9 +52,9 @@
             return
         if len(silent) <= MOST_SILENT * len(listed):
             return
-        if now - self._calls.heard_at <= HEARD_S:
+        if now - self._calls.last_answer_at <= HEARD_S:
             return
-        if self._calls.heard_at >= self._compared_at:
+        if self._calls.last_answer_at >= self._compared_at:
             self._compared_at = now
             for engine in self._others(tended):
                 self._calls.request_report(engine)
--- a/cowslipcourse/entry/patience.py
+++ b/cowslipcourse/entry/patience.py
@@ -4,17 +4,17 @@
 
 __all__ = ["PriorWaitEstimator"]
 
-PATIENCE_SPREAD = 0.15
+TIMEOUT_SPREAD_FRACTION = 0.15
 """Part of a route's time by which callers may differ in how long they wait."""
 MAX_BUDGETS_PER_ROUTE = 64
 """Requests of a route from which it is told whether its callers differ."""
-KEPT_ROUTES = 1000
+MAX_ROUTES = 1000
 """Routes of which budgets are kept: configurations come with new ones all the time."""
-LEAST_BUDGETS = 16
+MIN_BUDGETS = 16
 """Requests before which callers may differ."""
-ALIKE_WITHIN = 0.02
+EQUAL_BUDGET_TOLERANCE = 0.02
 """Difference from the longest budget, as a part of it, up to which two are alike."""
-ALIKE_PART = 0.2
+MIN_EQUAL_FRACTION = 0.2
 """Part of the requests with alike budgets from which callers do not differ. After an
 outage most requests come again, with less time left."""
 
@@ -34,30 +34,34 @@
         """Return the number of routes of which budgets are kept."""
         return len(self._budgets)
 
-    def observe(self, route, budget_s):
+    def observe(self, route, time_budget_s):
         """Note a request; return the seconds that its caller has waited elsewhere.
 
         :param route: :class:`~cowslipcourse.routes.Route`
         :param budget_s: seconds that the caller said it will wait, or ``None``.
         """
-        if budget_s is None:
+        if time_budget_s is None:
             return 0.0
         budgets = self._budgets_of(route)
-        budgets.append(budget_s)
-        spread = PATIENCE_SPREAD if _may_differ(budgets) else 0.0
-        return max(0.0, route.timeout_s * (1 - spread) - budget_s)
+        budgets.append(time_budget_s)
+        spread_fraction = (
+            TIMEOUT_SPREAD_FRACTION if _timeouts_may_vary(budgets) else 0.0
+        )
+        return max(0.0, route.timeout_s * (1 - spread_fraction) - time_budget_s)
 
     def _budgets_of(self, route):
         if route.name not in self._budgets:
-            while len(self._budgets) >= KEPT_ROUTES:
+            while len(self._budgets) >= MAX_ROUTES:
                 del self._budgets[next(iter(self._budgets))]
             self._budgets[route.name] = deque(maxlen=MAX_BUDGETS_PER_ROUTE)
         return self._budgets[route.name]
 
 
-def _may_differ(budgets):
+def _timeouts_may_vary(budgets):
     """Whether callers may differ in how long they wait."""
-    if len(budgets) < LEAST_BUDGETS:
+    if len(budgets) < MIN_BUDGETS:
         return True
-    alike_s = max(budgets) * (1 - ALIKE_WITHIN)
-    return sum(budget_s >= alike_s for budget_s in budgets) < ALIKE_PART * len(budgets)
+    threshold_s = max(budgets) * (1 - EQUAL_BUDGET_TOLERANCE)
+    return sum(
+        time_budget_s >= threshold_s for time_budget_s in budgets
+    ) < MIN_EQUAL_FRACTION * len(budgets)
--- a/cowslipcourse/entry/pauses.py
+++ b/cowslipcourse/entry/pauses.py
@@ -5,7 +5,7 @@
 __all__ = ["ticks"]
 
 
-async def ticks(interval_s, may_rest=None, rest_s=0.0):
+async def ticks(interval_s, is_idle=None, idle_interval_s=0.0):
     """Yield ``(loop time, seconds by which the tick is late)`` for ever.
 
     A late tick tells that the process was paused or starved, or that the work of the
@@ -18,11 +18,11 @@
     :param rest_s: seconds until the next tick in that case.
     """
     loop = asyncio.get_running_loop()
-    last = loop.time()
+    previous = loop.time()
     while True:
-        rests = may_rest is not None and may_rest()
-        length_s = rest_s if rests else interval_s
-        await asyncio.sleep(length_s)
+        idle = is_idle is not None and is_idle()
+        delay_s = idle_interval_s if idle else interval_s
+        await asyncio.sleep(delay_s)
         now = loop.time()
-        yield now, now - last - length_s
-        last = now
+        yield now, now - previous - delay_s
+        previous = now
--- a/cowslipcourse/entry/placing.py
+++ b/cowslipcourse/entry/placing.py
@@ -9,9 +9,9 @@
 
 __all__ = ["StreamTargetChooser"]
 
-LOOK_AGAIN_S = 0.02
+POLL_INTERVAL_S = 0.02
 """Interval at which a request that waits for a place looks again."""
-WAIT_SHARE = 0.3
+MAX_WAIT_FRACTION = 0.3
 """Share of the caller's time that a request may wait for a place."""
 
 log = get_logger(__name__)
@@ -26,7 +26,7 @@
     def __init__(self, context):
         self._context = context
 
-    async def place(self, progress, service, tried):
+    async def choose(self, progress, service, tried_ids):
         """Return the :class:`~cowslipcourse.entry.accounting.TargetChoice` of a stream.
 
         :param progress: how far the stream has come.
@@ -34,44 +34,46 @@
         :param tried: ids of targets that it is not to be sent to again.
         """
         call, loop = progress.call, asyncio.get_running_loop()
-        began_at = loop.time()
-        give_up_at = began_at + (call.deadline - began_at) * WAIT_SHARE
+        wait_started_at = loop.time()
+        give_up_at = (
+            wait_started_at + (call.deadline - wait_started_at) * MAX_WAIT_FRACTION
+        )
         while True:
             now = loop.time()
-            places = self._places(call, service, now)
-            place = self._choose(progress, places, tried, now)
-            if place is not None:
-                progress.slot_wait_s += now - began_at
-                return TargetChoice(place.entry)
+            candidates = self._candidates(call, service, now)
+            candidate = self._choose_group(progress, candidates, tried_ids, now)
+            if candidate is not None:
+                progress.slot_wait_s += now - wait_started_at
+                return TargetChoice(candidate.entry)
             if now >= give_up_at:
-                cause = no_target_cause(places, tried)
-                _note_no_place(call, cause, places, tried)
+                cause = no_target_cause(candidates, tried_ids)
+                _log_no_target(call, cause, candidates, tried_ids)
                 return TargetChoice(None, cause)
-            await asyncio.sleep(LOOK_AGAIN_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
 
-    def _places(self, call, service, now):
+    def _candidates(self, call, service, now):
         spec = self._context.service_spec(service)
         if spec.models:
             model = call.fields.model
             return self._context.fleet.group_candidates(service, model, spec.slots, now)
         return self._context.fleet.service_candidates(service, now)
 
-    def _choose(self, progress, places, tried, now):
+    def _choose_group(self, progress, candidates, tried_ids, now):
         """Return a place with room; a stream that has begun goes on at once."""
         call = progress.call
         is_late = not (
-            progress.has_begun or can_meet_objective(call.route, call.waited_s(now))
+            progress.has_events or can_meet_objective(call.route, call.waited_s(now))
         )
-        return choose_group(places, tried, self._context.rng, is_late=is_late)
+        return choose_group(candidates, tried_ids, self._context.rng, is_late=is_late)
 
 
-def _note_no_place(call, cause, places, tried):
+def _log_no_target(call, cause, candidates, tried_ids):
     log.info(
         "no-place",
         request=call.id,
         model=call.fields.model,
         cause=cause,
-        groups=len(places),
-        in_flight=sum(place.in_flight for place in places),
-        tried=",".join(sorted(tried)),
+        groups=len(candidates),
+        in_flight=sum(candidate.in_flight for candidate in candidates),
+        tried=",".join(sorted(tried_ids)),
     )
--- a/cowslipcourse/entry/plain.py
+++ b/cowslipcourse/entry/plain.py
@@ -5,14 +5,14 @@
 from cowslipcourse.adapters.log import get_logger
 from cowslipcourse.entry.accounting import TargetChoice, no_target_cause
 from cowslipcourse.entry.choosing import choose_target
-from cowslipcourse.entry.outcomes import NOT_RUN_STATUSES
+from cowslipcourse.entry.outcomes import NOT_EXECUTED_STATUSES
 from cowslipcourse.entry.retrying import try_targets
 from cowslipcourse.exceptions import AnswerBroken, TargetError, TargetRefused
 from cowslipcourse.platform.edge import is_not_executed, response_headers
 
 __all__ = ["UnaryForwarder"]
 
-FAILURE_STATUS = 300
+MIN_FAILURE_STATUS = 300
 
 log = get_logger(__name__)
 
@@ -29,8 +29,8 @@
     async def forward(self, call, service, responder):
         """Bring a call to a target; see :class:`~cowslipcourse.entry.Forwarder`."""
 
-        async def choose(tried):
-            return self._target(service, tried)
+        async def choose(tried_ids):
+            return self._choose(service, tried_ids)
 
         async def attempt(run, is_last):
             nonlocal head
@@ -42,17 +42,17 @@
         entry, attempts = await try_targets(
             self._context, call, service, choose, attempt
         )
-        _note_done(call, entry, head, attempts)
+        _log_completion(call, entry, head, attempts)
 
-    def _target(self, service, tried):
+    def _choose(self, service, tried_ids):
         now = asyncio.get_running_loop().time()
-        places = self._context.fleet.service_candidates(service, now)
-        place = choose_target(
-            places, tried, self._context.data_centre, self._context.rng
+        candidates = self._context.fleet.service_candidates(service, now)
+        candidate = choose_target(
+            candidates, tried_ids, self._context.data_centre, self._context.rng
         )
-        if place is None:
-            return TargetChoice(None, no_target_cause(places, tried))
-        return TargetChoice(place.entry)
+        if candidate is None:
+            return TargetChoice(None, no_target_cause(candidates, tried_ids))
+        return TargetChoice(candidate.entry)
 
     async def _attempt(self, call, run, is_last):
         async with self._context.attempt_sender.open(call, run) as attempt:
@@ -68,13 +68,13 @@
                 raise
         if head.status >= 500 and call.route.may_repeat and not is_last:
             raise AnswerBroken(f"answered {head.status}")
-        if head.status in NOT_RUN_STATUSES:
+        if head.status in NOT_EXECUTED_STATUSES:
             raise AnswerBroken(f"answered {head.status} without proof")
-        run.succeeded = head.status < FAILURE_STATUS
+        run.succeeded = head.status < MIN_FAILURE_STATUS
         return head, body
 
 
-def _note_done(call, entry, head, attempts):
+def _log_completion(call, entry, head, attempts):
     now = asyncio.get_running_loop().time()
     log.info(
         "answered",
--- a/cowslipcourse/entry/retrying.py
+++ b/cowslipcourse/entry/retrying.py
@@ -28,43 +28,47 @@
     :raises RequestError: no attempt succeeded.
     """
     loop = asyncio.get_running_loop()
-    tried, runs = set(), 0
+    tried_ids, possible_runs = set(), 0
     while True:
-        _check_quarantine(context, call, runs)
-        entry, cause = await choose(tried)
+        _check_quarantine(context, call, possible_runs)
+        entry, cause = await choose(tried_ids)
         if entry is None:
-            raise final_error(runs, cause)
+            raise final_error(possible_runs, cause)
         # The verdict may have come while the request waited for a place.
-        _check_quarantine(context, call, runs)
-        tried.add(entry.id)
+        _check_quarantine(context, call, possible_runs)
+        tried_ids.add(entry.id)
         run = TargetRun(entry)
-        is_last = runs + 1 >= call.route.max_attempts
+        is_last = possible_runs + 1 >= call.route.max_attempts
         try:
             with context.quarantine.watching(call, run):
                 await attempt(run, is_last)
         except TargetError as error:
-            runs += may_have_run(error)
-            _note_failed(context, call, run, error, loop.time())
-            if not may_retry(call.route, runs, error):
-                raise final_error(runs, error.code) from error
+            possible_runs += may_have_run(error)
+            _record_failure(context, call, run, error, loop.time())
+            if not may_retry(call.route, possible_runs, error):
+                raise final_error(possible_runs, error.code) from error
             if not context.retry_budget.take(service, loop.time()):
-                raise final_error(runs, LossCause.NO_BUDGET) from error
+                raise final_error(possible_runs, LossCause.NO_BUDGET) from error
             continue
         if run.succeeded:
             context.quarantine.note_answered(call)
-        return entry, len(tried)
+        return entry, len(tried_ids)
 
 
-def _check_quarantine(context, call, runs):
+def _check_quarantine(context, call, possible_runs):
     """Stop a request that ends targets, before it is sent to another one.
 
     :param runs: attempts in which it may have run, by which the caller is told.
     """
     if context.quarantine.is_quarantined(call):
-        raise final_error(runs) if runs else context.quarantine.refusal(call)
+        raise (
+            final_error(possible_runs)
+            if possible_runs
+            else context.quarantine.refusal(call)
+        )
 
 
-def _note_failed(context, call, run, error, now):
+def _record_failure(context, call, run, error, now):
     if isinstance(error, TargetUnreachable):
         context.fleet.suspect(run.entry.id, now)
     log.info(
--- a/cowslipcourse/entry/silence.py
+++ b/cowslipcourse/entry/silence.py
@@ -6,18 +6,18 @@
 
 __all__ = ["SilenceDetector", "WatchedStream"]
 
-TICK_S = 0.03
-REST_S = 0.1
+CHECK_INTERVAL_S = 0.03
+IDLE_INTERVAL_S = 0.1
 """Interval without streams; the first event of one may take longer than that anyway."""
-STREAM_SILENCE_S = 0.3
+MAX_EVENT_GAP_S = 0.3
 """Longest pause inside a stream of a sound group: five token steps of a full batch and
 a prompt chunk for each of a few newcomers stay under it."""
-FIRST_EVENT_S = 0.8
+MAX_FIRST_EVENT_WAIT_S = 0.8
 """Longest wait for a first event while the group's other streams are silent too and
 the group runs everything that it has."""
-QUEUED_EVENT_S = 3.0
+MAX_QUEUED_EVENT_WAIT_S = 3.0
 """The same where requests wait at the group."""
-OWN_PAUSE_S = 0.12
+LOCAL_PAUSE_S = 0.12
 """A tick that comes this late says that this process stood still, not the target."""
 
 log = get_logger(__name__)
@@ -30,10 +30,10 @@
     :param call_id: id of the request, for logs.
     """
 
-    def __init__(self, attempt, call_id):
+    def __init__(self, attempt, request_id):
         self.attempt = attempt
-        self.call_id = call_id
-        self.has_begun = False
+        self.request_id = request_id
+        self.has_events = False
 
 
 class SilenceDetector:
@@ -47,7 +47,7 @@
         self._fleet = fleet
         self._on_suspect = on_suspect
         self._streams = {}
-        self._trusted_from = 0.0
+        self._observed_since = 0.0
 
     def add(self, stream):
         """Watch a stream."""
@@ -62,39 +62,41 @@
 
     async def run(self):
         """Look again and again."""
-        async for now, late_s in ticks(TICK_S, lambda: not self._streams, REST_S):
-            if late_s > OWN_PAUSE_S:
-                self._trusted_from = now
+        async for now, late_s in ticks(
+            CHECK_INTERVAL_S, lambda: not self._streams, IDLE_INTERVAL_S
+        ):
+            if late_s > LOCAL_PAUSE_S:
+                self._observed_since = now
                 log.info("own-pause", seconds=round(late_s, 3))
             self.check(now)
 
     def check(self, now):
         """End the streams of targets that are silent at a loop time."""
         for target, streams in list(self._streams.items()):
-            heard_at = max(
+            last_received_at = max(
                 stream.attempt.connection.last_received_at for stream in streams
             )
-            heard_at = max(heard_at, self._trusted_from)
+            last_received_at = max(last_received_at, self._observed_since)
             for stream in list(streams):
-                silent_s = now - max(heard_at, stream.attempt.sent_at)
+                silent_s = now - max(last_received_at, stream.attempt.sent_at)
                 if silent_s > self._limit_s(stream):
-                    self._end(target, stream, silent_s, now)
+                    self._abort_stream(target, stream, silent_s, now)
 
     def _limit_s(self, stream):
-        if stream.has_begun:
-            return STREAM_SILENCE_S
+        if stream.has_events:
+            return MAX_EVENT_GAP_S
         entry = stream.attempt.entry
-        queued = self._fleet.load(entry.id) > entry.slots
-        return QUEUED_EVENT_S if queued else FIRST_EVENT_S
+        is_queued = self._fleet.load(entry.id) > entry.slots
+        return MAX_QUEUED_EVENT_WAIT_S if is_queued else MAX_FIRST_EVENT_WAIT_S
 
-    def _end(self, target, stream, silent_s, now):
+    def _abort_stream(self, target, stream, silent_s, now):
         if self._fleet.suspect(target, now):
             log.warning(
                 "target-silent",
                 target=target,
-                request=stream.call_id,
+                request=stream.request_id,
                 seconds=round(silent_s, 3),
-                begun=stream.has_begun,
+                begun=stream.has_events,
             )
             self._on_suspect()
         error = TargetSilent(f"{target} was silent for {silent_s:.2f} s")
--- a/cowslipcourse/entry/streaming.py
+++ b/cowslipcourse/entry/streaming.py
@@ -4,7 +4,7 @@
 
 from cowslipcourse.adapters.log import get_logger
 from cowslipcourse.entry.accounting import StreamTimes, late_cause
-from cowslipcourse.entry.outcomes import NOT_RUN_STATUSES
+from cowslipcourse.entry.outcomes import NOT_EXECUTED_STATUSES
 from cowslipcourse.entry.placing import StreamTargetChooser
 from cowslipcourse.entry.retrying import try_targets
 from cowslipcourse.entry.silence import WatchedStream
@@ -17,7 +17,7 @@
 log = get_logger(__name__)
 
 
-class _Progress:
+class _StreamProgress:
     """How far a caller's stream has come.
 
     :param call: :class:`~cowslipcourse.entry.calls.Call`
@@ -28,28 +28,28 @@
         self.call = call
         self.responder = responder
         self.position = StreamPosition(call.fields.last_event_id)
-        self.first_s = None
+        self.first_event_s = None
         self.longest_pause_s = 0.0
         self.slot_wait_s = 0.0
-        self._last_at = None
+        self._last_event_at = None
 
     @property
-    def resume_after(self):
+    def resume_event_id(self):
         """Id of the last event that was passed on, or ``None``."""
         return self.position.last if self.position.passed else None
 
     @property
-    def has_begun(self):
+    def has_events(self):
         """Whether the caller has events already, of this daemon or of another one."""
         return self.position.last is not None
 
-    def note_events(self, now):
+    def record_events(self, now):
         """Note that events were passed on."""
-        if self._last_at is None:
-            self.first_s = now - self.call.arrived_at
+        if self._last_event_at is None:
+            self.first_event_s = now - self.call.arrived_at
         else:
-            self.longest_pause_s = max(self.longest_pause_s, now - self._last_at)
-        self._last_at = now
+            self.longest_pause_s = max(self.longest_pause_s, now - self._last_event_at)
+        self._last_event_at = now
 
 
 class StreamForwarder:
@@ -60,28 +60,28 @@
 
     def __init__(self, context):
         self._context = context
-        self._placing = StreamTargetChooser(context)
+        self._target_chooser = StreamTargetChooser(context)
 
     async def forward(self, call, service, responder):
         """Bring a call to a target; see :class:`~cowslipcourse.entry.Forwarder`."""
-        progress = _Progress(call, responder)
+        progress = _StreamProgress(call, responder)
 
-        async def choose(tried):
-            return await self._placing.place(progress, service, tried)
+        async def choose(tried_ids):
+            return await self._target_chooser.choose(progress, service, tried_ids)
 
         async def attempt(run, is_last):
-            await self._run(progress, run)
+            await self._attempt(progress, run)
 
         entry, attempts = await try_targets(
             self._context, call, service, choose, attempt
         )
-        _note_done(progress, entry, attempts)
+        _log_completion(progress, entry, attempts)
 
-    async def _run(self, progress, run):
+    async def _attempt(self, progress, run):
         call = progress.call
         run.last_event_id = progress.position.last or 0
         async with self._context.attempt_sender.open(
-            call, run, progress.resume_after
+            call, run, progress.resume_event_id
         ) as attempt:
             stream = WatchedStream(attempt, call.id)
             self._context.silence_detector.add(stream)
@@ -100,15 +100,15 @@
         if is_not_executed(head):
             raise TargetRefused(f"answered {head.status}")
         if head.status != 200:
-            await self._pass_failure(head, attempt, responder)
+            await self._relay_error(head, attempt, responder)
             return
         splitter = EventSplitter()
         while chunk := await attempt.connection.read():
             events = splitter.feed(chunk)
             if not events:
                 continue
-            stream.has_begun = True
-            await self._pass_on(progress, run, head, events)
+            stream.has_events = True
+            await self._relay_events(progress, run, head, events)
         if splitter.has_rest:
             raise AnswerBroken("the stream ended inside an event")
         run.succeeded = True
@@ -116,33 +116,33 @@
             await responder.start(200, _stream_headers(head))
         await responder.finish()
 
-    async def _pass_on(self, progress, run, head, events):
-        passed = progress.position.passed
-        content, fault = progress.position.take(events)
-        run.relayed_events += progress.position.passed - passed
+    async def _relay_events(self, progress, run, head, events):
+        relayed_before = progress.position.passed
+        content, error = progress.position.take(events)
+        run.relayed_events += progress.position.passed - relayed_before
         run.last_event_id = progress.position.last or 0
         if content:
-            progress.note_events(asyncio.get_running_loop().time())
+            progress.record_events(asyncio.get_running_loop().time())
             if not progress.responder.started:
                 await progress.responder.start(200, _stream_headers(head))
             await progress.responder.send_chunk(content)
-        if fault is not None:
-            raise fault
+        if error is not None:
+            raise error
 
-    async def _pass_failure(self, head, attempt, responder):
+    async def _relay_error(self, head, attempt, responder):
         body = await attempt.connection.read_all()
-        if responder.started or head.status in NOT_RUN_STATUSES:
+        if responder.started or head.status in NOT_EXECUTED_STATUSES:
             raise AnswerBroken(f"answered {head.status}")
         await responder.start(head.status, response_headers(head.headers))
         await responder.finish(body)
 
 
-def _note_done(progress, entry, attempts):
+def _log_completion(progress, entry, attempts):
     call = progress.call
     now = asyncio.get_running_loop().time()
     times = StreamTimes(
         progress.slot_wait_s,
-        progress.first_s or 0.0,
+        progress.first_event_s or 0.0,
         progress.longest_pause_s,
         attempts,
     )
@@ -156,7 +156,9 @@
         target=entry.id,
         attempts=attempts,
         events=progress.position.passed,
-        first_s=None if progress.first_s is None else round(progress.first_s, 3),
+        first_s=None
+        if progress.first_event_s is None
+        else round(progress.first_event_s, 3),
         pause_s=round(progress.longest_pause_s, 3),
         seconds=round(now - call.arrived_at, 3),
     )
--- a/cowslipcourse/entry/urgency.py
+++ b/cowslipcourse/entry/urgency.py
@@ -5,29 +5,29 @@
 worth the same a moment later; those that can still be on time are not.
 """
 
-__all__ = ["LEAST_URGENT", "can_meet_objective", "urgency"]
+__all__ = ["LEAST_URGENT_LEVEL", "can_meet_objective", "urgency"]
 
-LEAST_URGENT = 9
+LEAST_URGENT_LEVEL = 9
 """The scale that engines know ends there; 0 is the most urgent."""
-LEVELS_A_RANK = 2
+LEVELS_PER_PRIORITY = 2
 """On time and late: a rank that the operator gave comes before lateness."""
-SENT_WITHIN = 0.5
+SEND_DEADLINE_FRACTION = 0.5
 """Part of the objective within which a request must be sent to a target to be on time;
 the rest is for the target's first event."""
 
 
 def urgency(route, workspace, waited_s):
-    """Return the urgency of a request, from 0 to :data:`LEAST_URGENT`.
+    """Return the urgency of a request, from 0 to :data:`LEAST_URGENT_LEVEL`.
 
     :param route: :class:`~cowslipcourse.routes.Route`
     :param workspace: :class:`~cowslipcourse.routes.Workspace` or ``None``.
     :param waited_s: seconds that the caller has waited, here and elsewhere.
     """
-    rank = route.priority
+    priority = route.priority
     if workspace is not None and workspace.priority is not None:
-        rank = workspace.priority
+        priority = workspace.priority
     is_late = waited_s > route.objective_s
-    return min(LEVELS_A_RANK * rank + is_late, LEAST_URGENT)
+    return min(LEVELS_PER_PRIORITY * priority + is_late, LEAST_URGENT_LEVEL)
 
 
 def can_meet_objective(route, waited_s):
@@ -36,4 +36,4 @@
     :param route: :class:`~cowslipcourse.routes.Route`
     :param waited_s: seconds that the caller has waited, here and elsewhere.
     """
-    return waited_s <= SENT_WITHIN * route.objective_s
+    return waited_s <= SEND_DEADLINE_FRACTION * route.objective_s
--- a/features/steps/forwarding_steps.py
+++ b/features/steps/forwarding_steps.py
@@ -102,7 +102,7 @@
 
 def _stream(target, heard_at, begun):
     stream = WatchedStream(Attempt(_entry(target), _Connection(heard_at), 10.0), "r1")
-    stream.has_begun = begun
+    stream.has_events = begun
     return stream
 
 
--- a/features/steps/head_steps.py
+++ b/features/steps/head_steps.py
@@ -25,7 +25,7 @@
 
 def _show(context, entry):
     context.entries[entry.id] = entry
-    context.heads.see_entries(context.entries.values())
+    context.heads.update_entries(context.entries.values())
 
 
 @given(
@@ -72,7 +72,7 @@
 
 
 def _serving(context, now):
-    return {entry.id for entry in context.heads.serving("llm", "large", now)}
+    return {entry.id for entry in context.heads.serving_heads("llm", "large", now)}
 
 
 @then("nobody serves at {now:f} s")
