--- a/cowslipcourse/entry/streaming.py
+++ b/cowslipcourse/entry/streaming.py
@@ -36,7 +36,7 @@
     @property
     def resume_event_id(self):
         """Id of the last event that was passed on, or ``None``."""
-        return self.position.last if self.position.passed else None
+        return self.position.last if self.position.forwarded else None
 
     @property
     def has_events(self):
@@ -109,7 +109,7 @@
                 continue
             stream.has_events = True
             await self._relay_events(progress, run, head, events)
-        if splitter.has_rest:
+        if splitter.has_partial_event:
             raise AnswerBroken("the stream ended inside an event")
         run.succeeded = True
         if not responder.started:
@@ -117,9 +117,9 @@
         await responder.finish()
 
     async def _relay_events(self, progress, run, head, events):
-        relayed_before = progress.position.passed
-        content, error = progress.position.take(events)
-        run.relayed_events += progress.position.passed - relayed_before
+        relayed_before = progress.position.forwarded
+        content, error = progress.position.filter_events(events)
+        run.relayed_events += progress.position.forwarded - relayed_before
         run.last_event_id = progress.position.last or 0
         if content:
             progress.record_events(asyncio.get_running_loop().time())
@@ -155,7 +155,7 @@
         place_s=round(progress.slot_wait_s, 3),
         target=entry.id,
         attempts=attempts,
-        events=progress.position.passed,
+        events=progress.position.forwarded,
         first_s=None
         if progress.first_event_s is None
         else round(progress.first_event_s, 3),
