--- a/features/support/platform_site.py
+++ b/features/support/platform_site.py
@@ -27,6 +27,7 @@
 from features.support.engine_world import LARGE, SERVICE, SMALL
 from features.support.platform_store import Store
 from features.support.wire import entry_content, entry_fields
+from harness.builds import Builds
 from harness.ports import free_ports
 
 __all__ = [
@@ -129,6 +130,7 @@
         self.runs = []
         self.keys = [KEY]
         self.configuration = 1
+        self._builds = Builds()
         self._daemons = daemons
         self._shape = (domains, engines)
         self._servers = []
@@ -407,10 +409,16 @@
         if name not in self.fronts:
             self._write_settings(name, path)
         log = (self.folder / f"{name}.log").open("a")
-        command = [sys.executable, "-m", "cowslipcourse.entry", "run", str(path)]
+        checkout = self._builds.next_checkout(name)
+        python = sys.executable if checkout is None else checkout / ".venv/bin/python"
+        command = [python, "-m", "cowslipcourse.entry", "run", str(path)]
         environment = {**os.environ, "PYTHONUNBUFFERED": "1"}
         self.processes[name] = subprocess.Popen(
-            command, stdout=log, stderr=subprocess.STDOUT, env=environment
+            command,
+            stdout=log,
+            stderr=subprocess.STDOUT,
+            env=environment,
+            cwd=checkout,
         )
 
     def _write_settings(self, name, path):
--- a/harness/site.py
+++ b/harness/site.py
@@ -16,6 +16,7 @@
 from types import MappingProxyType
 from typing import NamedTuple
 
+from harness.builds import Builds
 from harness.ports import free_ports
 
 __all__ = ["LocalSite", "SiteShape", "VmShape"]
@@ -98,6 +99,7 @@
         self.processes = {}
         self.urls = {}
         self._frozen = set()
+        self._builds = Builds()
         self._plan_ports()
 
     def _plan_ports(self):
@@ -166,14 +168,19 @@
 
     def start_process(self, name):
         """Start one process and return it."""
-        program = "cowslip-standin"
+        program, checkout = "cowslip-standin", None
         if name in self.gateway_names:
             program = "cowslip-gateway"
         elif name in self.controller_names:
             program = "cowslip-controller"
+        if program != "cowslip-standin":
+            checkout = self._builds.next_checkout(name)
+        programs = BIN if checkout is None else checkout / ".venv/bin"
         with (self.folder / f"{name}.log").open("ab") as log:
             process = subprocess.Popen(
-                [BIN / program, self.folder / f"{name}.toml"], stderr=log, stdout=log
+                [programs / program, self.folder / f"{name}.toml"],
+                stderr=log,
+                stdout=log,
             )
         self.processes[name] = process
         return process
--- a/soak/run.py
+++ b/soak/run.py
@@ -3,6 +3,7 @@
 import argparse
 import asyncio
 import logging
+import os
 import random
 import shutil
 import sys
@@ -112,7 +113,8 @@
         if violations and arguments.keep:
             target = arguments.keep / f"seed-{seed}"
             shutil.copytree(site.folder, target, dirs_exist_ok=True)
-        shutil.rmtree(site.folder)
+        if not os.environ.get("COWSLIP_KEEP_LOGS"):
+            shutil.rmtree(site.folder)
     print(f"{arguments.last - arguments.first + 1 - failed} passed, {failed} failed")
     return 1 if failed else 0
 
