--- a/cowslipcourse/emulator/daemons.py
+++ b/cowslipcourse/emulator/daemons.py
@@ -3,15 +3,15 @@
 import random
 
 from cowslipcourse.admission import SharedRetryBudget
-from cowslipcourse.emulator.connections import EmulatedAttempts
+from cowslipcourse.emulator.connections import EmulatedAttemptSender
 from cowslipcourse.entry.coordinator import Coordinator
 from cowslipcourse.entry.fleet import FleetView
 from cowslipcourse.entry.forwarding import Forwarder
 from cowslipcourse.entry.settings import EntrySettings
-from cowslipcourse.entry.silence import SilenceWatch
-from cowslipcourse.entry.tools import EntryTools
-from cowslipcourse.quarantine import KeptVerdicts
-from cowslipcourse.quarantining import Quarantine, TargetEnds
+from cowslipcourse.entry.silence import SilenceDetector
+from cowslipcourse.entry.tools import DaemonContext
+from cowslipcourse.quarantine import VerdictStore
+from cowslipcourse.quarantining import Quarantine, TargetExitDetector
 
 __all__ = ["DataCentres", "EmulatedDaemon", "WholeSite"]
 
@@ -26,7 +26,9 @@
 
 
 class WholeSite:
-    """Meets :class:`~cowslipcourse.entry.scope.Scope`: one daemon keeps all domains.
+    """Meets :class:`~cowslipcourse.entry.scope.CoordinationScope`.
+
+    One daemon keeps all domains.
 
     :param acts: callable that tells whether it is this one.
     """
@@ -36,13 +38,13 @@
     def __init__(self, acts):
         self._acts = acts
 
-    def tends(self, data_centre):
+    def coordinates(self, data_centre):
         """Whether this daemon keeps the groups, wherever they are."""
         return self._acts()
 
 
 class DataCentres:
-    """Meets :class:`~cowslipcourse.entry.scope.Scope`: a part of the site.
+    """Meets :class:`~cowslipcourse.entry.scope.CoordinationScope`: a part of the site.
 
     :param tended: names of the data centres whose groups this daemon keeps.
     :param coordinators: number of daemons that keep groups.
@@ -52,7 +54,7 @@
         self.tended = frozenset(tended)
         self.coordinators = coordinators
 
-    def tends(self, data_centre):
+    def coordinates(self, data_centre):
         """Whether this daemon keeps the groups of a data centre."""
         return data_centre in self.tended
 
@@ -74,25 +76,25 @@
         settings = _settings(name, data_centre)
         self.fleet = FleetView()
         self.coordinators = ()
-        self._silence = SilenceWatch(self.fleet, self._on_suspect)
-        tools = EntryTools(
+        self._silence = SilenceDetector(self.fleet, self._on_suspect)
+        context = DaemonContext(
             settings,
             self.fleet,
-            EmulatedAttempts(name, self.fleet, heads),
+            EmulatedAttemptSender(name, self.fleet, heads),
             SharedRetryBudget(settings.retries),
             self._silence,
             None,
             random.Random(seed),
         )
-        tools.table = table
+        context.table = table
         self.name = name
-        self._tools = tools
+        self._context = context
         self._network = network
         self._heads = heads
         self.forget()
-        self.forwarder = Forwarder(tools)
+        self.forwarder = Forwarder(context)
         self.coordinator = Coordinator(
-            tools,
+            context,
             heads.world,
             heads.world,
             settings.control,
@@ -105,10 +107,10 @@
         """Lose what it knows of requests that end engines, as in a new start."""
         heads = self._heads
         peers = self._network.peers(self.name)
-        ends = TargetEnds(self.fleet.expects, heads.refuses)
-        kept = KeptVerdicts(heads.world, heads.now)
-        self._tools.quarantine = Quarantine(peers, ends, kept)
-        self._network.attach(self.name, self._tools.quarantine)
+        ends = TargetExitDetector(self.fleet.is_expected, heads.refuses)
+        kept = VerdictStore(heads.world, heads.now)
+        self._context.quarantine = Quarantine(peers, ends, kept)
+        self._network.attach(self.name, self._context.quarantine)
 
     def coroutines(self):
         """Return the coroutines that keep it going."""
@@ -119,8 +121,8 @@
         """Take changes of the list of targets."""
         self.fleet.apply(changed, gone)
         if self.acts:
-            self.coordinator.domains.see_entries(changed)
-            self.coordinator.domains.see_gone(gone)
+            self.coordinator.domains.update_entries(changed)
+            self.coordinator.domains.mark_unlisted(gone)
 
     def take_news(self, news):
         """Take in what a coordinator has decided about a group."""
@@ -130,4 +132,4 @@
         now = self._heads.now()
         for target, epoch in self.fleet.suspects(now).items():
             for coordinator in self.coordinators:
-                coordinator.look_into(target, epoch)
+                coordinator.investigate(target, epoch)
--- a/cowslipcourse/entry/front.py
+++ b/cowslipcourse/entry/front.py
@@ -7,9 +7,9 @@
 from cowslipcourse.adapters.log import get_logger
 from cowslipcourse.entry.accounting import SERVED
 from cowslipcourse.entry.calls import Responder, read_call
-from cowslipcourse.entry.stopping import RequestDurations, can_end
+from cowslipcourse.entry.stopping import RequestDurations, can_finish
 from cowslipcourse.exceptions import CallerGone, GatewayDraining, RequestError
-from cowslipcourse.platform.edge import attempt_id, come_back_header
+from cowslipcourse.platform.edge import attempt_id, retry_after_header
 
 __all__ = ["FrontApp"]
 
@@ -31,13 +31,13 @@
 class FrontApp:
     """Serves callers.
 
-    :param tools: :class:`~cowslipcourse.entry.tools.EntryTools`
+    :param context: :class:`~cowslipcourse.entry.tools.DaemonContext`
     :param forwarder: :class:`~cowslipcourse.entry.forwarding.Forwarder`
     :param metrics: :class:`~cowslipcourse.entry.metrics.EntryMetrics`
     """
 
-    def __init__(self, tools, forwarder, metrics):
-        self._tools = tools
+    def __init__(self, context, forwarder, metrics):
+        self._context = context
         self._forwarder = forwarder
         self._metrics = metrics
         self._durations = RequestDurations()
@@ -77,11 +77,11 @@
             raise
         finally:
             self.in_flight -= 1
-            self._metrics.request(outcome, time.monotonic() - started_at)
-            self._metrics.account(ended.route, ended.model, ended.cause)
+            self._metrics.observe_request(outcome, time.monotonic() - started_at)
+            self._metrics.count_cause(ended.route, ended.model, ended.cause)
 
     async def _serve(self, scope, receive, responder, ended):
-        call = await read_call(scope, receive, self._tools.table)
+        call = await read_call(scope, receive, self._context.table)
         ended.route, ended.model = call.route.name, call.fields.model
         self._check_time_left(call)
         forwarding = asyncio.create_task(self._forwarder.forward(call, responder))
@@ -114,7 +114,7 @@
         if self._ends_at is None:
             return
         left_s = self._ends_at - call.arrived_at
-        if not can_end(left_s, self._durations.longest_s(call.route)):
+        if not can_finish(left_s, self._durations.longest_s(call.route)):
             raise GatewayDraining("this daemon is about to end", GO_ELSEWHERE_S)
 
     async def _fail(self, error, scope, receive, send, responder, ended):
@@ -134,7 +134,7 @@
         if responder.started:
             # Ending without the last chunk tells the caller that it is not whole.
             raise error
-        headers = come_back_header(error.retry_after_s)
+        headers = retry_after_header(error.retry_after_s)
         if self.is_draining:
             headers["Connection"] = "close"
         await problem_answer(error, headers)(scope, receive, send)
--- a/cowslipcourse/entry/streaming.py
+++ b/cowslipcourse/entry/streaming.py
@@ -5,11 +5,11 @@
 from cowslipcourse.adapters.log import get_logger
 from cowslipcourse.entry.accounting import StreamTimes, late_cause
 from cowslipcourse.entry.outcomes import NOT_RUN_STATUSES
-from cowslipcourse.entry.placing import StreamPlacing
+from cowslipcourse.entry.placing import StreamTargetChooser
 from cowslipcourse.entry.retrying import try_targets
 from cowslipcourse.entry.silence import WatchedStream
 from cowslipcourse.exceptions import AnswerBroken, TargetError, TargetRefused
-from cowslipcourse.platform.edge import answer_headers, failed_unexecuted
+from cowslipcourse.platform.edge import is_not_executed, response_headers
 from cowslipcourse.streams import EventSplitter, StreamPosition
 
 __all__ = ["StreamForwarder"]
@@ -27,16 +27,16 @@
     def __init__(self, call, responder):
         self.call = call
         self.responder = responder
-        self.position = StreamPosition(call.fields.last_event)
+        self.position = StreamPosition(call.fields.last_event_id)
         self.first_s = None
         self.longest_pause_s = 0.0
-        self.place_s = 0.0
+        self.slot_wait_s = 0.0
         self._last_at = None
 
     @property
     def resume_after(self):
         """Id of the last event that was passed on, or ``None``."""
-        return self.position.last if self.position.passed else None
+        return self.position.last if self.position.forwarded else None
 
     @property
     def has_begun(self):
@@ -55,12 +55,12 @@
 class StreamForwarder:
     """Forwards streams to heads of groups, or to targets of a plain service.
 
-    :param tools: :class:`~cowslipcourse.entry.tools.EntryTools`
+    :param context: :class:`~cowslipcourse.entry.tools.DaemonContext`
     """
 
-    def __init__(self, tools):
-        self._tools = tools
-        self._placing = StreamPlacing(tools)
+    def __init__(self, context):
+        self._context = context
+        self._placing = StreamTargetChooser(context)
 
     async def forward(self, call, service, responder):
         """Bring a call to a target; see :class:`~cowslipcourse.entry.Forwarder`."""
@@ -72,30 +72,32 @@
         async def attempt(run, is_last):
             await self._run(progress, run)
 
-        entry, attempts = await try_targets(self._tools, call, service, choose, attempt)
+        entry, attempts = await try_targets(
+            self._context, call, service, choose, attempt
+        )
         _note_done(progress, entry, attempts)
 
     async def _run(self, progress, run):
         call = progress.call
-        run.reached = progress.position.last or 0
-        async with self._tools.attempts.open(
+        run.last_event_id = progress.position.last or 0
+        async with self._context.attempt_sender.open(
             call, run, progress.resume_after
         ) as attempt:
             stream = WatchedStream(attempt, call.id)
-            self._tools.silence.add(stream)
+            self._context.silence_detector.add(stream)
             try:
                 await self._relay(progress, run, attempt, stream)
             except (TargetError, asyncio.CancelledError):
                 attempt.connection.abort()
                 raise
             finally:
-                self._tools.silence.remove(stream)
+                self._context.silence_detector.remove(stream)
 
     async def _relay(self, progress, run, attempt, stream):
         responder = progress.responder
         head = await attempt.connection.head()
-        run.has_begun = True
-        if failed_unexecuted(head):
+        run.answer_started = True
+        if is_not_executed(head):
             raise TargetRefused(f"answered {head.status}")
         if head.status != 200:
             await self._pass_failure(head, attempt, responder)
@@ -107,7 +109,7 @@
                 continue
             stream.has_begun = True
             await self._pass_on(progress, run, head, events)
-        if splitter.has_rest:
+        if splitter.has_partial_event:
             raise AnswerBroken("the stream ended inside an event")
         run.succeeded = True
         if not responder.started:
@@ -115,15 +117,15 @@
         await responder.finish()
 
     async def _pass_on(self, progress, run, head, events):
-        passed = progress.position.passed
-        content, fault = progress.position.take(events)
-        run.events += progress.position.passed - passed
-        run.reached = progress.position.last or 0
+        passed = progress.position.forwarded
+        content, fault = progress.position.filter_events(events)
+        run.relayed_events += progress.position.forwarded - passed
+        run.last_event_id = progress.position.last or 0
         if content:
             progress.note_events(asyncio.get_running_loop().time())
             if not progress.responder.started:
                 await progress.responder.start(200, _stream_headers(head))
-            await progress.responder.pass_on(content)
+            await progress.responder.send_chunk(content)
         if fault is not None:
             raise fault
 
@@ -131,7 +133,7 @@
         body = await attempt.connection.read_all()
         if responder.started or head.status in NOT_RUN_STATUSES:
             raise AnswerBroken(f"answered {head.status}")
-        await responder.start(head.status, answer_headers(head.headers))
+        await responder.start(head.status, response_headers(head.headers))
         await responder.finish(body)
 
 
@@ -139,7 +141,10 @@
     call = progress.call
     now = asyncio.get_running_loop().time()
     times = StreamTimes(
-        progress.place_s, progress.first_s or 0.0, progress.longest_pause_s, attempts
+        progress.slot_wait_s,
+        progress.first_s or 0.0,
+        progress.longest_pause_s,
+        attempts,
     )
     log.info(
         "streamed",
@@ -147,10 +152,10 @@
         route=call.route.name,
         model=call.fields.model,
         late=late_cause(call.route, times),
-        place_s=round(progress.place_s, 3),
+        place_s=round(progress.slot_wait_s, 3),
         target=entry.id,
         attempts=attempts,
-        events=progress.position.passed,
+        events=progress.position.forwarded,
         first_s=None if progress.first_s is None else round(progress.first_s, 3),
         pause_s=round(progress.longest_pause_s, 3),
         seconds=round(now - call.arrived_at, 3),
@@ -159,5 +164,5 @@
 
 def _stream_headers(head):
     """Return the headers of a stream; its length may differ if it goes on elsewhere."""
-    headers = answer_headers(head.headers)
+    headers = response_headers(head.headers)
     return [(name, value) for name, value in headers if name != b"content-length"]
--- a/cowslipcourse/exchange/__init__.py
+++ b/cowslipcourse/exchange/__init__.py
@@ -1,12 +1,12 @@
-"""HTTP/1.1 exchanges with targets, one at a time on each connection."""
+"""HTTP/1.1 client for targets, with one exchange at a time per connection."""
 
-from cowslipcourse.exchange.connection import AnswerHead, TargetConnection
+from cowslipcourse.exchange.connection import ResponseHead, TargetConnection
 from cowslipcourse.exchange.pool import ConnectionPool
 from cowslipcourse.exchange.request import TargetRequest, encode_request
 
 __all__ = [
-    "AnswerHead",
     "ConnectionPool",
+    "ResponseHead",
     "TargetConnection",
     "TargetRequest",
     "encode_request",
--- a/cowslipcourse/gateway/generation.py
+++ b/cowslipcourse/gateway/generation.py
@@ -20,7 +20,7 @@
 from cowslipcourse.gateway.quarantine_ports import GroupRun, Leader, SuspectCall
 from cowslipcourse.ports import GenerateRequest
 from cowslipcourse.quarantine import fingerprint
-from cowslipcourse.requests import AnswerRelay
+from cowslipcourse.requests import StreamRelay
 
 __all__ = ["Generation"]
 
@@ -57,7 +57,7 @@
             call.request_id, fingerprint(call.workspace, PATH, body)
         )
         self._run = None
-        self._relay = AnswerRelay()
+        self._relay = StreamRelay()
         self._tried = set()
         self._started = False
         self._group = ""
@@ -81,7 +81,7 @@
                 async for piece in pieces:
                     yield piece
         finally:
-            quarantine.note_over(self._suspect)
+            quarantine.note_finished(self._suspect)
 
     async def _attempts(self):
         attempts = self._tools.settings.limits.attempts
@@ -146,19 +146,19 @@
             checked_at, granted_at = now(), tools.view.granted_at(spec)
             self.groups.append(spec.group)
             batches = tools.targets.generate(spec.leader.address, request)
-            with tools.quarantine.watching(self._suspect, self._run):
+            with tools.quarantine.tracking(self._suspect, self._run):
                 async with aclosing(batches):
                     async for events in batches:
                         if not events:
-                            self._run.has_begun = True
+                            self._run.answer_started = True
                             continue
                         if attempt_id not in self.attempts:
                             self._begin(spec, attempt_id, granted_at, checked_at)
-                        piece = self._relay.take(attempt_id, events)
+                        piece = self._relay.filter_events(attempt_id, events)
                         self._run.note_events(len(events), self._relay.offset)
                         if piece:
                             yield piece
-                        self._relay.check()
+                        self._relay.raise_for_malformed()
             ended = True
             if not self._relay.complete:
                 raise TargetUnreachable("the stream ended without its end event")
@@ -186,7 +186,7 @@
 
         run = GroupRun(leader, self._relay.offset, cancel)
         # Whoever is alone at an engine does not wait there for others to end.
-        run.has_begun = self._is_alone_at(spec.group)
+        run.answer_started = self._is_alone_at(spec.group)
         return run
 
     def _is_alone_at(self, group):
--- a/cowslipcourse/gateway/quarantine_ports.py
+++ b/cowslipcourse/gateway/quarantine_ports.py
@@ -14,8 +14,8 @@
 from cowslipcourse.peers import decode, encode
 from cowslipcourse.ports import RowChanges, StoredRow
 from cowslipcourse.ports.platform import ABSENT, Transaction
-from cowslipcourse.quarantine import KeptVerdicts
-from cowslipcourse.quarantining import Quarantine, TargetEnds
+from cowslipcourse.quarantine import VerdictStore
+from cowslipcourse.quarantining import Quarantine, TargetExitDetector
 
 __all__ = [
     "GroupRun",
@@ -60,22 +60,22 @@
     """What a gateway sees of one run of a request at a group.
 
     :param entry: :class:`Leader`
-    :param reached: number of tokens that the caller has.
+    :param last_event_id: number of tokens that the caller has.
     :param cancel: callable that asks the leader to end the run.
     """
 
-    def __init__(self, entry, reached, cancel):
+    def __init__(self, entry, last_event_id, cancel):
         self.entry = entry
-        self.has_begun = False
-        self.events = 0
-        self.reached = reached
+        self.answer_started = False
+        self.relayed_events = 0
+        self.last_event_id = last_event_id
         self.ended_by_target = False
         self._cancel = cancel
 
-    def note_events(self, number, reached):
+    def note_events(self, number, last_event_id):
         """Note that events of the answer have come."""
-        self.events += number
-        self.reached = reached
+        self.relayed_events += number
+        self.last_event_id = last_event_id
 
     def stop(self, _error):
         """Break it off; its stream ends without its last event."""
@@ -91,7 +91,7 @@
 
 
 class RecordPeers:
-    """The other gateways, reached through records that spread with heartbeats.
+    """The other gateways, last_event_id through records that spread with heartbeats.
 
     :param agent: :class:`~cowslipcourse.daemon.Agent`
     """
@@ -111,19 +111,19 @@
         """This gateway's name."""
         return self._agent.member.name
 
-    def all(self):
+    def all_addresses(self):
         """Return the names of the other gateways."""
         peers = self._agent.node.peers
         return [peer.name for peer in peers if peer.role == Role.GATEWAY]
 
-    def living(self):
+    def alive_addresses(self):
         """Return the names of the other gateways that answer."""
         silent = set(self._agent.silent(self._agent.times.isolation_s))
-        return [name for name in self.all() if name not in silent]
+        return [name for name in self.all_addresses() if name not in silent]
 
-    def spoken_to(self):
+    def repeat_addresses(self):
         """Return the names of the others if this gateway is to repeat verdicts."""
-        others = self.living()
+        others = self.alive_addresses()
         return others if self.address < min(others, default="") else []
 
     def send(self, message, addresses):
@@ -169,7 +169,7 @@
     async def write(self, row_write):
         """See :class:`~cowslipcourse.ports.RowStore`."""
         key = f"{row_write.table}/{row_write.key}"
-        expected = row_write.expected
+        expected = row_write.expected_version
         conditions = {} if expected is None else {key: expected}
         content = _Content(row_write.value.decode())._asdict()
         return await self._table.commit(Transaction(conditions, {key: content}))
@@ -192,10 +192,10 @@
     :param table: :class:`~cowslipcourse.ports.TableService`
     """
     peers = RecordPeers(agent)
-    ends = TargetEnds(
-        lambda leader: not view.is_departing(leader.id), targets.has_ended
+    ends = TargetExitDetector(
+        lambda leader: not view.is_departing(leader.id), targets.refuses_connections
     )
-    kept = KeptVerdicts(TableRows(table), time.time)
+    kept = VerdictStore(TableRows(table), time.time)
     quarantine = Quarantine(peers, ends, kept)
     peers.listen(quarantine.take)
     return quarantine
--- a/features/steps/accounting_steps.py
+++ b/features/steps/accounting_steps.py
@@ -8,11 +8,11 @@
 from behave import given, then, when
 
 from cowslipcourse.emulator.clock import run_paused
-from cowslipcourse.entry.accounting import StreamTimes, late_cause, shortage
-from cowslipcourse.entry.census import CensusWatch
-from cowslipcourse.entry.fleet import FleetView, Place
+from cowslipcourse.entry.accounting import StreamTimes, late_cause, no_target_cause
+from cowslipcourse.entry.census import GroupCountMonitor
+from cowslipcourse.entry.fleet import Candidate, FleetView
 from cowslipcourse.entry.metrics import EntryMetrics
-from cowslipcourse.ports import GroupState, Membership, TargetEntry
+from cowslipcourse.ports import GroupMembership, GroupState, TargetEntry
 from cowslipcourse.routes import (
     CallerLimits,
     EngineModel,
@@ -36,7 +36,7 @@
 
 
 def _entry(target, state=GroupState.OPEN):
-    found = Membership(f"g-{target}", 3, 0, state, "small")
+    found = GroupMembership(f"g-{target}", 3, 0, state, "small")
     return TargetEntry(
         target, "llm", f"{target}:1", "n", SLOTS, domain="d", membership=found
     )
@@ -49,7 +49,7 @@
 def step_places(context, number, full, tried):
     # Those that were tried come last.
     context.places = [
-        Place(_entry(f"t{n}"), 2 * SLOTS if n < full else 0, SLOTS)
+        Candidate(_entry(f"t{n}"), 2 * SLOTS if n < full else 0, SLOTS)
         for n in range(number)
     ]
     context.tried = {f"t{n}" for n in range(number - tried, number)}
@@ -57,7 +57,7 @@
 
 @then('a request that finds no place is lost to "{cause}"')
 def step_shortage(context, cause):
-    assert shortage(context.places, context.tried) == cause
+    assert no_target_cause(context.places, context.tried) == cause
 
 
 @given("a route with an objective of {objective:f} s and pauses of {pause:f} s")
@@ -141,14 +141,14 @@
             context.said.append((record.getMessage(), record.fields))
 
     async def look():
-        watch = CensusWatch()
-        watch.look(context.routes, context.fleet)
+        watch = GroupCountMonitor()
+        watch.count(context.routes, context.fleet)
         broken = [_entry(target, GroupState.BROKEN) for target in ("a", "b")]
         context.fleet.apply(broken, ())
-        watch.look(context.routes, context.fleet)
+        watch.count(context.routes, context.fleet)
         await asyncio.sleep(seconds)
         context.fleet.apply([_entry("a")], ())
-        context.census = watch.look(context.routes, context.fleet)
+        context.census = watch.count(context.routes, context.fleet)
 
     handler = Keep()
     logger = logging.getLogger("cowslipcourse.entry.census")
@@ -172,9 +172,9 @@
 @then("the numbers of groups and engines are on the metrics address")
 def step_metrics(context):
     metrics = EntryMetrics()
-    metrics.fleet(context.census)
-    metrics.account("r", "small", "no-group")
-    text = metrics.text().decode()
+    metrics.set_group_counts(context.census)
+    metrics.count_cause("r", "small", "no-group")
+    text = metrics.render().decode()
     assert 'cowslip_groups{model="small"} 1.0' in text
     assert 'cowslip_engines{model="small",state="broken"} 1.0' in text
     counted = 'cowslip_account_total{cause="no-group",model="small",route="r"} 1.0'
--- a/features/steps/life_steps.py
+++ b/features/steps/life_steps.py
@@ -8,7 +8,7 @@
 from cowslipcourse.emulator import Faults, WholeSite, World
 from cowslipcourse.emulator.clock import run_paused
 from cowslipcourse.entry.coordinator import Coordinator
-from cowslipcourse.entry.engine_calls import EngineCalls
+from cowslipcourse.entry.engine_calls import EngineClient
 from cowslipcourse.entry.fleet import FleetView
 from cowslipcourse.entry.plan_table import GROUPS_TABLE
 from cowslipcourse.entry.settings import ControlSettings
@@ -25,10 +25,10 @@
 from cowslipcourse.ports import (
     EngineOrder,
     EngineReport,
+    GroupMembership,
     GroupState,
-    Membership,
-    OrderAnswer,
-    OrderName,
+    OrderOperation,
+    OrderResult,
     RowWrite,
     TargetEntry,
 )
@@ -38,7 +38,7 @@
 FIRST, SECOND = 100, 200
 STALL_S = 4.0
 SIZES = {"large": 4, "small": 2}
-IN_G1 = Membership("g1", 4, 0, GroupState.READY, "large")
+IN_G1 = GroupMembership("g1", 4, 0, GroupState.READY, "large")
 G1 = PlannedGroup("g1", "large", 4, ("e1",))
 
 
@@ -194,7 +194,7 @@
         assert is_free(context.plan, context.knowledge, engine, STALL_S), engine.id
 
 
-class _Tools:
+class _Context:
     def __init__(self, table):
         self.table = table
         self.fleet = FleetView()
@@ -209,7 +209,7 @@
     services = ServiceSpec("llm", models=(LARGE, SMALL)), ServiceSpec("desk")
     table = RouteTable(1, (), services, CallerLimits(), {})
     context.coordinator = Coordinator(
-        _Tools(table),
+        _Context(table),
         None,
         _Silent(),
         ControlSettings(),
@@ -221,7 +221,7 @@
 @when("entries of llm, desk and nobody come, all with the domain d1")
 def step_entries(context):
     async def run():
-        context.coordinator.domains.see_entries(
+        context.coordinator.domains.update_entries(
             [_entry(name, service=name) for name in ("llm", "desk", "nobody")]
         )
 
@@ -251,14 +251,14 @@
                 world.add_engine(domain)
         await world.write(RowWrite(GROUPS_TABLE, "d2", b'[["g"]]', None))
         coordinator = Coordinator(
-            _Tools(route_table()),
+            _Context(route_table()),
             world,
             world,
             ControlSettings(),
             WholeSite(lambda: True),
             lambda news: None,
         )
-        coordinator.domains.see_entries(world.entries())
+        coordinator.domains.update_entries(world.entries())
         tasks = [asyncio.create_task(c) for c in (coordinator.run(), world.run())]
         await asyncio.sleep(3.0)
         for task in tasks:
@@ -288,7 +288,7 @@
 
 @when("the report says that its engine is ready in g1 at epoch 5 with rank {rank:d}")
 def step_report_rank(context, rank):
-    found = Membership("g1", 5, rank, GroupState.READY, "large")
+    found = GroupMembership("g1", 5, rank, GroupState.READY, "large")
     report = EngineReport(2, found, ("large",), incarnation=FIRST)
     context.knowledge.see_report("e2", report, 5.0)
 
@@ -307,15 +307,15 @@
     """An engine control whose orders another engine refuses."""
 
     async def order(self, entry, order):
-        return OrderAnswer.OTHER_ENGINE
+        return OrderResult.OTHER_ENGINE
 
 
 @when("an order to e2 is answered by another engine")
 def step_other_engine(context):
     async def run():
-        calls = EngineCalls(_OtherEngine(), ControlSettings(), None, None, None)
-        order = EngineOrder(OrderName.JOIN, 0, "g1", 5, "large", ("e1", "e2"))
-        calls.order(context.knowledge.engines["e2"], order, {"large": LARGE})
+        calls = EngineClient(_OtherEngine(), ControlSettings(), None, None, None)
+        order = EngineOrder(OrderOperation.JOIN, 0, "g1", 5, "large", ("e1", "e2"))
+        calls.send_order(context.knowledge.engines["e2"], order, {"large": LARGE})
         await asyncio.sleep(0.1)
 
     run_paused(run())
--- a/features/support/knowledge.py
+++ b/features/support/knowledge.py
@@ -4,7 +4,7 @@
 import json
 import random
 
-from cowslipcourse.entry.knowledge import Knowledge
+from cowslipcourse.entry.knowledge import StateReplica
 from cowslipcourse.entry.settings import EntrySettings
 from cowslipcourse.exceptions import HistoryDropped, StoreUnavailable
 from cowslipcourse.peers import Heartbeat, Member, PeerRegistry
@@ -45,7 +45,7 @@
             raise StoreUnavailable("away")
         return RowChanges(self.rows(table), self.version)
 
-    async def changes(self, table, after, wait_s):
+    async def wait_for_changes(self, table, after, wait_s):
         await asyncio.sleep(0.05)
         if self.is_away:
             raise StoreUnavailable("away")
@@ -68,14 +68,14 @@
         self.table = None
         self.pushes = []
 
-    def take_configuration(self, table):
+    def apply_configuration(self, table):
         self.table = table
 
-    def take_targets(self, entries, gone):
+    def apply_targets(self, entries, gone):
         self.targets |= {entry.id for entry in entries}
         self.targets -= set(gone)
 
-    def push(self, changes):
+    def push_changes(self, changes):
         self.pushes.append(changes)
 
 
@@ -92,7 +92,7 @@
     settings = _settings()
     registry = PeerRegistry(settings.peers, settings.data_centre)
     listener = Listener()
-    knowledge = Knowledge(settings, store, registry, random.Random(1), listener)
+    knowledge = StateReplica(settings, store, registry, random.Random(1), listener)
     return knowledge, registry, listener
 
 
@@ -103,7 +103,7 @@
     return Member(name, incarnation, registration, *addresses, data_centre, True, 7)
 
 
-def heartbeat(name, registration, is_fit=True, targets_version=0, sequence=1):
+def heartbeat(name, registration, is_healthy=True, targets_version=0, sequence=1):
     return Heartbeat(
-        member(name, registration), sequence, is_fit, targets_version, {}, {}
+        member(name, registration), sequence, is_healthy, targets_version, {}, {}
     )
