--- a/cowslipcourse/config/__init__.py
+++ b/cowslipcourse/config/__init__.py
@@ -1,4 +1,4 @@
-"""The operators' configuration: objects, checks, plans and edits."""
+"""The operators' configuration: declared objects, validation, plans and edits."""
 
 from cowslipcourse.config.documents import parse_documents
 from cowslipcourse.config.edits import Change, Edit, apply_changes, conflicting_changes
--- a/cowslipcourse/config/edits.py
+++ b/cowslipcourse/config/edits.py
@@ -1,4 +1,4 @@
-"""Edits: sets of changes to declared objects, based on a revision."""
+"""Edits: sets of changes to declared objects, relative to a base revision."""
 
 from typing import Any, NamedTuple
 
@@ -9,9 +9,9 @@
 
 
 class Change(NamedTuple):
-    """One object set or removed.
+    """Replacement or removal of one object.
 
-    :param ref: which object.
+    :param ref: :class:`ObjectRef` of the object.
     :param value: the new object, or ``None`` to remove it.
     """
 
@@ -20,13 +20,14 @@
 
 
 class Edit(NamedTuple):
-    """What an operator asks for.
-
-    :param edit_id: unique id, chosen by the operator's side, for lost replies.
-    :param operator: who asks.
-    :param source: where from: host and file.
-    :param base_revision: revision that the operator looked at.
-    :param changes: what shall change.
+    """An operator's request to change the configuration.
+
+    :param edit_id: unique id, assigned by the client so that it can repeat an edit
+        after a lost reply.
+    :param operator: name of the operator.
+    :param source: host and file from which the edit was made.
+    :param base_revision: revision on which the edit is based.
+    :param changes: :class:`Change` for each object.
     :param confirm: digest of the plan that the operator confirms, or empty.
     """
 
@@ -39,39 +40,40 @@
 
 
 def apply_changes(configuration, changes):
-    """Return a configuration with the changes made.
+    """Return a configuration with the changes applied.
 
-    :param configuration: :class:`Configuration` to start from.
+    :param configuration: :class:`Configuration` that is changed.
     :param changes: iterable of :class:`Change`.
-    :raises UnknownObject: if an object to be removed does not exist.
+    :raises ConfigurationError: a change is to an unknown kind of object.
+    :raises UnknownObject: an object to remove does not exist.
     """
-    kinds = {kind: dict(getattr(configuration, kind)) for kind in KINDS}
+    objects_by_kind = {kind: dict(getattr(configuration, kind)) for kind in KINDS}
     for ref, value in changes:
-        if ref.kind not in kinds:
+        if ref.kind not in objects_by_kind:
             raise ConfigurationError([Problem(str(ref), "unknown kind")])
-        if value is None and ref.name not in kinds[ref.kind]:
+        if value is None and ref.name not in objects_by_kind[ref.kind]:
             raise UnknownObject(f"{ref} does not exist")
         if value is None:
-            del kinds[ref.kind][ref.name]
+            del objects_by_kind[ref.kind][ref.name]
         else:
-            kinds[ref.kind][ref.name] = value
-    return Configuration.model_construct(**kinds)
+            objects_by_kind[ref.kind][ref.name] = value
+    return Configuration.model_construct(**objects_by_kind)
 
 
-def conflicting_changes(changes, history, base_revision):
-    """Find objects that were changed by others after the edit's base revision.
+def conflicting_changes(changes, last_changes, base_revision):
+    """Find objects that other edits changed after the base revision.
 
     :param changes: the edit's changes.
-    :param history: mapping of object name to ``(revision, edit id)`` of its last
+    :param last_changes: mapping of object name to ``(revision, edit id)`` of its last
         change.
-    :param base_revision: revision that the operator looked at.
+    :param base_revision: revision on which the edit is based.
     :returns: list of ``(object name, edit id)``.
     """
-    found = []
+    conflicts = []
     for ref, _ in changes:
-        if str(ref) not in history:
+        if str(ref) not in last_changes:
             continue
-        revision, edit_id = history[str(ref)]
+        revision, edit_id = last_changes[str(ref)]
         if revision > base_revision:
-            found.append((str(ref), edit_id))
-    return found
+            conflicts.append((str(ref), edit_id))
+    return conflicts
--- a/cowslipcourse/config/objects.py
+++ b/cowslipcourse/config/objects.py
@@ -1,7 +1,7 @@
-"""The objects that operators declare.
+"""Objects that operators declare.
 
-Every object is checked on its own here; what holds between objects is checked
-by :mod:`cowslipcourse.config.resolve`.
+Each object is validated by itself here; constraints between objects are validated by
+:mod:`cowslipcourse.config.resolve`.
 """
 
 from typing import Annotated, Literal, NamedTuple
@@ -27,10 +27,10 @@
 
 
 class ObjectRef(NamedTuple):
-    """Names one declared object.
+    """Reference to a declared object.
 
-    :param kind: for example ``group``.
-    :param name: name within the kind.
+    :param kind: kind of the object, for example ``group``.
+    :param name: name, unique within the kind.
     """
 
     kind: str
@@ -40,7 +40,7 @@
         return f"{self.kind}/{self.name}"
 
 
-def _check_selector(text):
+def _validate_selector(text):
     try:
         parse_selector(text)
     except SelectorError as error:
@@ -49,7 +49,7 @@
 
 
 Name = Annotated[str, Field(pattern=r"^[a-z0-9][a-z0-9.\-]{0,62}$")]
-SelectorText = Annotated[str, AfterValidator(_check_selector)]
+SelectorText = Annotated[str, AfterValidator(_validate_selector)]
 LabelName = Annotated[str, Field(pattern=r"^[A-Za-z0-9][A-Za-z0-9_.\-/]*$")]
 
 
@@ -60,7 +60,7 @@
 
 
 class Label(DeclaredObject):
-    """Sets labels on whatever a selector matches, now and later."""
+    """Sets labels on all present and future objects that a selector matches."""
 
     on: Literal["vm", "workspace"] = "vm"
     selector: SelectorText
@@ -68,7 +68,7 @@
 
 
 class Workspace(DeclaredObject):
-    """A workspace: its key, its share and its labels."""
+    """A workspace with its key, share and labels."""
 
     key_sha256: str = Field(pattern=r"^[0-9a-f]{64}$")
     share: float = Field(default=1.0, gt=0, le=1000)
@@ -94,7 +94,7 @@
 
 
 class Placement(DeclaredObject):
-    """Lets the selected workspaces use a model on the selected groups."""
+    """Allows the selected workspaces to use a model on the selected groups."""
 
     model: Name
     workspaces: SelectorText
@@ -117,10 +117,12 @@
 
 
 class Site(DeclaredObject):
-    """What this site wants: the two weights of placement, and spares.
+    """Policy of the site.
 
-    :param downtime_weight: cost of one group not serving for a second.
-    :param stranded_weight: cost of one healthy accelerator unusable for a second.
+    :param downtime_weight: cost of one group that does not serve, per second.
+    :param stranded_weight: cost of one healthy accelerator that is unusable, per
+        second.
+    :param unfenced_targets: selector of targets that do not check fencing tokens.
     """
 
     downtime_weight: float = Field(default=1.0, ge=0, le=1e6)
@@ -156,5 +158,5 @@
 
     @property
     def site_policy(self):
-        """The site's wishes, or the defaults where none are declared."""
+        """The declared :class:`Site`, or the defaults if none is declared."""
         return next(iter(self.site.values()), Site())
--- a/cowslipcourse/config/plans.py
+++ b/cowslipcourse/config/plans.py
@@ -1,4 +1,4 @@
-"""What an edit would do to the fleet, before it is made."""
+"""Plans: the predicted impact of an edit on the fleet."""
 
 from typing import NamedTuple
 
@@ -9,10 +9,10 @@
 
 
 class ExistingGroup(NamedTuple):
-    """A group as it stands now.
+    """A group that exists now.
 
     :param group: group id.
-    :param declaration: group declaration that it was formed for.
+    :param declaration: name of the group declaration that it implements.
     :param members: VM names.
     """
 
@@ -22,16 +22,17 @@
 
 
 class Plan(NamedTuple):
-    """Impact of an edit.
+    """Predicted impact of an edit.
 
     :param vms_leaving: VMs of groups whose declaration no longer selects them.
     :param groups_broken: ids of groups that would stop serving.
-    :param accelerators_idled: accelerators in groups that would stop.
-    :param models_lost: models that would have no group left, that have one now.
+    :param accelerators_idled: number of accelerators in groups that would stop
+        serving.
+    :param models_lost: models that have a group now and would have none.
     :param workspaces_cut: ``workspace:model`` pairs that would lose their placement.
-    :param services_lost: services that would have no target left.
-    :param idle_selectors: objects whose selector would newly match nothing.
-    :param reloads: groups that would reload weights, one after another.
+    :param services_lost: services that have a target now and would have none.
+    :param idle_selectors: objects whose selector matches now and would match nothing.
+    :param reloads: ids of groups that would reload weights, one at a time.
     """
 
     vms_leaving: tuple[str, ...]
@@ -45,8 +46,8 @@
 
     @property
     def destructive(self):
-        """Whether the edit cuts traffic or strands capacity."""
-        harm = (
+        """Whether the edit interrupts traffic or leaves capacity unusable."""
+        destructive_effects = (
             self.vms_leaving,
             self.groups_broken,
             self.models_lost,
@@ -54,90 +55,107 @@
             self.services_lost,
             self.idle_selectors,
         )
-        return any(harm)
+        return any(destructive_effects)
 
     @property
     def digest(self):
-        """Short digest by which an operator confirms exactly this plan."""
+        """Digest with which an operator confirms exactly this plan."""
         return xxhash.xxh3_64_hexdigest(msgspec.json.encode(self))
 
 
-def _kept_groups(configuration, resolved, groups):
-    """Return the ids of groups that the configuration keeps."""
-    kept, counts = set(), {}
-    for use in sorted(groups):
-        declared = configuration.group.get(use.declaration)
-        if declared is None or len(use.members) != declared.vms_per_group:
+def _retained_groups(configuration, resolved, groups):
+    """Return the ids of existing groups that the configuration retains."""
+    retained, retained_counts = set(), {}
+    for existing in sorted(groups):
+        declared = configuration.group.get(existing.declaration)
+        if declared is None or len(existing.members) != declared.vms_per_group:
             continue
-        candidates = set(resolved.group_vms[use.declaration]) - resolved.draining
-        fits = candidates.issuperset(use.members)
-        if fits and counts.get(use.declaration, 0) < declared.count:
-            counts[use.declaration] = counts.get(use.declaration, 0) + 1
-            kept.add(use.group)
-    return kept
-
-
-def _reloading(old, new, groups, kept):
+        candidates = set(resolved.group_vms[existing.declaration]) - resolved.draining
+        is_eligible = candidates.issuperset(existing.members)
+        if (
+            is_eligible
+            and retained_counts.get(existing.declaration, 0) < declared.count
+        ):
+            retained_counts[existing.declaration] = (
+                retained_counts.get(existing.declaration, 0) + 1
+            )
+            retained.add(existing.group)
+    return retained
+
+
+def _reloading_groups(old, new, groups, retained):
     reloading = []
-    for use in sorted(groups):
-        if use.group not in kept or use.declaration not in old.group:
+    for existing in sorted(groups):
+        if existing.group not in retained or existing.declaration not in old.group:
             continue
-        before = old.model[old.group[use.declaration].model]
-        after = new.model[new.group[use.declaration].model]
+        before = old.model[old.group[existing.declaration].model]
+        after = new.model[new.group[existing.declaration].model]
         if before != after:
-            reloading.append(use.group)
+            reloading.append(existing.group)
     return tuple(reloading)
 
 
-def _pairs(resolved):
+def _placement_pairs(resolved):
     return {
         f"{workspace}:{model}"
-        for workspace, pairs in resolved.placements.items()
-        for model, _ in pairs
+        for workspace, placed in resolved.placements.items()
+        for model, _ in placed
     }
 
 
 def make_plan(old, old_resolved, new, new_resolved, groups):
-    """Work out what changing the configuration does.
+    """Predict the impact of a change of the configuration.
 
-    :param old: configuration now.
+    :param old: current configuration.
     :param old_resolved: its :class:`~cowslipcourse.config.ResolvedConfiguration`.
-    :param new: configuration wanted.
+    :param new: desired configuration.
     :param new_resolved: its :class:`~cowslipcourse.config.ResolvedConfiguration`.
     :param groups: iterable of :class:`ExistingGroup`.
     :returns: :class:`Plan`
     """
     groups = list(groups)
-    kept_before = _kept_groups(old, old_resolved, groups)
-    kept = _kept_groups(new, new_resolved, groups)
-    broken = sorted(kept_before - kept)
-    leaving, idled = set(), 0
-    for use in groups:
-        if use.group not in broken:
+    retained_before = _retained_groups(old, old_resolved, groups)
+    retained = _retained_groups(new, new_resolved, groups)
+    broken_groups = sorted(retained_before - retained)
+    leaving_vms, idled_accelerators = set(), 0
+    for existing in groups:
+        if existing.group not in broken_groups:
             continue
-        candidates = set(new_resolved.group_vms.get(use.declaration, ()))
-        leaving.update(set(use.members) - (candidates - new_resolved.draining))
-        idled += sum(
+        candidates = set(new_resolved.group_vms.get(existing.declaration, ()))
+        leaving_vms.update(set(existing.members) - (candidates - new_resolved.draining))
+        idled_accelerators += sum(
             new_resolved.vms[name].accelerators
-            for name in use.members
+            for name in existing.members
             if name in new_resolved.vms
         )
-    served_before = {
-        old.group[u.declaration].model for u in groups if u.group in kept_before
+    served_models_before = {
+        old.group[existing.declaration].model
+        for existing in groups
+        if existing.group in retained_before
+    }
+    served_models = {
+        new.group[existing.declaration].model
+        for existing in groups
+        if existing.group in retained
     }
-    served = {new.group[u.declaration].model for u in groups if u.group in kept}
-    services_before = {n for n, vms in old_resolved.service_vms.items() if vms}
-    services = {n for n, vms in new_resolved.service_vms.items() if vms}
-    idle_before = set(old_resolved.idle_selectors)
+    served_services_before = {
+        service for service, vms in old_resolved.service_vms.items() if vms
+    }
+    served_services = {
+        service for service, vms in new_resolved.service_vms.items() if vms
+    }
+    unmatched_before = set(old_resolved.idle_selectors)
     return Plan(
-        vms_leaving=tuple(sorted(leaving)),
-        groups_broken=tuple(broken),
-        accelerators_idled=idled,
-        models_lost=tuple(sorted(served_before - served)),
-        workspaces_cut=tuple(sorted(_pairs(old_resolved) - _pairs(new_resolved))),
-        services_lost=tuple(sorted(services_before - services)),
+        vms_leaving=tuple(sorted(leaving_vms)),
+        groups_broken=tuple(broken_groups),
+        accelerators_idled=idled_accelerators,
+        models_lost=tuple(sorted(served_models_before - served_models)),
+        workspaces_cut=tuple(
+            sorted(_placement_pairs(old_resolved) - _placement_pairs(new_resolved))
+        ),
+        services_lost=tuple(sorted(served_services_before - served_services)),
         idle_selectors=tuple(
-            name for name in new_resolved.idle_selectors if name not in idle_before
+            name for name in new_resolved.idle_selectors if name not in unmatched_before
         ),
-        reloads=_reloading(old, new, groups, kept),
+        reloads=_reloading_groups(old, new, groups, retained),
     )
