--- a/cowslipcourse/config/plans.py
+++ b/cowslipcourse/config/plans.py
@@ -129,14 +129,14 @@
             if name in new_resolved.vms
         )
     served_models_before = {
-        old.group[existing.declaration].model
-        for existing in groups
-        if existing.group in retained_before
+        old.group[group.declaration].model
+        for group in groups
+        if group.group in retained_before
     }
     served_models = {
-        new.group[existing.declaration].model
-        for existing in groups
-        if existing.group in retained
+        new.group[group.declaration].model
+        for group in groups
+        if group.group in retained
     }
     served_services_before = {
         service for service, vms in old_resolved.service_vms.items() if vms
