--- a/cowslipcourse/exchange/pool.py
+++ b/cowslipcourse/exchange/pool.py
@@ -29,7 +29,7 @@
     async def acquire(self, key, address, force_new=False):
         """Return a connection that can take a request.
 
-        :param key: instance at the address; connections are not shared between them.
+        :param key: identifies the instance; instances do not share connections.
         :param address: ``ip:port``
         :param force_new: whether to open a new connection in any case.
         :raises TargetUnreachable: nothing was sent.
--- a/cowslipcourse/fleet/selectors.py
+++ b/cowslipcourse/fleet/selectors.py
@@ -96,6 +96,6 @@
     :raises SelectorError: the text is empty or malformed.
     """
     if not isinstance(text, str) or not text.strip():
-        raise SelectorError("the selector is empty; it would select everything")
+        raise SelectorError("an empty selector would select everything")
     parts = [part.strip() for part in _SEPARATOR.split(text)]
     return Selector(text, tuple(_parse_requirement(part) for part in parts))
--- a/cowslipcourse/platform/configuration.py
+++ b/cowslipcourse/platform/configuration.py
@@ -56,7 +56,7 @@
     prefix: Name
     kind: RequestKind
     timeoutMs: Quantity  # noqa: N815
-    # Latency objective of an answer.
+    # Latency objective of a response.
     sloMs: Quantity | None = None  # noqa: N815
     priority: Count | None = None
     maxAttempts: Positive | None = None  # noqa: N815
--- a/cowslipcourse/platform/doors.py
+++ b/cowslipcourse/platform/doors.py
@@ -5,7 +5,7 @@
 __all__ = ["directory_app", "ready_app"]
 
 MAX_ADDRESSES = 64
-"""Addresses per answer; callers read no more than that."""
+"""Limit of addresses in a response; callers read no more than that."""
 
 
 def directory_app(addresses, ttl_s):
--- a/cowslipcourse/platform/edge.py
+++ b/cowslipcourse/platform/edge.py
@@ -137,16 +137,18 @@
         keeps the caller's header.
     """
     excluded = _HOP_BY_HOP | _SYSTEM_HEADERS | _connection_options(headers)
-    kept = [(name, value) for name, value in headers if name not in excluded]
-    kept.append((_TIME_BUDGET_MS, b"%d" % max(1, int(remaining_s * MS_PER_S))))
-    kept.append((_EXPECTED_INSTANCE, entry.id.encode()))
-    kept.append((_REQUEST_PRIORITY, b"%d" % urgency))
+    forwarded = [(name, value) for name, value in headers if name not in excluded]
+    forwarded.append((_TIME_BUDGET_MS, b"%d" % max(1, int(remaining_s * MS_PER_S))))
+    forwarded.append((_EXPECTED_INSTANCE, entry.id.encode()))
+    forwarded.append((_REQUEST_PRIORITY, b"%d" % urgency))
     if workspace is not None:
-        kept.append((_TENANT, workspace.encode()))
+        forwarded.append((_TENANT, workspace.encode()))
     if last_event_id is not None:
-        kept = [(name, value) for name, value in kept if name != _LAST_EVENT_ID]
-        kept.append((_LAST_EVENT_ID, b"%d" % last_event_id))
-    return tuple(kept)
+        forwarded = [
+            (name, value) for name, value in forwarded if name != _LAST_EVENT_ID
+        ]
+        forwarded.append((_LAST_EVENT_ID, b"%d" % last_event_id))
+    return tuple(forwarded)
 
 
 def _connection_options(headers):
--- a/cowslipcourse/platform/engines.py
+++ b/cowslipcourse/platform/engines.py
@@ -38,7 +38,7 @@
             "GET", entry, "/report", None, self.settings.report_timeout_s
         )
         if status != 200:
-            raise TargetUnreachable(f"report answered {status}")
+            raise TargetUnreachable(f"report request failed with status {status}")
         return decode_report(content)
 
     async def order(self, entry, order):
--- a/cowslipcourse/platform/store.py
+++ b/cowslipcourse/platform/store.py
@@ -163,10 +163,10 @@
         if response.status == CONDITION_FAILED:
             raise ConditionFailed([name])
         if response.status != 200:
-            raise StoreUnavailable(f"the store answered {response.status}")
+            raise StoreUnavailable(f"store write failed with status {response.status}")
         try:
             era = self._era_tracker.observe(response.headers)
-            version = decode_as(_WireWritten, content, "/rows-tx answer").ver
+            version = decode_as(_WireWritten, content, "/rows-tx response").ver
         except MalformedAnswer as error:
             # The row was written, but at an unknown version.
             raise ReplyLost(str(error)) from error
@@ -199,7 +199,7 @@
         if response.status == HISTORY_DROPPED:
             raise HistoryDropped(path)
         if response.status != 200:
-            raise StoreUnavailable(f"{path} answered {response.status}")
+            raise StoreUnavailable(f"{path} failed with status {response.status}")
         try:
             return decode_rows(content, self._era_tracker.observe(response.headers))
         except MalformedAnswer as error:
