--- a/cowslipcourse/emulator/daemons.py
+++ b/cowslipcourse/emulator/daemons.py
@@ -33,7 +33,7 @@
     :param acts: callable that tells whether it is this one.
     """
 
-    coordinators = 1
+    coordinator_count = 1
 
     def __init__(self, acts):
         self._acts = acts
@@ -47,12 +47,12 @@
     """Meets :class:`~cowslipcourse.entry.scope.CoordinationScope`: a part of the site.
 
     :param tended: names of the data centres whose groups this daemon keeps.
-    :param coordinators: number of daemons that keep groups.
+    :param coordinator_count: number of daemons that keep groups.
     """
 
-    def __init__(self, tended, coordinators):
+    def __init__(self, tended, coordinator_count):
         self.tended = frozenset(tended)
-        self.coordinators = coordinators
+        self.coordinator_count = coordinator_count
 
     def coordinates(self, data_centre):
         """Whether this daemon keeps the groups of a data centre."""
--- a/cowslipcourse/entry/balancing.py
+++ b/cowslipcourse/entry/balancing.py
@@ -13,11 +13,11 @@
 
 REBALANCE_INTERVAL_S = 0.25
 """Interval at which it is looked for models that are short."""
-FRESH_S = 0.5
+MAX_PLAN_AGE_S = 0.5
 """Age of the other coordinators' plans up to which a change is begun."""
-READ_AGAIN_S = 2.0
+PLAN_REREAD_INTERVAL_S = 2.0
 """Interval at which they are read while a model is short and nothing else changes."""
-FORMING_S = 3.0
+FORMING_WINDOW_S = 3.0
 """Time after its last new engine within which a domain forms its groups, if it can."""
 STANDBY_INTERVAL_S = 1.0
 """Interval at which it is chosen which groups stand by."""
@@ -30,54 +30,62 @@
 
     :param context: :class:`~cowslipcourse.entry.tools.DaemonContext`
     :param domains: :class:`~cowslipcourse.entry.domains.DomainTracker`
-    :param table: :class:`~cowslipcourse.entry.plan_table.PlanTable`
+    :param plan_table: :class:`~cowslipcourse.entry.plan_table.PlanTable`
     """
 
-    def __init__(self, context, domains, table):
+    def __init__(self, context, domains, plan_table):
         self._context = context
         self._domains = domains
-        self._table = table
-        self._looked_at = float("-inf")
-        self._standby_at = float("-inf")
+        self._plan_table = plan_table
+        self._rebalanced_at = float("-inf")
+        self._standby_chosen_at = float("-inf")
         self._changes = ()
-        self._served_at_read = {}
-        self._standby = {}
+        self._serving_at_last_read = {}
+        self._standby_models = {}
 
-    async def rebalance(self, spec, tended, now):
+    async def rebalance(self, spec, owned_domains, now):
         """Choose again, if it is time.
 
         :param spec: :class:`~cowslipcourse.routes.ServiceSpec` of the engines.
-        :param tended: names of the domains that this daemon keeps.
+        :param owned_domains: names of the domains that this daemon keeps.
         :raises StoreError: the plans could not be read.
         """
-        if now - self._looked_at < REBALANCE_INTERVAL_S:
+        if now - self._rebalanced_at < REBALANCE_INTERVAL_S:
             return
-        self._looked_at = now
-        if self._must_read(spec, now):
-            await self._table.read()
-        before, self._changes = self._changes, self._choose(spec, now)
-        if self._can_begin(tended) and self._table.age_s(now) > FRESH_S:
-            await self._table.read()
-            self._changes = self._choose(spec, now)
-        if self._changes and self._changes != before:
-            self._log(spec, now)
-        if now - self._standby_at >= STANDBY_INTERVAL_S:
-            self._standby_at = now
-            places = {n: d.data_centre for n, d in self._domains.by_name.items()}
-            self._standby = choose_standby(
-                self._table.plans, places, spec.models, self._held
+        self._rebalanced_at = now
+        if self._needs_plan_read(spec, now):
+            await self._plan_table.read()
+        previous_changes, self._changes = self._changes, self._choose_changes(spec, now)
+        if (
+            self._has_startable_change(owned_domains)
+            and self._plan_table.age_s(now) > MAX_PLAN_AGE_S
+        ):
+            await self._plan_table.read()
+            self._changes = self._choose_changes(spec, now)
+        if self._changes and self._changes != previous_changes:
+            self._log_changes(spec, now)
+        if now - self._standby_chosen_at >= STANDBY_INTERVAL_S:
+            self._standby_chosen_at = now
+            data_centres = {n: d.data_centre for n, d in self._domains.by_name.items()}
+            self._standby_models = choose_standby(
+                self._plan_table.plans,
+                data_centres,
+                spec.models,
+                self._staged_member_count,
             )
 
-    def _choose(self, spec, now):
-        plans = self._table.plans
-        chosen = choose_changes(plans, spec.models, self._is_whole, self._held)
-        if chosen and self._has_unused_engines(spec, now):
+    def _choose_changes(self, spec, now):
+        plans = self._plan_table.plans
+        chosen = choose_changes(
+            plans, spec.models, self._has_all_members, self._staged_member_count
+        )
+        if chosen and self._is_domain_about_to_form(spec, now):
             return ()
         return tuple(chosen)
 
-    def _can_begin(self, tended):
+    def _has_startable_change(self, owned_domains):
         """Whether a change in this daemon's own domains waits for nothing."""
-        return any(c.is_warm and c.domain in tended for c in self._changes)
+        return any(c.is_warm and c.domain in owned_domains for c in self._changes)
 
     def changes_to_begin(self, domain, now):
         """Return the :class:`~cowslipcourse.groups.Change` list to begin in a domain.
@@ -85,14 +93,14 @@
         None is begun by plans that may be outdated: another coordinator may have made
         a change that is enough.
         """
-        if self._table.age_s(now) > FRESH_S:
+        if self._plan_table.age_s(now) > MAX_PLAN_AGE_S:
             return []
-        return self._chosen(domain)
+        return self._changes_in_domain(domain)
 
-    def _chosen(self, domain):
+    def _changes_in_domain(self, domain):
         return [change for change in self._changes if change.domain == domain]
 
-    def wanted_on_hosts(self, plan):
+    def models_to_stage(self, plan):
         """Return ``{engine id: model}`` for members of groups that are to hold it.
 
         Those that must change over come before those that stand by. While a member
@@ -100,8 +108,10 @@
 
         :param plan: :class:`~cowslipcourse.groups.DomainPlan`
         """
-        models = {group.name: self._standby.get(group.name) for group in plan.groups}
-        for change in self._chosen(plan.domain):
+        models = {
+            group.name: self._standby_models.get(group.name) for group in plan.groups
+        }
+        for change in self._changes_in_domain(plan.domain):
             models.update(dict.fromkeys(change.groups, change.model))
         engines = self._domains.by_name[plan.domain].engines
         return {
@@ -112,18 +122,20 @@
             if member in engines and engines[member].was_ready(group)
         }
 
-    def _must_read(self, spec, now):
+    def _needs_plan_read(self, spec, now):
         """Whether a model is short, and the plans that are known may be outdated."""
-        serving = self._serving(spec, now)
-        is_short = bool(short_models(serving, spec.models))
-        has_changed = serving != self._served_at_read
-        age_s = self._table.age_s(now)
-        if not is_short or age_s < (FRESH_S if has_changed else READ_AGAIN_S):
+        serving = self._serving_group_counts(spec, now)
+        has_short_model = bool(short_models(serving, spec.models))
+        has_changed = serving != self._serving_at_last_read
+        age_s = self._plan_table.age_s(now)
+        if not has_short_model or age_s < (
+            MAX_PLAN_AGE_S if has_changed else PLAN_REREAD_INTERVAL_S
+        ):
             return False
-        self._served_at_read = serving
+        self._serving_at_last_read = serving
         return True
 
-    def _serving(self, spec, now):
+    def _serving_group_counts(self, spec, now):
         """Return the number of groups that serve, by model, in this daemon's view."""
         fleet = self._context.fleet
         return {
@@ -133,39 +145,41 @@
             for model in spec.models
         }
 
-    def _has_unused_engines(self, spec, now):
+    def _is_domain_about_to_form(self, spec, now):
         """Whether a domain has got engines enough for a group, and no group yet.
 
         Its groups are formed in a moment; nothing else has to be given up for them.
         """
-        least = min(model.size for model in spec.models)
+        smallest_group_size = min(model.size for model in spec.models)
         for name, domain in self._domains.by_name.items():
-            is_forming = self._domains.time_since_growth_s(name, now) < FORMING_S
-            if not is_forming or not self._table.is_readable(name):
+            is_forming = self._domains.time_since_growth_s(name, now) < FORMING_WINDOW_S
+            if not is_forming or not self._plan_table.is_readable(name):
                 continue
-            groups = self._table.plan(name).groups
-            unused = sum(
+            groups = self._plan_table.plan(name).groups
+            unassigned = sum(
                 engine.is_live and engine.membership is None
                 for engine in domain.engines.values()
             )
-            if unused >= least and all(group.is_retired for group in groups):
+            if unassigned >= smallest_group_size and all(
+                group.is_retired for group in groups
+            ):
                 return True
         return False
 
-    def _is_whole(self, group, domain):
+    def _has_all_members(self, group, domain):
         engines = self._domains.by_name[domain].engines
         return all(is_present(group, member, engines) for member in group.members)
 
-    def _held(self, group, domain, model):
-        known = self._domains.by_name.get(domain)
-        engines = {} if known is None else known.engines
+    def _staged_member_count(self, group, domain, model):
+        tracked_domain = self._domains.by_name.get(domain)
+        engines = {} if tracked_domain is None else tracked_domain.engines
         return sum(
             member in engines and model in engines[member].staged
             for member in group.members
         )
 
-    def _log(self, spec, now):
-        counts = group_counts(self._table.plans.values(), spec.models)
+    def _log_changes(self, spec, now):
+        counts = group_counts(self._plan_table.plans.values(), spec.models)
         for change in self._changes:
             log.info(
                 "change-over-chosen",
@@ -174,5 +188,5 @@
                 model=change.model,
                 is_warm=change.is_warm,
                 counts=",".join(f"{m}:{n}" for m, n in sorted(counts.items())),
-                plans_age_s=round(self._table.age_s(now), 3),
+                plans_age_s=round(self._plan_table.age_s(now), 3),
             )
--- a/cowslipcourse/entry/census.py
+++ b/cowslipcourse/entry/census.py
@@ -8,7 +8,7 @@
 
 __all__ = ["GroupCountMonitor", "GroupCounts"]
 
-FREE = "free"
+UNASSIGNED = "free"
 """State of an engine that is in no group."""
 
 log = get_logger(__name__)
@@ -17,19 +17,19 @@
 class GroupCounts(NamedTuple):
     """Groups and engines of all services with models, as this daemon sees them.
 
-    :param groups: number of groups that take requests, by model.
-    :param engines: number of listed engines by model and state of their group.
+    :param groups_by_model: number of groups that take requests, by model.
+    :param engines_by_state: number of listed engines by model and state of their group.
     """
 
-    groups: dict[str, int]
-    engines: dict[tuple[str, str], int]
+    groups_by_model: dict[str, int]
+    engines_by_state: dict[tuple[str, str], int]
 
 
 class GroupCountMonitor:
     """Counts groups and engines and logs when a model loses or regains its groups."""
 
     def __init__(self):
-        self._known = {}
+        self._last_counts = {}
         self._unserved_since = {}
 
     def count(self, table, fleet):
@@ -44,33 +44,43 @@
         groups = {}
         for spec in table.services.values():
             for model in spec.models:
-                places = fleet.group_candidates(spec.name, model.name, spec.slots, now)
-                groups[model.name] = len(places)
+                candidates = fleet.group_candidates(
+                    spec.name, model.name, spec.slots, now
+                )
+                groups[model.name] = len(candidates)
         engines = Counter(
-            _place_of(entry) for entry in fleet.entries.values() if entry.domain
+            _model_and_state(entry) for entry in fleet.entries.values() if entry.domain
         )
-        self._note(groups, engines, now)
+        self._log_transitions(groups, engines, now)
         return GroupCounts(groups, engines)
 
-    def _note(self, groups, engines, now):
+    def _log_transitions(self, groups, engines, now):
         """Log models that have lost their last group or have one again."""
-        for model, number in groups.items():
+        for model, group_count in groups.items():
             since = self._unserved_since.get(model)
-            if not number and since is None and self._known.get(model):
+            if not group_count and since is None and self._last_counts.get(model):
                 self._unserved_since[model] = now
-                log.warning("model-unserved", model=model, engines=_told(engines))
-            elif number and since is not None:
+                log.warning(
+                    "model-unserved", model=model, engines=_format_counts(engines)
+                )
+            elif group_count and since is not None:
                 del self._unserved_since[model]
                 seconds = round(now - since, 1)
-                log.info("model-served", model=model, groups=number, seconds=seconds)
-        self._known = groups
+                log.info(
+                    "model-served", model=model, groups=group_count, seconds=seconds
+                )
+        self._last_counts = groups
 
 
-def _place_of(entry):
-    found = entry.membership
-    return ("", FREE) if found is None else (found.model, found.state.value)
+def _model_and_state(entry):
+    membership = entry.membership
+    return (
+        ("", UNASSIGNED)
+        if membership is None
+        else (membership.model, membership.state.value)
+    )
 
 
-def _told(engines):
+def _format_counts(engines):
     """Return numbers by model and state as one text."""
     return ",".join(f"{m}:{s}:{n}" for (m, s), n in sorted(engines.items()))
--- a/cowslipcourse/entry/change_history.py
+++ b/cowslipcourse/entry/change_history.py
@@ -2,7 +2,7 @@
 
 __all__ = ["ChangeHistory"]
 
-MOST_GONE = 10_000
+MAX_REMEMBERED_GONE = 10_000
 """Dropped entries that are remembered, about 1 MB: a site of 1,200 targets that loses
 all of them eight times. Who missed more reads the whole list."""
 
@@ -15,40 +15,44 @@
     """
 
     def __init__(self):
-        self._known_from = None
-        self._changed = {}
-        self._gone = {}
+        self._complete_from_version = None
+        self._changed_at_version = {}
+        self._gone_at_version = {}
 
-    def note(self, version, changed, gone):
+    def record(self, version, changed, gone):
         """Note ids of entries that changed or went.
 
         :param version: store version up to which the list is complete now.
         """
-        if self._known_from is None:
-            self._known_from = version
+        if self._complete_from_version is None:
+            self._complete_from_version = version
         for target in changed:
-            self._gone.pop(target, None)
-            self._changed[target] = version
+            self._gone_at_version.pop(target, None)
+            self._changed_at_version[target] = version
         for target in gone:
-            self._changed.pop(target, None)
-            self._gone.pop(target, None)
-            self._gone[target] = version
-        while len(self._gone) > MOST_GONE:
-            oldest = next(iter(self._gone))
-            self._known_from = max(self._known_from, self._gone.pop(oldest) + 1)
+            self._changed_at_version.pop(target, None)
+            self._gone_at_version.pop(target, None)
+            self._gone_at_version[target] = version
+        while len(self._gone_at_version) > MAX_REMEMBERED_GONE:
+            oldest = next(iter(self._gone_at_version))
+            self._complete_from_version = max(
+                self._complete_from_version, self._gone_at_version.pop(oldest) + 1
+            )
 
     def has_changed_since(self, target, version):
         """Whether an entry that is listed has changed after a version."""
-        return self._changed.get(target, 0) > version
+        return self._changed_at_version.get(target, 0) > version
 
-    def since(self, version):
+    def changes_since(self, version):
         """Return ids that changed and ids that went, or ``None`` if that is not known.
 
         Changes at the version itself are among them: entries that were held back after
         an outage go without a newer version.
         """
-        if self._known_from is None or version < self._known_from:
+        if self._complete_from_version is None or version < self._complete_from_version:
             return None
-        changed = [target for target, at in self._changed.items() if at >= version]
-        gone = [target for target, at in self._gone.items() if at >= version]
+        changed = [
+            target for target, at in self._changed_at_version.items() if at >= version
+        ]
+        gone = [target for target, at in self._gone_at_version.items() if at >= version]
         return changed, gone
--- a/cowslipcourse/entry/coordinator.py
+++ b/cowslipcourse/entry/coordinator.py
@@ -37,14 +37,14 @@
 
 __all__ = ["Coordinator"]
 
-TICK_S = 0.05
-REST_S = 0.2
+RECONCILE_INTERVAL_S = 0.05
+IDLE_INTERVAL_S = 0.2
 """Interval at which a daemon that does not coordinate looks whether it is its turn."""
-OWN_PAUSE_S = 0.5
+MAX_TICK_DELAY_S = 0.5
 """A tick that comes this late: another daemon may have acted meanwhile."""
-SETTLE_S = 0.8
+DOMAIN_SETTLE_S = 0.8
 """Time without a new engine before the first groups of a domain are formed."""
-SILENT_AGAIN_S = 1.0
+SILENT_RETRY_INTERVAL_S = 1.0
 """Interval at which silent engines that are still listed are asked again."""
 log = get_logger(__name__)
 
@@ -57,261 +57,279 @@
     :param control: :class:`~cowslipcourse.ports.EngineControl`
     :param settings: :class:`~cowslipcourse.entry.settings.ControlSettings`
     :param scope: :class:`~cowslipcourse.entry.scope.CoordinationScope`
-    :param tell: called with :class:`~cowslipcourse.peers.GroupUpdate` for all daemons.
+    :param broadcast: called with :class:`~cowslipcourse.peers.GroupUpdate` for all daemons.
     """
 
-    def __init__(self, context, store, control, settings, scope, tell):
+    def __init__(self, context, store, control, settings, scope, broadcast):
         self.domains = DomainTracker(context)
         self._context = context
-        self._calls = EngineClient(
+        self._engine_client = EngineClient(
             control,
             settings,
-            self.domains.see_report,
-            self._look_at_links,
-            self._note_opened,
+            self.domains.record_report,
+            self._check_isolation,
+            self._on_group_opened,
         )
         self.settings = settings
-        self._links = IsolationDetector(self.domains, self._calls)
+        self._isolation_detector = IsolationDetector(self.domains, self._engine_client)
         self._scope = scope
-        self._tell = tell
-        self._table = PlanTable(store, self.domains.see_plan)
-        self._balancing = GroupBalancer(context, self.domains, self._table)
+        self._broadcast = broadcast
+        self._plan_table = PlanTable(store, self.domains.record_plan)
+        self._group_balancer = GroupBalancer(context, self.domains, self._plan_table)
         self._load_limit = LoadLimit()
-        self._investigated = {}
-        self._tended = frozenset()
+        self._investigated_at = {}
+        self._owned_domains = frozenset()
 
     @property
     def isolated_until(self):
         """Loop time until which this daemon must not coordinate."""
-        return self._links.isolated_until
+        return self._isolation_detector.isolated_until
 
     # What other parts tell.
 
     def investigate(self, target, epoch):
         """Ask the members of a group whose head was found silent."""
-        if not self._tended:
+        if not self._owned_domains:
             return
         now = asyncio.get_running_loop().time()
         recent = {
             key: at
-            for key, at in self._investigated.items()
-            if now - at < SILENT_AGAIN_S
+            for key, at in self._investigated_at.items()
+            if now - at < SILENT_RETRY_INTERVAL_S
         }
-        self._investigated = recent
+        self._investigated_at = recent
         if (target, epoch) in recent:
             return
         recent[target, epoch] = now
-        for plan in self._table.plans.values():
-            if plan.domain not in self._tended:
+        for plan in self._plan_table.plans.values():
+            if plan.domain not in self._owned_domains:
                 continue
             for group in plan.groups:
-                is_meant = group.head == target and group.epoch == epoch
-                if is_meant and not group.is_retired:
-                    self._ask_group(plan, group)
+                is_match = group.head == target and group.epoch == epoch
+                if is_match and not group.is_retired:
+                    self._query_group(plan, group)
 
-    def _ask_group(self, plan, group):
+    def _query_group(self, plan, group):
         """Ask the members, and the spares: they are needed next, if they are there."""
         log.info("group-suspected", group=group.name, epoch=group.epoch)
         for member in group.members:
-            self._spawn_ask(plan.domain, member)
+            self._request_report(plan.domain, member)
         for engine in spares_of(plan, self.domains.by_name[plan.domain]):
-            self._spawn_ask(plan.domain, engine.id)
+            self._request_report(plan.domain, engine.id)
 
     # The loop.
 
     async def run(self):
         """Coordinate for ever, whichever domains are this daemon's turn."""
-        async for _, late_s in ticks(TICK_S, lambda: not self._tended, REST_S):
-            if late_s > OWN_PAUSE_S:
-                self._table.invalidate()
-            self._take_scope()
-            if self._tended:
-                await self._tick()
-
-    def _take_scope(self):
+        async for _, late_s in ticks(
+            RECONCILE_INTERVAL_S, lambda: not self._owned_domains, IDLE_INTERVAL_S
+        ):
+            if late_s > MAX_TICK_DELAY_S:
+                self._plan_table.invalidate()
+            self._update_owned_domains()
+            if self._owned_domains:
+                await self._reconcile()
+
+    def _update_owned_domains(self):
         """Take on the domains that this daemon keeps now."""
-        tended = frozenset(
+        owned_domains = frozenset(
             name
             for name, domain in self.domains.by_name.items()
             if self._context.table is not None
             and self._scope.coordinates(domain.data_centre)
         )
-        if bool(tended) != bool(self._tended):
-            log.info("coordinating" if tended else "not-coordinating")
-        if tended - self._tended:
+        if bool(owned_domains) != bool(self._owned_domains):
+            log.info("coordinating" if owned_domains else "not-coordinating")
+        if owned_domains - self._owned_domains:
             # Others may have kept them until now.
-            log.info("domains-taken", domains=",".join(sorted(tended - self._tended)))
-            self._table.invalidate()
-        self._tended = tended
+            log.info(
+                "domains-taken",
+                domains=",".join(sorted(owned_domains - self._owned_domains)),
+            )
+            self._plan_table.invalidate()
+        self._owned_domains = owned_domains
 
-    async def _tick(self):
+    async def _reconcile(self):
         try:
-            self._table.check_era()
-            if not self._table.is_valid:
-                await self._table.read()
-            await self._balance()
-            for domain in sorted(self._tended):
-                if self._table.is_readable(domain):
-                    await self._tend(domain)
+            self._plan_table.check_era()
+            if not self._plan_table.is_valid:
+                await self._plan_table.read()
+            await self._rebalance()
+            for domain in sorted(self._owned_domains):
+                if self._plan_table.is_readable(domain):
+                    await self._reconcile_domain(domain)
         except StoreError as error:
             log.warning("groups-not-tended", error=error.code, why=error)
-            self._table.invalidate()
-            await asyncio.sleep(TICK_S)
+            self._plan_table.invalidate()
+            await asyncio.sleep(RECONCILE_INTERVAL_S)
 
-    async def _balance(self):
+    async def _rebalance(self):
         now = asyncio.get_running_loop().time()
-        for domain in sorted(self._tended):
-            spec = self._spec(self.domains.by_name[domain])
+        for domain in sorted(self._owned_domains):
+            spec = self._service_spec(self.domains.by_name[domain])
             if spec is not None:
-                await self._balancing.rebalance(spec, self._tended, now)
+                await self._group_balancer.rebalance(spec, self._owned_domains, now)
                 return
 
-    async def _tend(self, domain):
+    async def _reconcile_domain(self, domain):
         now = asyncio.get_running_loop().time()
-        if self._table.is_lost(domain) and await self._table.rewrite(domain) is None:
+        if (
+            self._plan_table.is_lost(domain)
+            and await self._plan_table.rewrite(domain) is None
+        ):
             return
-        if not self._table.plan(domain).groups and self._is_settling(domain, now):
+        if not self._plan_table.plan(domain).groups and self._awaits_more_engines(
+            domain, now
+        ):
             return
-        knowledge = self.domains.by_name[domain]
-        spec = self._spec(knowledge)
+        domain_knowledge = self.domains.by_name[domain]
+        spec = self._service_spec(domain_knowledge)
         if spec is None:
             return
-        shape = self._shape(domain, spec)
-        await self._revise(domain, knowledge, spec, shape, now)
-        plan = self._table.plan(domain)
+        shape = self._choose_domain_shape(domain, spec)
+        await self._revise_plan(domain, domain_knowledge, spec, shape, now)
+        plan = self._plan_table.plan(domain)
         self.domains.forget(plan)
         models = {model.name: model for model in spec.models}
-        steps = next_steps(plan, knowledge.engines, models, self.settings.stall_s, now)
+        steps = next_steps(
+            plan, domain_knowledge.engines, models, self.settings.stall_s, now
+        )
         for step in steps:
-            self._take_step(domain, step, models)
-        self._stage(plan, knowledge, spec, shape, now)
-        self._practise(plan, knowledge, shape, models)
-        self._ask_silent(domain, knowledge, now)
+            self._run_step(domain, step, models)
+        self._stage_models(plan, domain_knowledge, spec, shape, now)
+        self._practise_joins(plan, domain_knowledge, shape, models)
+        self._query_silent_engines(domain, domain_knowledge, now)
 
-    def _is_settling(self, domain, now):
+    def _awaits_more_engines(self, domain, now):
         """Whether more engines, or domains to be divided with this one, may come."""
-        is_growing = self.domains.time_since_growth_s(domain, now) < SETTLE_S
-        is_new = not self._table.plan(domain).version
+        is_growing = self.domains.time_since_growth_s(domain, now) < DOMAIN_SETTLE_S
+        is_new = not self._plan_table.plan(domain).version
         return is_growing or (
             is_new and not self.domains.are_all_discovered(domain, now)
         )
 
-    def _spec(self, knowledge):
-        for engine in knowledge.engines.values():
+    def _service_spec(self, domain_knowledge):
+        for engine in domain_knowledge.engines.values():
             spec = self._context.table.services.get(engine.entry.service)
             if spec is not None and spec.models:
                 return spec
         return None
 
-    def _shape(self, domain, spec):
+    def _choose_domain_shape(self, domain, spec):
         known = self.domains.by_name
-        places = {name: domain.data_centre for name, domain in known.items()}
+        data_centres = {name: domain.data_centre for name, domain in known.items()}
         live = [e for e in known[domain].engines.values() if e.is_live]
         held = [model for engine in live for model in engine.held]
-        return choose_shape(domain, self._table.plans, places, spec.models, held)
+        return choose_shape(
+            domain, self._plan_table.plans, data_centres, spec.models, held
+        )
 
-    async def _revise(self, domain, knowledge, spec, shape, now):
-        plan = self._table.plan(domain)
-        views = engine_views(plan, knowledge, self.settings.stall_s, now)
+    async def _revise_plan(self, domain, domain_knowledge, spec, shape, now):
+        plan = self._plan_table.plan(domain)
+        views = engine_views(plan, domain_knowledge, self.settings.stall_s, now)
         sizes = {model.name: model.size for model in spec.models}
-        wanted = wishes(spec.models, self._table.plans.values())
-        broken = broken_groups(plan, knowledge)
-        changes = self._balancing.changes_to_begin(domain, now)
+        wanted = wishes(spec.models, self._plan_table.plans.values())
+        broken = broken_groups(plan, domain_knowledge)
+        changes = self._group_balancer.changes_to_begin(domain, now)
         groups = revise(plan, views, sizes, wanted, shape, broken, changes)
         if groups == plan.groups:
             return
-        written = await self._table.replace(plan, groups)
+        written = await self._plan_table.replace(plan, groups)
         if written is None:
             return
         _log_revision(plan, groups, written.version)
-        for news in _endings(plan, groups):
-            self._tell(news)
+        for update in _ended_group_updates(plan, groups):
+            self._broadcast(update)
 
-    def _note_opened(self, engine, order):
+    def _on_group_opened(self, engine, order):
         """Tell which head begins to serve; the list says so up to a second later."""
         spec = self._context.table.services.get(engine.entry.service)
-        plan = self._table.plans.get(engine.entry.domain)
+        plan = self._plan_table.plans.get(engine.entry.domain)
         group = plan and plan.group_of(engine.id, engine.incarnation)
         if spec is None or not group or group.epoch != order.epoch:
             return
         head = OpenedHead(engine.id, engine.incarnation, group.model, spec.open_s)
-        self._tell(GroupUpdate(group.name, group.epoch, head))
+        self._broadcast(GroupUpdate(group.name, group.epoch, head))
 
     # Orders and questions.
 
-    def _take_step(self, domain, step, models):
+    def _run_step(self, domain, step, models):
         if step.kind is StepKind.ASK:
-            self._spawn_ask(domain, step.engine)
+            self._request_report(domain, step.engine)
         else:
-            self._spawn_order(domain, step.engine, step.order, models)
+            self._send_order(domain, step.engine, step.order, models)
 
-    def _spawn_ask(self, domain, engine_id):
+    def _request_report(self, domain, engine_id):
         engine = self.domains.engine(domain, engine_id)
         if engine is not None:
-            self._calls.request_report(engine)
+            self._engine_client.request_report(engine)
 
-    def _look_at_links(self):
-        self._links.check(self._tended, asyncio.get_running_loop().time())
+    def _check_isolation(self):
+        self._isolation_detector.check(
+            self._owned_domains, asyncio.get_running_loop().time()
+        )
 
-    def _spawn_order(self, domain, engine_id, order, models):
+    def _send_order(self, domain, engine_id, order, models):
         engine = self.domains.engine(domain, engine_id)
         now = asyncio.get_running_loop().time()
-        if engine is not None and self._table.is_confirmed(now):
-            self._calls.send_order(engine, order, models)
+        if engine is not None and self._plan_table.is_confirmed(now):
+            self._engine_client.send_order(engine, order, models)
 
-    def _stage(self, plan, knowledge, spec, shape, now):
-        free = spares_of(plan, knowledge)
-        waiting = models_waiting(plan, knowledge)
+    def _stage_models(self, plan, domain_knowledge, spec, shape, now):
+        free = spares_of(plan, domain_knowledge)
+        waiting = models_waiting(plan, domain_knowledge)
         models = [m for m in spec.models if shape.model in (None, m.name)]
         chosen = choose_staging(plan, free, models, waiting)
         if not waiting:
-            chosen |= self._balancing.wanted_on_hosts(plan)
+            chosen |= self._group_balancer.models_to_stage(plan)
         for engine_id, model in chosen.items():
-            engine = knowledge.engines.get(engine_id)
+            engine = domain_knowledge.engines.get(engine_id)
             if engine is not None and engine.is_live:
-                self._load(plan.domain, engine, model, spec, now)
+                self._stage_model(plan.domain, engine, model, spec, now)
 
-    def _load(self, domain, engine, model, spec, now):
+    def _stage_model(self, domain, engine, model, spec, now):
         """Load a model onto an engine's host, unless it is there or on its way."""
         if engine.staging is not None or model in engine.staged:
             return
         if engine.order_count is None:
-            self._spawn_ask(domain, engine.id)
+            self._request_report(domain, engine.id)
         elif (
-            self._table.is_confirmed(now)
-            and not self._calls.is_busy(engine)
-            and self._load_limit.take(spec.loads_per_s, self._scope.coordinators, now)
+            self._plan_table.is_confirmed(now)
+            and not self._engine_client.is_busy(engine)
+            and self._load_limit.take(
+                spec.loads_per_s, self._scope.coordinator_count, now
+            )
         ):
             engine.staging = model
             order = EngineOrder(OrderOperation.STAGE, engine.order_count, model=model)
-            self._spawn_order(domain, engine.id, order, {})
+            self._send_order(domain, engine.id, order, {})
 
-    def _practise(self, plan, knowledge, shape, models):
+    def _practise_joins(self, plan, domain_knowledge, shape, models):
         """Let spares join once, while nothing is under way in the domain."""
-        if models_waiting(plan, knowledge):
+        if models_waiting(plan, domain_knowledge):
             return
         served = [name for name in models if shape.model in (None, name)]
-        for engine in spares_of(plan, knowledge):
+        for engine in spares_of(plan, domain_knowledge):
             step = practice_step(plan, engine, served)
             if step is not None:
-                self._take_step(plan.domain, step, models)
+                self._run_step(plan.domain, step, models)
 
-    def _ask_silent(self, domain, knowledge, now):
-        for engine in knowledge.engines.values():
+    def _query_silent_engines(self, domain, domain_knowledge, now):
+        for engine in domain_knowledge.engines.values():
             if engine.silent_since is None or not engine.listed:
                 continue
             if engine.is_replaced:
                 continue
-            if now - engine.asked_silent_at > SILENT_AGAIN_S:
+            if now - engine.asked_silent_at > SILENT_RETRY_INTERVAL_S:
                 engine.asked_silent_at = now
-                self._spawn_ask(domain, engine.id)
+                self._request_report(domain, engine.id)
 
 
-def _endings(plan, groups):
+def _ended_group_updates(plan, groups):
     """Yield news of groups whose earlier heads serve no longer."""
-    before = {group.name: group for group in plan.groups}
+    previous = {group.name: group for group in plan.groups}
     for group in groups:
-        known = before.get(group.name)
+        known = previous.get(group.name)
         if known is None or known == group:
             continue
         # If a retired group is formed anew, its epoch is a later one.
@@ -319,9 +337,9 @@
 
 
 def _log_revision(plan, groups, version):
-    before = set(plan.groups)
+    previous = set(plan.groups)
     for group in groups:
-        if group not in before:
+        if group not in previous:
             log.info(
                 "group-planned",
                 domain=plan.domain,
--- a/cowslipcourse/entry/daemon.py
+++ b/cowslipcourse/entry/daemon.py
@@ -35,22 +35,22 @@
 from cowslipcourse.quarantine import VerdictStore
 from cowslipcourse.quarantining import Quarantine, TargetExitDetector
 
-__all__ = ["Entry"]
+__all__ = ["EntryDaemon"]
 
 EXIT_CRASHED = 70
-LAST_LINES_S = 0.05
+LOG_FLUSH_S = 0.05
 """Time for the last lines to be written before a crashed process ends."""
-SWEEP_S = 1.0
-KEPT_ADDRESSES = 3
+HOUSEKEEPING_INTERVAL_S = 1.0
+ADDRESS_TTL_FACTOR = 3
 """Some callers keep a list of addresses this many times longer than they are told."""
-STOP_LOOK_S = 0.1
+STOP_CHECK_INTERVAL_S = 0.1
 STOP_MARGIN_S = 0.8
 """Left of the grace when the last connections are closed."""
 
 log = get_logger(__name__)
 
 
-class Entry:
+class EntryDaemon:
     """One daemon.
 
     :param settings: :class:`~cowslipcourse.entry.settings.EntrySettings`
@@ -59,11 +59,11 @@
 
     def __init__(self, settings, path):
         self._settings = settings
-        self.watch = SettingsWatcher(path, settings, self._take_settings)
+        self.settings_watcher = SettingsWatcher(path, settings, self._apply_settings)
         self._incarnation = time.time_ns()
         self._sequence = 0
         self._is_ready = False
-        self._era = 0
+        self._last_store_era = 0
         self._tasks = set()
         self._build()
 
@@ -80,18 +80,20 @@
         silence = SilenceDetector(self._fleet, self._on_suspect)
         self._registry = PeerRegistry(settings.peers, settings.data_centre)
         self._fleet.set_peers_in_flight(self._registry.in_flight)
-        self._link = PeerLink(settings, self._registry, self)
+        self._peer_link = PeerLink(settings, self._registry, self)
         ends = TargetExitDetector(self._fleet.is_expected)
         kept = VerdictStore(self._store, time.time)
-        self.quarantine = Quarantine(self._link, ends, kept)
+        self.quarantine = Quarantine(self._peer_link, ends, kept)
         self._context = DaemonContext(
             settings, self._fleet, attempts, budget, silence, self.quarantine, rng
         )
         self._front = FrontApp(self._context, Forwarder(self._context), self._metrics)
-        self._registering = DaemonRegistrar(settings, self._store, self._learn, rng)
+        self._registrar = DaemonRegistrar(
+            settings, self._store, self._on_registrations, rng
+        )
         self.replica = StateReplica(settings, self._store, self._registry, rng, self)
         self._roles = RoleAssignment(
-            settings, self._registry, self._registering, self.replica, self
+            settings, self._registry, self._registrar, self.replica, self
         )
         self._coordinator = Coordinator(
             self._context,
@@ -99,7 +101,7 @@
             self._control,
             settings.control,
             self._roles,
-            self.broadcast_group_news,
+            self.broadcast_group_update,
         )
 
     async def run(self, stopping):
@@ -108,28 +110,28 @@
         servers = [
             WebServer(self._front, listen.front),
             WebServer(
-                directory_app(self._addresses, self._settings.address_ttl_s),
+                directory_app(self._ready_addresses, self._settings.address_ttl_s),
                 listen.directory,
             ),
             WebServer(ready_app(lambda: self._is_ready), listen.ready),
-            WebServer(peer_app(self.replica.state), listen.peer),
+            WebServer(peer_app(self.replica.encoded_state), listen.peer),
         ]
         if listen.metrics:
             servers.append(WebServer(metrics_app(self._metrics), listen.metrics))
         for server in servers:
             await server.start()
-        await self._link.start()
+        await self._peer_link.start()
         log.info("started", daemon=self._settings.name, incarnation=self._incarnation)
         for coroutine in (
-            self._link.run(),
+            self._peer_link.run(),
             *self.replica.coroutines(),
             self._context.silence_detector.run(),
             self.quarantine.run(),
             self._coordinator.run(),
-            self._registering.run(),
+            self._registrar.run(),
             self._roles.run(),
-            self._keep_house(),
-            self.watch.run(),
+            self._run_housekeeping(),
+            self.settings_watcher.run(),
         ):
             self._run_forever(coroutine)
         await stopping.wait()
@@ -144,17 +146,17 @@
         """Leave the directory, finish what comes meanwhile, and end."""
         loop = asyncio.get_running_loop()
         now = loop.time()
-        kept_until = now + KEPT_ADDRESSES * self._settings.address_ttl_s
-        until = now + self._settings.stop.grace_s - STOP_MARGIN_S
+        addresses_cached_until = now + ADDRESS_TTL_FACTOR * self._settings.address_ttl_s
+        connections_close_at = now + self._settings.stop.grace_s - STOP_MARGIN_S
         log.info("stopping", in_flight=self._front.in_flight)
         self._is_ready = False
-        self._front.drain(until)
-        self._link.heartbeat_now()
-        while loop.time() < until:
-            await asyncio.sleep(STOP_LOOK_S)
+        self._front.drain(connections_close_at)
+        self._peer_link.heartbeat_now()
+        while loop.time() < connections_close_at:
+            await asyncio.sleep(STOP_CHECK_INTERVAL_S)
             # Idle connections are no reason to stay: whoever still keeps one has a
             # newer list of addresses by now.
-            if not self._front.in_flight and loop.time() > kept_until:
+            if not self._front.in_flight and loop.time() > addresses_cached_until:
                 break
         log.info(
             "stopped",
@@ -162,7 +164,7 @@
             connections=servers[0].connections,
         )
 
-    def _take_settings(self, settings):
+    def _apply_settings(self, settings):
         """Put changed settings in force."""
         self._settings = settings
         self._context.retry_budget.settings = settings.retries
@@ -200,7 +202,7 @@
         member = Member(
             name=settings.name,
             incarnation=self._incarnation,
-            registration=self._registering.version,
+            registration=self._registrar.version,
             peer_address=settings.listen.peer,
             front_address=settings.listen.front,
             data_centre=settings.data_centre,
@@ -210,7 +212,7 @@
         return Heartbeat(
             member=member,
             sequence=self._sequence,
-            is_healthy=self._is_fit(now),
+            is_healthy=self._is_healthy(now),
             targets_version=self.replica.targets_version,
             in_flight=dict(self._fleet.in_flight),
             suspects=self._fleet.suspects(now),
@@ -222,7 +224,7 @@
         now = asyncio.get_running_loop().time()
         return self._registry.heartbeat_interval_s(self._roles.is_reporter, now)
 
-    def _is_fit(self, now):
+    def _is_healthy(self, now):
         """Whether others may rely on it: it reads the store, reaches engines, stays."""
         return (
             self.replica.is_current
@@ -235,67 +237,67 @@
         for target, epoch in message.suspects.items():
             self._coordinator.investigate(target, epoch)
 
-    def _count_daemons(self, now):
+    def _update_daemon_count(self, now):
         known = self._registry.known_daemon_count(now) + 1
         self._context.retry_budget.daemons = max(known, SMALLEST_SITE)
 
-    def take_news(self, news):
+    def apply_group_update(self, update):
         """Take in what a coordinator has decided about a group."""
-        self._fleet.take_news(news, asyncio.get_running_loop().time())
+        self._fleet.take_news(update, asyncio.get_running_loop().time())
 
-    def broadcast_group_news(self, news):
+    def broadcast_group_update(self, update):
         """Tell all daemons, this one first, what was decided about a group."""
-        self.take_news(news)
-        self._link.broadcast_group_news(news)
+        self.apply_group_update(update)
+        self._peer_link.broadcast_group_update(update)
 
     def push_changes(self, changes):
         """Send changes of targets to the daemons of the data centre."""
-        self._link.push_changes(changes)
+        self._peer_link.push_changes(changes)
 
     def _on_suspect(self):
         now = asyncio.get_running_loop().time()
-        self._link.heartbeat_now()
+        self._peer_link.heartbeat_now()
         for target, epoch in self._fleet.suspects(now).items():
             self._coordinator.investigate(target, epoch)
 
-    def _addresses(self):
+    def _ready_addresses(self):
         now = asyncio.get_running_loop().time()
         ready = self._registry.ready_members(self._settings.name, now)
-        found = [member.front_address for member in ready]
+        addresses = [member.front_address for member in ready]
         if self._is_ready:
-            found.append(self._settings.listen.front)
-        self._context.rng.shuffle(found)
-        return found
+            addresses.append(self._settings.listen.front)
+        self._context.rng.shuffle(addresses)
+        return addresses
 
-    def _learn(self, registrations):
+    def _on_registrations(self, registrations):
         """Take in where other daemons have registered."""
         now = asyncio.get_running_loop().time()
         for known in registrations:
             self._registry.add_address(known.peer_address, known.data_centre, now)
-        self._count_daemons(now)
-        self._link.heartbeat_now()
+        self._update_daemon_count(now)
+        self._peer_link.heartbeat_now()
 
-    async def _keep_house(self):
-        census = GroupCountMonitor()
+    async def _run_housekeeping(self):
+        group_counter = GroupCountMonitor()
         while True:
-            await asyncio.sleep(SWEEP_S)
-            self._count_daemons(asyncio.get_running_loop().time())
+            await asyncio.sleep(HOUSEKEEPING_INTERVAL_S)
+            self._update_daemon_count(asyncio.get_running_loop().time())
             self._context.attempt_sender.sweep()
             self._metrics.set_state("in_flight", self._front.in_flight)
             self._metrics.set_state("quarantined", self.quarantine.size)
             self._metrics.set_group_counts(
-                census.count(self._context.table, self._fleet)
+                group_counter.count(self._context.table, self._fleet)
             )
-            self._look_at_era()
+            self._check_store_era()
 
-    def _look_at_era(self):
+    def _check_store_era(self):
         """Write again what the store may have lost, if it has come back older."""
         # Others that read the store tell its points too.
         era = era_of(self.replica.targets_version)
-        if era > max(self._era, era_of(self._registering.version)):
-            self._registering.rewrite_later()
+        if era > max(self._last_store_era, era_of(self._registrar.version)):
+            self._registrar.rewrite_later()
             self.quarantine.mark_all_unsaved()
-        self._era = era
+        self._last_store_era = era
         self._metrics.set_state("store_era", era)
 
 
@@ -306,5 +308,5 @@
         raise task.exception()
     except Exception:
         log.exception("task-crashed", task=task.get_coro().__qualname__)
-    time.sleep(LAST_LINES_S)
+    time.sleep(LOG_FLUSH_S)
     os._exit(EXIT_CRASHED)
--- a/cowslipcourse/entry/domains.py
+++ b/cowslipcourse/entry/domains.py
@@ -7,10 +7,10 @@
 
 __all__ = ["DomainTracker"]
 
-OTHERS_S = 2.0
+DISCOVERY_QUIET_S = 2.0
 """Time without a new domain after which all are taken as known: they are listed up to
 that far apart."""
-MOST_WAIT_S = 4.0
+MAX_DISCOVERY_S = 4.0
 """Time after which a domain gets groups although others keep coming."""
 log = get_logger(__name__)
 
@@ -23,9 +23,9 @@
 
     def __init__(self, context):
         self._context = context
-        self._domain_of = {}
-        self._grown_at = {}
-        self._first_heard_at = {}
+        self._domain_by_engine = {}
+        self._last_growth_at = {}
+        self._discovered_at = {}
         self.by_name = {}
 
     @property
@@ -40,25 +40,25 @@
             if not self._is_engine(entry):
                 self.mark_unlisted((entry.id,))
                 continue
-            self._leave_other_domain(entry)
-            self._first_heard_at.setdefault(entry.domain, now)
+            self._remove_from_previous_domain(entry)
+            self._discovered_at.setdefault(entry.domain, now)
             domain = self.by_name.setdefault(entry.domain, DomainKnowledge())
             if entry.id not in domain.engines:
-                self._grown_at[entry.domain] = now
+                self._last_growth_at[entry.domain] = now
             domain.see_entry(entry)
 
     def mark_unlisted(self, ids):
         """Note ids that the list no longer holds."""
         for engine_id in ids:
-            known = self._domain_of.get(engine_id)
+            known = self._domain_by_engine.get(engine_id)
             if known is not None:
                 self.by_name[known].see_gone(engine_id)
 
-    def see_report(self, engine, report, asked_at):
+    def record_report(self, engine, report, requested_at):
         """Take in a report.
 
         :param engine: :class:`~cowslipcourse.groups.EngineKnowledge` that was asked.
-        :param asked_at: when it was asked for.
+        :param requested_at: loop time at which it was requested.
         """
         if report.incarnation != engine.incarnation:
             log.info(
@@ -67,9 +67,9 @@
                 known=engine.incarnation,
                 reported=report.incarnation,
             )
-        self.by_name[engine.entry.domain].see_report(engine.id, report, asked_at)
+        self.by_name[engine.entry.domain].see_report(engine.id, report, requested_at)
 
-    def see_plan(self, plan, is_own):
+    def record_plan(self, plan, is_own):
         """Take in what a domain's plan says of its engines.
 
         :param is_own: whether this daemon wrote it in place of the one that it knew.
@@ -80,20 +80,23 @@
     def forget(self, plan):
         """Forget engines of a plan's domain that neither list nor plan names."""
         for engine_id in self.by_name[plan.domain].forget(plan.names):
-            del self._domain_of[engine_id]
+            del self._domain_by_engine[engine_id]
 
     def time_since_growth_s(self, domain, now):
         """Return the seconds since a domain got an engine; 0 if it never did."""
-        return now - self._grown_at.get(domain, now)
+        return now - self._last_growth_at.get(domain, now)
 
     def are_all_discovered(self, domain, now):
         """Whether all domains are likely to be known that are divided with a new one.
 
         :param domain: name of the domain that is to get its first groups.
         """
-        known_s = now - self._first_heard_at.get(domain, now)
-        newest_at = max(self._first_heard_at.values(), default=now)
-        return now - newest_at >= OTHERS_S or known_s >= MOST_WAIT_S
+        known_for_s = now - self._discovered_at.get(domain, now)
+        last_discovery_at = max(self._discovered_at.values(), default=now)
+        return (
+            now - last_discovery_at >= DISCOVERY_QUIET_S
+            or known_for_s >= MAX_DISCOVERY_S
+        )
 
     def engine(self, domain, engine_id):
         """Return the :class:`~cowslipcourse.groups.EngineKnowledge`, or ``None``."""
@@ -106,10 +109,10 @@
         spec = None if table is None else table.services.get(entry.service)
         return bool(entry.domain) and spec is not None and bool(spec.models)
 
-    def _leave_other_domain(self, entry):
+    def _remove_from_previous_domain(self, entry):
         """An engine is in one domain: two rows could plan it for two groups."""
-        known = self._domain_of.get(entry.id)
+        known = self._domain_by_engine.get(entry.id)
         if known not in (None, entry.domain):
             log.warning("engine-moved", id=entry.id, known=known, listed=entry.domain)
             self.by_name[known].see_gone(entry.id)
-        self._domain_of[entry.id] = entry.domain
+        self._domain_by_engine[entry.id] = entry.domain
--- a/cowslipcourse/entry/following.py
+++ b/cowslipcourse/entry/following.py
@@ -12,12 +12,12 @@
 
 __all__ = ["TableFollower"]
 
-FIRST_RETRY_S = 0.1
-LONGEST_RETRY_S = 0.5
-FED_S = 2.5
+INITIAL_RETRY_S = 0.1
+MAX_RETRY_S = 0.5
+PEER_FEED_S = 2.5
 """Time for which others must have told what changes: by then what lapsed in an outage
 has come back, or is gone for them too."""
-LATELY_S = 5.0
+RECENT_FAILURE_S = 5.0
 """Time for which a daemon that the store refused leaves the reading to others. It would
 find out only by trying again, and nobody coordinates meanwhile."""
 
@@ -30,53 +30,53 @@
     :param store: :class:`~cowslipcourse.ports.RowStore`
     :param settings: :class:`~cowslipcourse.entry.settings.StoreSettings`
     :param table: table name.
-    :param take_all: called with all rows, as
+    :param on_snapshot: called with all rows, as
         :class:`~cowslipcourse.ports.RowChanges`.
-    :param take_changes: called with the version that was known and the changes.
+    :param on_changes: called with the version that was known and the changes.
     :param batch_s: pause between two reads, so that changes come together.
     """
 
-    def __init__(self, store, settings, table, take_all, take_changes, batch_s):
+    def __init__(self, store, settings, table, on_snapshot, on_changes, batch_s):
         self._store = store
         self._settings = settings
         self._table = table
-        self._take_all = take_all
-        self._take_changes = take_changes
+        self._on_snapshot = on_snapshot
+        self._on_changes = on_changes
         self._batch_s = batch_s
         self._version = None
         self._failed_since = None
         self._failed_at = None
-        self._fed_since = None
-        self._has_read = False
+        self._peer_fed_since = None
+        self._has_snapshot = False
         self._active = asyncio.Event()
         self._active.set()
 
     @property
     def is_current(self):
         """Whether the store answers."""
-        return self._has_read and self._failed_since is None
+        return self._has_snapshot and self._failed_since is None
 
     @property
     def was_unavailable(self):
         """Whether the store did not answer until now, and nobody told what changed."""
-        return self._failed_since is not None and not self._was_fed()
+        return self._failed_since is not None and not self._is_fed_by_peers()
 
-    def _was_fed(self):
-        if self._fed_since is None:
+    def _is_fed_by_peers(self):
+        if self._peer_fed_since is None:
             return False
-        return asyncio.get_running_loop().time() - self._fed_since >= FED_S
+        return asyncio.get_running_loop().time() - self._peer_fed_since >= PEER_FEED_S
 
     def note_peer_update(self):
         """Note that another daemon has told what it read in the store."""
-        if self._failed_since is not None and self._fed_since is None:
-            self._fed_since = asyncio.get_running_loop().time()
+        if self._failed_since is not None and self._peer_fed_since is None:
+            self._peer_fed_since = asyncio.get_running_loop().time()
 
     @property
     def has_failed_recently(self):
         """Whether the store refused this daemon a short while ago."""
         if self._failed_at is None:
             return False
-        return asyncio.get_running_loop().time() - self._failed_at < LATELY_S
+        return asyncio.get_running_loop().time() - self._failed_at < RECENT_FAILURE_S
 
     def set_following(self, active):
         """Follow the store, or rest until told to go on."""
@@ -95,45 +95,45 @@
 
     async def run(self):
         """Follow the table for ever."""
-        retry_s = FIRST_RETRY_S
+        retry_s = INITIAL_RETRY_S
         while True:
             await self._active.wait()
             try:
-                await self._step()
+                await self._read_once()
             except HistoryDropped:
                 log.warning("history-dropped", table=self._table, version=self._version)
                 self._version = None
                 continue
             except (StoreError, ConfigurationError, MalformedAnswer) as error:
-                self._note_failure(error)
+                self._record_failure(error)
                 await asyncio.sleep(retry_s)
-                retry_s = min(LONGEST_RETRY_S, retry_s * 2)
+                retry_s = min(MAX_RETRY_S, retry_s * 2)
                 continue
             if self._failed_since is not None:
                 log.info("store-regained", table=self._table)
                 self._failed_since = None
-            retry_s = FIRST_RETRY_S
+            retry_s = INITIAL_RETRY_S
             await asyncio.sleep(self._batch_s)
 
-    async def _step(self):
+    async def _read_once(self):
         if self._version is None or self._failed_since is not None:
-            everything = await self._store.read_table(self._table)
-            self._take_all(everything)
-            self._version = everything.version
-            self._has_read = True
+            snapshot = await self._store.read_table(self._table)
+            self._on_snapshot(snapshot)
+            self._version = snapshot.version
+            self._has_snapshot = True
             return
-        after = self._version
+        known_version = self._version
         changes = await self._store.changes(
-            self._table, after, self._settings.feed_wait_s
+            self._table, known_version, self._settings.feed_wait_s
         )
         if changes.rows:
-            self._take_changes(after, changes)
+            self._on_changes(known_version, changes)
         if self._version is not None:
             # Unless the whole table is to be read again by now.
             self._version = changes.version
 
-    def _note_failure(self, error):
-        self._fed_since = None
+    def _record_failure(self, error):
+        self._peer_fed_since = None
         self._failed_at = asyncio.get_running_loop().time()
         if self._failed_since is None:
             self._failed_since = asyncio.get_running_loop().time()
--- a/cowslipcourse/entry/front.py
+++ b/cowslipcourse/entry/front.py
@@ -100,7 +100,7 @@
                 )
                 raise CallerGone("the caller left")
             forwarding.result()
-            self._durations.note(call.route, _now() - call.arrived_at)
+            self._durations.record(call.route, _now() - call.arrived_at)
         finally:
             leaving.cancel()
             forwarding.cancel()
--- a/cowslipcourse/entry/knowledge.py
+++ b/cowslipcourse/entry/knowledge.py
@@ -29,18 +29,18 @@
 
 __all__ = ["StateReplica"]
 
-RETURN_S = 2.2
+RECOVERY_S = 2.2
 """After an outage, entries that lapsed meanwhile are back within about two seconds."""
-HOLD_S = 1.5
+REMOVAL_HOLD_S = 1.5
 """Time for which an entry that is dropped soon after an outage is kept: it may have
 lapsed and be back. A target must get nothing new 2 s after its entry is dropped."""
-LOOK_S = 0.1
+CHECK_INTERVAL_S = 0.1
 """Interval at which it is checked whether a peer must be read."""
-KEPT_STATES = 8
+MAX_CACHED_STATES = 8
 """Encoded answers that are kept: many peers that missed the same ask for the same."""
-MOST_SOURCES = 3
+MAX_SOURCES_PER_READ = 3
 """Peers that are asked one after the other before a pause."""
-EVERY_VERSION = 1 << 62
+NO_TARGETS_WANTED = 1 << 62
 """Stands for a reader that wants no targets."""
 
 log = get_logger(__name__)
@@ -60,19 +60,19 @@
     def __init__(self, settings, store, registry, rng, listener):
         self._read_policy = PeerReadPolicy(registry, rng)
         self._listener = listener
-        self._content = None
+        self._configuration_content = None
         self._target_list = TargetList()
-        self._history = ChangeHistory()
-        self._states = {}
-        self._refused = None
+        self._change_history = ChangeHistory()
+        self._cached_states = {}
+        self._refused_content = None
         self._recovered_at = 0.0
         self._held_until = {}
-        self._unsettled = asyncio.Event()
+        self._recovery_pending = asyncio.Event()
         self._session = None
         self._follows_store = True
         self.configuration_version = 0
         self.targets_version = 0
-        self._configuration = TableFollower(
+        self._configuration_follower = TableFollower(
             store,
             settings.store,
             CONFIGURATION_TABLE,
@@ -80,7 +80,7 @@
             lambda after, changes: self._on_configuration_rows(changes),
             0.0,
         )
-        self._targets = TableFollower(
+        self._target_follower = TableFollower(
             store,
             settings.store,
             TARGETS_TABLE,
@@ -100,7 +100,7 @@
 
         Of a daemon that rests it is assumed, unless it was refused lately.
         """
-        tables = self._configuration, self._targets
+        tables = self._configuration_follower, self._target_follower
         if not self._follows_store:
             return not any(table.has_failed_recently for table in tables)
         return all(table.is_current for table in tables)
@@ -113,19 +113,19 @@
         if not active and not (self.configuration_version and self.targets_version):
             return
         self._follows_store = active
-        self._configuration.set_following(active)
-        self._targets.set_following(active)
+        self._configuration_follower.set_following(active)
+        self._target_follower.set_following(active)
 
     def coroutines(self):
         """Return the coroutines that keep it up to date."""
         return (
-            self._configuration.run(),
-            self._targets.run(),
-            self._look_at_peers(),
-            self._settle(),
+            self._configuration_follower.run(),
+            self._target_follower.run(),
+            self._poll_peers(),
+            self._reread_after_recovery(),
         )
 
-    def state(self, known_configuration, known_targets):
+    def encoded_state(self, known_configuration, known_targets):
         """Return the bytes that a peer reads: only what it does not have.
 
         :param known_configuration: version of the configuration that the peer has.
@@ -135,18 +135,18 @@
         configuration = self.configuration_version if has_newer else None
         after = min(known_targets, self.targets_version)
         key = configuration, after, self.targets_version
-        if key not in self._states:
-            if len(self._states) >= KEPT_STATES:
-                del self._states[next(iter(self._states))]
-            self._states[key] = encode_state(self._state(has_newer, after))
-        return self._states[key]
-
-    def _state(self, has_newer, after):
-        configuration = self._content if has_newer else None
+        if key not in self._cached_states:
+            if len(self._cached_states) >= MAX_CACHED_STATES:
+                del self._cached_states[next(iter(self._cached_states))]
+            self._cached_states[key] = encode_state(self._build_state(has_newer, after))
+        return self._cached_states[key]
+
+    def _build_state(self, has_newer, after):
+        configuration = self._configuration_content if has_newer else None
         version, contents = self.targets_version, self._target_list.contents
         if after == version:
             return PeerState(configuration, version, {}, after)
-        found = self._history.since(after)
+        found = self._change_history.changes_since(after)
         if found is None:
             return PeerState(configuration, version, contents)
         changed, gone = found
@@ -162,12 +162,12 @@
 
     def _apply_configuration(self, content):
         """Put a newer configuration in force; an unreadable one changes nothing."""
-        if content in (self._content, self._refused):
+        if content in (self._configuration_content, self._refused_content):
             return
         try:
             table, problems = decode_configuration(content)
         except ConfigurationError as error:
-            self._refused = content
+            self._refused_content = content
             log.warning("configuration-refused", error=error.code, why=error)
             return
         if table.version <= self.configuration_version:
@@ -175,34 +175,34 @@
         for problem in problems:
             log.warning("configuration-part-refused", problem=problem)
         self.configuration_version = table.version
-        self._content = content
-        self._states.clear()
+        self._configuration_content = content
+        self._cached_states.clear()
         self._listener.apply_configuration(table)
 
-    def _on_target_snapshot(self, everything):
-        listed = {row.key: row.value for row in everything.rows}
+    def _on_target_snapshot(self, snapshot):
+        listed = {row.key: row.value for row in snapshot.rows}
         # What the store lists has come back, or was never gone.
         self._held_until = {
             t: at for t, at in self._held_until.items() if t not in listed
         }
         known = self._target_list.contents
-        is_older = era_of(everything.version) > era_of(self.targets_version)
-        if is_older or self._targets.was_unavailable or not known:
+        is_older = era_of(snapshot.version) > era_of(self.targets_version)
+        if is_older or self._target_follower.was_unavailable or not known:
             loop = asyncio.get_running_loop()
-            self._recovered_at = loop.time() + RETURN_S
-            self._unsettled.set()
+            self._recovered_at = loop.time() + RECOVERY_S
+            self._recovery_pending.set()
             # What is missing may be back in a moment. A store that has come back older
             # may also list what a target has since replaced, and will write again.
             listed = {**listed, **known} if is_older else {**known, **listed}
-        self._replace_targets(listed, everything.version)
+        self._replace_targets(listed, snapshot.version)
 
     def _replace_targets(self, listed, version):
         self.targets_version = version
-        before = dict(self._target_list.contents)
+        previous = dict(self._target_list.contents)
         changes = self._target_list.replace(listed)
         after = self._target_list.contents
-        changed = [t for t, content in after.items() if before.get(t) != content]
-        self._note_history(changed, changes.gone)
+        changed = [t for t, content in after.items() if previous.get(t) != content]
+        self._record_changes(changed, changes.gone)
         log.info(
             "targets-read",
             number=len(self._target_list.entries),
@@ -216,29 +216,29 @@
         loop = asyncio.get_running_loop()
         gone = tuple(row.key for row in changes.rows if row.deleted)
         if loop.time() < self._recovered_at:
-            self._held_until |= dict.fromkeys(gone, loop.time() + HOLD_S)
-            self._unsettled.set()
+            self._held_until |= dict.fromkeys(gone, loop.time() + REMOVAL_HOLD_S)
+            self._recovery_pending.set()
             gone = ()
         changed = {row.key: row.value for row in changes.rows if not row.deleted}
         self._held_until = {
             t: at for t, at in self._held_until.items() if t not in changed
         }
         message = TargetChanges(after, changes.version, changed, gone)
-        self._apply(message)
+        self._apply_changes(message)
         versions = {row.key: row.version for row in changes.rows}
         for part in split_changes(message, versions):
             self._listener.push_changes(part)
 
-    def _note_history(self, changed, gone):
-        self._states.clear()
+    def _record_changes(self, changed, gone):
+        self._cached_states.clear()
         # Entries of earlier lives that came late are in no list.
         changed = [target for target in changed if target in self._target_list.contents]
-        self._history.note(self.targets_version, changed, gone)
+        self._change_history.record(self.targets_version, changed, gone)
 
-    def _apply(self, message):
+    def _apply_changes(self, message):
         self.targets_version = max(self.targets_version, message.version)
         changes = self._target_list.apply(message.changed, message.gone)
-        self._note_history(message.changed, message.gone)
+        self._record_changes(message.changed, message.gone)
         if any(changes):
             leaving = [entry.id for entry in changes.entries if entry.is_leaving]
             log.info(
@@ -258,25 +258,25 @@
         self._held_until = {t: at for t, at in self._held_until.items() if t not in due}
         version = self.targets_version
         message = TargetChanges(version, version, {}, due)
-        self._apply(message)
+        self._apply_changes(message)
         self._listener.push_changes(message)
 
-    async def _settle(self):
+    async def _reread_after_recovery(self):
         """Read all targets again once what lapsed in an outage had time to return."""
         loop = asyncio.get_running_loop()
-        settled_at = 0.0
+        recovered_at = 0.0
         while True:
-            await self._unsettled.wait()
-            while self._held_until or self._recovered_at > settled_at:
-                await asyncio.sleep(LOOK_S)
+            await self._recovery_pending.wait()
+            while self._held_until or self._recovered_at > recovered_at:
+                await asyncio.sleep(CHECK_INTERVAL_S)
                 self._drop_expired_held(loop.time())
                 if (
-                    self._recovered_at > settled_at
+                    self._recovered_at > recovered_at
                     and loop.time() >= self._recovered_at
                 ):
-                    settled_at = self._recovered_at
-                    self._targets.request_full_read()
-            self._unsettled.clear()
+                    recovered_at = self._recovered_at
+                    self._target_follower.request_full_read()
+            self._recovery_pending.clear()
 
     # From peers.
 
@@ -289,36 +289,36 @@
         if self._follows_store:
             return
         if message.version <= self.targets_version:
-            self._drop_late(message)
+            self._apply_late_removals(message)
         elif message.after <= self.targets_version:
-            self._apply(message)
-            self._targets.note_peer_update()
+            self._apply_changes(message)
+            self._target_follower.note_peer_update()
 
-    def _drop_late(self, message):
+    def _apply_late_removals(self, message):
         """Drop what a push of a version that is known here says has gone."""
         gone = tuple(
             target
             for target in message.gone
-            if not self._history.has_changed_since(target, message.version)
+            if not self._change_history.has_changed_since(target, message.version)
         )
         if gone:
-            self._apply(message._replace(changed={}, gone=gone))
+            self._apply_changes(message._replace(changed={}, gone=gone))
 
-    async def _look_at_peers(self):
+    async def _poll_peers(self):
         loop = asyncio.get_running_loop()
         while True:
-            await asyncio.sleep(LOOK_S)
+            await asyncio.sleep(CHECK_INTERVAL_S)
             sources = self._read_policy.sources(self, loop.time())
             if sources:
-                succeeded = await self._read_one_of(sources)
-                self._read_policy.note(succeeded, loop.time())
+                succeeded = await self._read_first_available(sources)
+                self._read_policy.record_result(succeeded, loop.time())
 
-    async def _read_one_of(self, members):
+    async def _read_first_available(self, members):
         """Read the first peer that answers; return whether one did."""
         if self._session is None:
             self._session = aiohttp.ClientSession()
-        for member in members[:MOST_SOURCES]:
-            known = self.configuration_version, self._wanted_after()
+        for member in members[:MAX_SOURCES_PER_READ]:
+            known = self.configuration_version, self._needed_after_version()
             try:
                 state = await read_state(self._session, member.peer_address, *known)
                 self._apply_peer_state(state)
@@ -332,15 +332,17 @@
         if state.configuration is not None:
             self._apply_configuration(state.configuration)
         version = state.targets_version
-        if version <= self._wanted_after():
+        if version <= self._needed_after_version():
             return
         if state.after is not None and state.after <= self.targets_version:
-            self._apply(TargetChanges(state.after, version, state.targets, state.gone))
+            self._apply_changes(
+                TargetChanges(state.after, version, state.targets, state.gone)
+            )
         elif state.after is None and state.targets:
             self._replace_targets(dict(state.targets), version)
 
-    def _wanted_after(self):
+    def _needed_after_version(self):
         """Return the store version after which a peer's targets are of use."""
         if self._follows_store and self.is_current:
-            return EVERY_VERSION
+            return NO_TARGETS_WANTED
         return self.targets_version
--- a/cowslipcourse/entry/main.py
+++ b/cowslipcourse/entry/main.py
@@ -12,7 +12,7 @@
 
 from cowslipcourse import __version__
 from cowslipcourse.adapters.log import get_logger, set_up_queued_logging
-from cowslipcourse.entry.daemon import Entry
+from cowslipcourse.entry.daemon import EntryDaemon
 from cowslipcourse.entry.settings import EntrySettings
 from cowslipcourse.exceptions import CowslipError, SettingsError
 from cowslipcourse.platform import SETTINGS_VARIABLE
@@ -31,12 +31,14 @@
     loop = asyncio.get_running_loop()
     loop.add_signal_handler(signal.SIGTERM, stopping.set)
     loop.add_signal_handler(signal.SIGINT, stopping.set)
-    entry = Entry(settings, path)
-    loop.add_signal_handler(signal.SIGHUP, lambda: entry.watch.reload("SIGHUP"))
+    entry = EntryDaemon(settings, path)
+    loop.add_signal_handler(
+        signal.SIGHUP, lambda: entry.settings_watcher.reload("SIGHUP")
+    )
     await entry.run(stopping)
 
 
-def _load(command):
+def _load_settings(command):
     """Return the settings and their path as a command names them, or ``None``."""
     path = command.argument("settings") or os.environ.get(SETTINGS_VARIABLE)
     if not path:
@@ -66,11 +68,11 @@
 
     def handle(self):
         """Run until SIGTERM; return another exit code than 0 if that fails."""
-        loaded = _load(self)
+        loaded = _load_settings(self)
         if loaded is None:
             return EXIT_USAGE
         settings, path = loaded
-        listener = set_up_queued_logging(settings.log)
+        log_listener = set_up_queued_logging(settings.log)
         code = 0
         try:
             asyncio.run(_run(settings, path))
@@ -78,7 +80,7 @@
             log.warning("daemon-failed", code=error.code, detail=error.detail)
             code = EXIT_FAILED
         finally:
-            listener.stop()
+            log_listener.stop()
         sys.stdout.flush()
         # Taking the interpreter apart takes tenths of a second of what is left of the
         # grace on a busy VM, and nothing is left to be saved.
@@ -94,7 +96,7 @@
 
     def handle(self):
         """Check the file."""
-        if _load(self) is None:
+        if _load_settings(self) is None:
             return EXIT_USAGE
         self.line("The settings are good.")
         return 0
--- a/cowslipcourse/entry/metrics.py
+++ b/cowslipcourse/entry/metrics.py
@@ -7,7 +7,7 @@
 
 __all__ = ["EntryMetrics"]
 
-MOST_ROUTES = 200
+MAX_ROUTES = 200
 """Routes with counters of their own; the others share one, so memory is bounded."""
 OTHER_ROUTES = "other"
 LATENCY_BUCKETS_S = (0.05, 0.1, 0.2, 0.3, 0.5, 1.0, 2.0, 4.0, 8.0)
@@ -33,7 +33,7 @@
             ["outcome"],
             registry=self._registry,
         )
-        self._seconds = Histogram(
+        self._latency_s = Histogram(
             "cowslip_request_seconds",
             "Seconds from the head of a request to the end of its answer",
             buckets=LATENCY_BUCKETS_S,
@@ -45,10 +45,10 @@
             ["event"],
             registry=self._registry,
         )
-        self._state = Gauge(
+        self._state_gauge = Gauge(
             "cowslip_state", "State of the daemon", ["name"], registry=self._registry
         )
-        self._account = Counter(
+        self._causes = Counter(
             "cowslip_account",
             "Requests by route, model and the one cause of their end",
             ["route", "model", "cause"],
@@ -68,10 +68,10 @@
             registry=self._registry,
         )
 
-    def observe_request(self, outcome, seconds):
+    def observe_request(self, outcome, duration_s):
         """Count a request that is over."""
         self._requests.labels(outcome).inc()
-        self._seconds.observe(seconds)
+        self._latency_s.observe(duration_s)
 
     def count_cause(self, route, model, cause):
         """Count a request that is over under the one cause of its end.
@@ -80,23 +80,23 @@
         :param model: model that was asked for, or empty.
         :param cause: ``served``, or why it was lost.
         """
-        if route not in self._routes and len(self._routes) >= MOST_ROUTES:
+        if route not in self._routes and len(self._routes) >= MAX_ROUTES:
             route = OTHER_ROUTES
         else:
             self._routes.add(route)
-        self._account.labels(route, model, cause).inc()
+        self._causes.labels(route, model, cause).inc()
 
-    def set_group_counts(self, census):
+    def set_group_counts(self, counts):
         """Set the numbers of groups and engines.
 
-        :param census: :class:`~cowslipcourse.entry.census.GroupCounts`
+        :param counts: :class:`~cowslipcourse.entry.census.GroupCounts`
         """
         self._groups.clear()
-        for model, number in census.groups.items():
-            self._groups.labels(model).set(number)
+        for model, count in counts.groups_by_model.items():
+            self._groups.labels(model).set(count)
         self._engines.clear()
-        for (model, state), number in census.engines.items():
-            self._engines.labels(model, state).set(number)
+        for (model, state), count in counts.engines_by_state.items():
+            self._engines.labels(model, state).set(count)
 
     def event_counter(self):
         """Return a log handler that counts what is logged, by event and level."""
@@ -104,7 +104,7 @@
 
     def set_state(self, name, value):
         """Set a value of the daemon's state."""
-        self._state.labels(name).set(value)
+        self._state_gauge.labels(name).set(value)
 
     def render(self):
         """Return all metrics as text."""
--- a/cowslipcourse/entry/peer_link.py
+++ b/cowslipcourse/entry/peer_link.py
@@ -18,18 +18,18 @@
 
 __all__ = ["PeerLink"]
 
-MOST_BYTES = 32_000
+MAX_PUSH_BYTES = 32_000
 """Longest datagram that is pushed; more is left to a read of the whole state."""
 
 log = get_logger(__name__)
 
 
-class _Datagrams(asyncio.DatagramProtocol):
-    def __init__(self, take):
-        self._take = take
+class _DatagramReceiver(asyncio.DatagramProtocol):
+    def __init__(self, on_datagram):
+        self._handle_datagram = on_datagram
 
     def datagram_received(self, data, addr):
-        self._take(data)
+        self._handle_datagram(data)
 
     def error_received(self, exc):
         log.info("datagram-refused", why=exc)
@@ -51,7 +51,7 @@
         self._daemon = daemon
         self._transport = None
         self._digests = DigestWriter(settings.peers, registry)
-        self._told_all_at = None
+        self._sent_to_all_at = None
 
     async def start(self):
         """Listen, and write to the seeds at first.
@@ -63,7 +63,8 @@
         host, port = address.rsplit(":", 1)
         try:
             self._transport, _ = await loop.create_datagram_endpoint(
-                lambda: _Datagrams(self._take), local_addr=(host, int(port))
+                lambda: _DatagramReceiver(self._handle_datagram),
+                local_addr=(host, int(port)),
             )
         except OSError as error:
             raise AddressTaken(address, error.strerror) from error
@@ -74,50 +75,50 @@
     async def run(self):
         """Send heartbeats for ever, and digests while this daemon is a reporter."""
         while True:
-            self._beat()
+            self._send_heartbeats()
             await asyncio.sleep(self._settings.peers.interval_s)
 
     def heartbeat_now(self):
         """Send a heartbeat to the whole data centre at once."""
-        self._told_all_at = None
-        self._beat()
+        self._sent_to_all_at = None
+        self._send_heartbeats()
 
-    def _beat(self):
+    def _send_heartbeats(self):
         """Send a heartbeat to the reporters, and to all others when it is time."""
         now = asyncio.get_running_loop().time()
         self._registry.expire(now)
         own = self._daemon.heartbeat()
         reporters = self._registry.reporter_addresses(own, now)
-        quick = own._replace(interval_s=self._settings.peers.interval_s)
-        self._send(encode(quick), reporters)
+        frequent_heartbeat = own._replace(interval_s=self._settings.peers.interval_s)
+        self._send(encode(frequent_heartbeat), reporters)
         self._registry.record_own_in_flight(own.in_flight)
-        if self._is_time_for_all(own, now):
-            self._told_all_at = now
-            near = self._registry.local_addresses(now)
-            self._send(encode(own), [each for each in near if each not in reporters])
+        if self._is_full_heartbeat_due(own, now):
+            self._sent_to_all_at = now
+            local = self._registry.local_addresses(now)
+            self._send(encode(own), [each for each in local if each not in reporters])
         if own.member.name in self._registry.reporters(own, now):
             self._send_digests(own, now)
 
-    def _is_time_for_all(self, own, now):
-        if self._told_all_at is None:
+    def _is_full_heartbeat_due(self, own, now):
+        if self._sent_to_all_at is None:
             return True
         margin_s = self._settings.peers.interval_s / 2
-        return now - self._told_all_at >= own.interval_s - margin_s
+        return now - self._sent_to_all_at >= own.interval_s - margin_s
 
     def _send_digests(self, own, now):
-        far = self._digests.build_remote_digest(own, now)
-        self._send(encode(far), self._registry.remote_addresses(now))
-        near = self._digests.build_local_digest(own, now)
-        if near is not None:
-            self._send(encode(near), self._registry.local_addresses(now))
+        remote = self._digests.build_remote_digest(own, now)
+        self._send(encode(remote), self._registry.remote_addresses(now))
+        local = self._digests.build_local_digest(own, now)
+        if local is not None:
+            self._send(encode(local), self._registry.local_addresses(now))
 
-    def broadcast_group_news(self, news):
+    def broadcast_group_update(self, update):
         """Send a :class:`~cowslipcourse.peers.GroupUpdate` to all daemons, once.
 
         One that is lost costs what there is without news: the list tells it later.
         """
         now = asyncio.get_running_loop().time()
-        self._send(encode(news), self._registry.all_addresses(now))
+        self._send(encode(update), self._registry.all_addresses(now))
 
     @property
     def address(self):
@@ -152,7 +153,7 @@
     def push_changes(self, changes):
         """Send changes of targets to the own data centre."""
         content = encode(changes)
-        if len(content) > MOST_BYTES:
+        if len(content) > MAX_PUSH_BYTES:
             return
         now = asyncio.get_running_loop().time()
         self._send(content, self._registry.local_addresses(now))
@@ -167,7 +168,7 @@
                 host, port = address.rsplit(":", 1)
                 self._transport.sendto(content, (host, int(port)))
 
-    def _take(self, content):
+    def _handle_datagram(self, content):
         try:
             message = decode(content)
         except MalformedAnswer as error:
@@ -177,17 +178,17 @@
         if isinstance(message, TargetChanges):
             self._daemon.replica.apply_push(message)
         elif isinstance(message, GroupUpdate):
-            self._daemon.take_news(message)
+            self._daemon.apply_group_update(message)
         elif isinstance(message, CrashReports | QuarantineUpdate | RequestCleared):
             self._daemon.quarantine.take(message)
         elif isinstance(message, Heartbeat):
             if message.member.name != self._settings.name:
-                self._take_heartbeat(message, now)
+                self._handle_heartbeat(message, now)
         elif self._registry.record_digest(message, now):
-            self._hand_on(content, message, now)
+            self._relay_digest(content, message, now)
             self._daemon.investigate_suspects(message)
 
-    def _take_heartbeat(self, heartbeat, now):
+    def _handle_heartbeat(self, heartbeat, now):
         """Take in a heartbeat, and answer the first one of a run with an own one.
 
         A daemon that has just started need not wait for the next one of each other:
@@ -201,10 +202,10 @@
             self._send(encode(own), [heartbeat.member.peer_address])
         self._daemon.investigate_suspects(heartbeat)
 
-    def _hand_on(self, content, digest, now):
+    def _relay_digest(self, content, digest, now):
         """Bring another data centre's digest to the own one, once."""
-        is_near = digest.reporter.data_centre == self._settings.data_centre
-        if is_near or digest.in_flight is None:
+        is_local = digest.reporter.data_centre == self._settings.data_centre
+        if is_local or digest.in_flight is None:
             return
         if self._registry.is_active_reporter(self._daemon.heartbeat(), now):
             self._send(content, self._registry.local_addresses(now))
--- a/cowslipcourse/entry/peer_reading.py
+++ b/cowslipcourse/entry/peer_reading.py
@@ -7,11 +7,11 @@
 
 __all__ = ["PeerReadPolicy", "read_state"]
 
-BEHIND_S = 0.3
+PUSH_GRACE_S = 0.3
 """Time for a push to arrive before the state is read instead."""
 PEER_TIMEOUT_S = 1.0
 """Longest read of a peer's state: 20 KB over a link of 20 Mbit/s that others use."""
-FIRST_PAUSE_S = 0.1
+INITIAL_BACKOFF_S = 0.1
 MAX_BACKOFF_S = 0.8
 """Pauses after reads of which none succeeded: whoever reads again at once keeps the
 links full that made the first reads late."""
@@ -27,62 +27,69 @@
     def __init__(self, registry, rng):
         self._registry = registry
         self._rng = rng
-        self._missed = None
-        self._pause_s = FIRST_PAUSE_S
-        self._paused_until = 0.0
+        self._missed_since = None
+        self._backoff_s = INITIAL_BACKOFF_S
+        self._backoff_until = 0.0
 
-    def sources(self, knowledge, now):
+    def sources(self, replica, now):
         """Return the members to read from, in order, if something is missing.
 
-        :param knowledge: has ``configuration_version``, ``targets_version``,
+        :param replica: has ``configuration_version``, ``targets_version``,
             ``is_current`` and ``follows_store``.
         :param now: loop time.
         """
-        if now < self._paused_until:
+        if now < self._backoff_until:
             return []
         newer = self._registry.with_newer_configuration(
-            knowledge.configuration_version, now
+            replica.configuration_version, now
         )
         if newer:
             return self._shuffled(newer)
-        near = [
+        local_heartbeats = [
             heartbeat
             for heartbeat in self._registry.local_heartbeats(now)
             if heartbeat.is_healthy
         ]
-        wanted = self._missed_version(knowledge, near, now)
-        if wanted is not None:
+        wanted_version = self._missed_version(replica, local_heartbeats, now)
+        if wanted_version is not None:
             return self._shuffled(
-                [h.member for h in near if h.targets_version >= wanted]
+                [
+                    h.member
+                    for h in local_heartbeats
+                    if h.targets_version >= wanted_version
+                ]
             )
-        if knowledge.is_current:
+        if replica.is_current:
             return []
         others = [digest.reporter for digest in self._registry.digests(now)]
-        return self._shuffled([h.member for h in near]) + others
+        return self._shuffled([h.member for h in local_heartbeats]) + others
 
-    def note(self, succeeded, now):
+    def record_result(self, succeeded, now):
         """Note whether one of the sources answered."""
         if succeeded:
-            self._pause_s = FIRST_PAUSE_S
+            self._backoff_s = INITIAL_BACKOFF_S
             return
-        self._paused_until = now + self._pause_s * self._rng.uniform(0.5, 1.5)
-        self._pause_s = min(MAX_BACKOFF_S, 2 * self._pause_s)
+        self._backoff_until = now + self._backoff_s * self._rng.uniform(0.5, 1.5)
+        self._backoff_s = min(MAX_BACKOFF_S, 2 * self._backoff_s)
 
     def _shuffled(self, members):
         """Any of them: the link of one could not serve its whole data centre."""
         self._rng.shuffle(members)
         return members
 
-    def _missed_version(self, knowledge, near, now):
+    def _missed_version(self, replica, local_heartbeats, now):
         """Return the version that a lost push must have brought, or ``None``."""
-        newest = max((h.targets_version for h in near), default=0)
-        if knowledge.follows_store or newest <= knowledge.targets_version:
-            self._missed = None
+        newest = max((h.targets_version for h in local_heartbeats), default=0)
+        if replica.follows_store or newest <= replica.targets_version:
+            self._missed_since = None
             return None
-        if self._missed is None or self._missed[0] <= knowledge.targets_version:
-            self._missed = newest, now
-        wanted, since = self._missed
-        return wanted if now - since >= BEHIND_S else None
+        if (
+            self._missed_since is None
+            or self._missed_since[0] <= replica.targets_version
+        ):
+            self._missed_since = newest, now
+        wanted_version, missed_since = self._missed_since
+        return wanted_version if now - missed_since >= PUSH_GRACE_S else None
 
 
 async def read_state(session, address, configuration, targets):
--- a/cowslipcourse/entry/plan_table.py
+++ b/cowslipcourse/entry/plan_table.py
@@ -10,7 +10,7 @@
 __all__ = ["GROUPS_TABLE", "PlanTable"]
 
 GROUPS_TABLE = "groups"
-CONFIRMED_S = 2.0
+CONFIRMATION_VALIDITY_S = 2.0
 """Age at which the rows are read again before the next order."""
 
 log = get_logger(__name__)
@@ -20,18 +20,18 @@
     """Reads and replaces the rows of plans.
 
     :param store: :class:`~cowslipcourse.ports.RowStore`
-    :param see_plan: called with each :class:`~cowslipcourse.groups.DomainPlan` that
+    :param on_plan: called with each :class:`~cowslipcourse.groups.DomainPlan` that
         becomes known, and whether this daemon wrote it.
     """
 
-    def __init__(self, store, see_plan):
+    def __init__(self, store, on_plan):
         self._store = store
-        self._see_plan = see_plan
+        self._on_plan = on_plan
         self._unreadable = frozenset()
         self._confirmed_at = None
         self._read_at = float("-inf")
-        self._known_to = 0
-        self._lost = set()
+        self._read_version = 0
+        self._lost_domains = set()
         self.plans = {}
 
     @property
@@ -41,7 +41,7 @@
 
     def check_era(self):
         """Read the rows again if the store has come back older since."""
-        if self._store.era != era_of(self._known_to):
+        if self._store.era != era_of(self._read_version):
             self._confirmed_at = None
 
     def invalidate(self):
@@ -50,7 +50,10 @@
 
     def is_confirmed(self, now):
         """Whether the rows are known to have been current a moment ago."""
-        if self._confirmed_at is None or now - self._confirmed_at > CONFIRMED_S:
+        if (
+            self._confirmed_at is None
+            or now - self._confirmed_at > CONFIRMATION_VALIDITY_S
+        ):
             self._confirmed_at = None
             return False
         return True
@@ -65,21 +68,25 @@
 
     def is_lost(self, domain):
         """Whether the store has lost the row of the plan that is known of a domain."""
-        return domain in self._lost
+        return domain in self._lost_domains
 
     def plan(self, domain):
         """Return the :class:`~cowslipcourse.groups.DomainPlan` of a domain."""
-        return self.plans.get(domain) or DomainPlan(domain, absent_at=self._known_to)
+        return self.plans.get(domain) or DomainPlan(
+            domain, absent_at=self._read_version
+        )
 
     async def read(self):
         """Read all rows.
 
         :raises StoreError: they could not be read.
         """
-        asked_at = asyncio.get_running_loop().time()
+        requested_at = asyncio.get_running_loop().time()
         found = await self._store.read_table(GROUPS_TABLE)
         known, self.plans = self.plans, {}
-        may_be_lost = self._lost or era_of(found.version) > era_of(self._known_to)
+        may_be_lost = self._lost_domains or era_of(found.version) > era_of(
+            self._read_version
+        )
         unreadable = set()
         for row in found.rows:
             try:
@@ -89,11 +96,11 @@
                 log.warning("plan-unreadable", domain=row.key, why=error)
                 unreadable.add(row.key)
                 continue
-            self._take(plan, is_own=False)
+            self._set_plan(plan, is_own=False)
         self._unreadable = frozenset(unreadable)
-        self._known_to = found.version
-        self._lost = self._restore_lost(known) if may_be_lost else set()
-        self._confirmed_at = self._read_at = asked_at
+        self._read_version = found.version
+        self._lost_domains = self._restore_lost(known) if may_be_lost else set()
+        self._confirmed_at = self._read_at = requested_at
         log.info("plans-read", domains=len(self.plans), version=found.version)
 
     def _restore_lost(self, known):
@@ -115,7 +122,7 @@
                 found=found.decided_at,
                 version=found.version,
             )
-            self._take(
+            self._set_plan(
                 found._replace(groups=plan.groups, decided_at=plan.decided_at),
                 is_own=False,
             )
@@ -141,13 +148,13 @@
         plan = self.plan(domain)
         written = await self._write(plan, plan.groups, plan.decided_at)
         if written is not None:
-            self._lost.discard(domain)
+            self._lost_domains.discard(domain)
             log.info("plan-written-again", domain=domain, version=written.version)
         return written
 
     async def _write(self, plan, groups, decided_at):
         content = encode_plan(groups, decided_at)
-        asked_at = asyncio.get_running_loop().time()
+        requested_at = asyncio.get_running_loop().time()
         try:
             version = await self._store.write(
                 RowWrite(GROUPS_TABLE, plan.domain, content, plan.version)
@@ -157,10 +164,10 @@
             await self.read()
             return None
         written = DomainPlan(plan.domain, version, groups, decided_at)
-        self._take(written, is_own=True)
-        self._confirmed_at = asked_at
+        self._set_plan(written, is_own=True)
+        self._confirmed_at = requested_at
         return written
 
-    def _take(self, plan, is_own):
+    def _set_plan(self, plan, is_own):
         self.plans[plan.domain] = plan
-        self._see_plan(plan, is_own)
+        self._on_plan(plan, is_own)
--- a/cowslipcourse/entry/registering.py
+++ b/cowslipcourse/entry/registering.py
@@ -10,8 +10,8 @@
 __all__ = ["DaemonRegistrar"]
 
 DAEMONS_TABLE = "daemons"
-REGISTER_AGAIN_S = 0.5
-SPREAD_S = 5.0
+RETRY_INTERVAL_S = 0.5
+REWRITE_SPREAD_S = 5.0
 """Time over which all daemons write their rows again that the store may have lost."""
 
 log = get_logger(__name__)
@@ -22,18 +22,18 @@
 
     :param settings: :class:`~cowslipcourse.entry.settings.EntrySettings`
     :param store: :class:`~cowslipcourse.ports.RowStore`
-    :param on_learnt: called with :class:`~cowslipcourse.peers.Registration` list.
+    :param on_registrations: called with :class:`~cowslipcourse.peers.Registration` list.
     :param rng: :class:`random.Random`
     """
 
-    def __init__(self, settings, store, on_learnt, rng):
+    def __init__(self, settings, store, on_registrations, rng):
         self._settings = settings
         self._store = store
-        self._on_learnt = on_learnt
+        self._on_registrations = on_registrations
         self._rng = rng
         self._version = 0
         self._finished_at = None
-        self._may_be_lost = asyncio.Event()
+        self._rewrite_requested = asyncio.Event()
 
     @property
     def version(self):
@@ -52,46 +52,46 @@
         """Write this daemon's row, read the others', and write again what is lost."""
         self._version = await self._register()
         while not await self.read_registrations():
-            await asyncio.sleep(REGISTER_AGAIN_S)
+            await asyncio.sleep(RETRY_INTERVAL_S)
         self._finished_at = asyncio.get_running_loop().time()
         while True:
-            await self._may_be_lost.wait()
-            self._may_be_lost.clear()
-            await asyncio.sleep(self._rng.uniform(0.0, SPREAD_S))
+            await self._rewrite_requested.wait()
+            self._rewrite_requested.clear()
+            await asyncio.sleep(self._rng.uniform(0.0, REWRITE_SPREAD_S))
             await self._register()
 
     async def _register(self):
         """Write this daemon's row, whatever it takes, and return its point."""
         listen = self._settings.listen
-        where = Registration(listen.peer, self._settings.data_centre)
-        content = encode_registration(where)
+        registration = Registration(listen.peer, self._settings.data_centre)
+        content = encode_registration(registration)
         write = RowWrite(DAEMONS_TABLE, self._settings.name, content)
         while True:
             try:
                 version = await self._store.write(write)
             except StoreError as error:
                 log.warning("not-registered", error=error.code, why=error)
-                await asyncio.sleep(REGISTER_AGAIN_S)
+                await asyncio.sleep(RETRY_INTERVAL_S)
                 continue
             log.info("registered", version=version)
             return version
 
     def rewrite_later(self):
         """Write the row again in a while: the store may have lost it."""
-        self._may_be_lost.set()
+        self._rewrite_requested.set()
 
     async def read_registrations(self):
         """Learn the other daemons' addresses; return whether that was possible."""
         try:
-            found = await self._store.read_table(DAEMONS_TABLE)
+            snapshot = await self._store.read_table(DAEMONS_TABLE)
         except StoreError as error:
             log.warning("daemons-not-read", error=error.code, why=error)
             return False
-        learnt = []
-        for row in found.rows:
+        registrations = []
+        for row in snapshot.rows:
             try:
-                learnt.append(decode_registration(row.value))
+                registrations.append(decode_registration(row.value))
             except MalformedAnswer as error:
                 log.warning("registration-unreadable", daemon=row.key, why=error)
-        self._on_learnt(learnt)
+        self._on_registrations(registrations)
         return True
--- a/cowslipcourse/entry/reloading.py
+++ b/cowslipcourse/entry/reloading.py
@@ -11,9 +11,9 @@
 
 __all__ = ["SettingsWatcher", "changed_sections"]
 
-LOOK_S = 1.0
+CHECK_INTERVAL_S = 1.0
 """Interval at which the file is looked at; it may change without a signal."""
-AT_START_ONLY = ("name", "data_centre", "listen", "store", "peers")
+RESTART_ONLY_SECTIONS = ("name", "data_centre", "listen", "store", "peers")
 """Sections that take effect at a start only: addresses are bound, tasks hold them."""
 
 log = get_logger(__name__)
@@ -42,7 +42,7 @@
     async def run(self):
         """Look at the file for ever."""
         while True:
-            await asyncio.sleep(LOOK_S)
+            await asyncio.sleep(CHECK_INTERVAL_S)
             if self._read() != self._content:
                 self.reload("file changed")
 
@@ -58,15 +58,17 @@
             log.warning("settings-refused", why=why, problems=error)
             return
         changed = changed_sections(self._settings, settings)
-        needs_start = [name for name in changed if name in AT_START_ONLY]
+        restart_only = [name for name in changed if name in RESTART_ONLY_SECTIONS]
         log.info(
             "settings-read",
             why=why,
             changed=",".join(changed),
-            at_next_start=",".join(needs_start),
+            at_next_start=",".join(restart_only),
         )
-        kept = {name: getattr(self._settings, name) for name in AT_START_ONLY}
-        self._settings = settings.model_copy(update=kept)
+        unchanged = {
+            name: getattr(self._settings, name) for name in RESTART_ONLY_SECTIONS
+        }
+        self._settings = settings.model_copy(update=unchanged)
         logging.getLogger().setLevel(self._settings.log.level.upper())
         self._on_change(self._settings)
 
--- a/cowslipcourse/entry/roles.py
+++ b/cowslipcourse/entry/roles.py
@@ -7,9 +7,9 @@
 
 __all__ = ["RoleAssignment", "is_settled"]
 
-ROLE_LOOK_S = 0.1
+ROLE_CHECK_INTERVAL_S = 0.1
 """Interval at which a daemon looks whether it is a reporter."""
-SETTLE_S = 0.6
+REGISTRATION_SETTLE_S = 0.6
 """Time after a daemon has registered until it takes a role. Those that registered
 before it say so at once when they first hear it; one of those datagrams may be lost.
 After all 195 daemons of a site had lost power, 45 of them took a role at the same
@@ -25,7 +25,7 @@
         addresses, or ``None``.
     :param now: loop time.
     """
-    return completed_at is not None and now - completed_at >= SETTLE_S
+    return completed_at is not None and now - completed_at >= REGISTRATION_SETTLE_S
 
 
 class RoleAssignment:
@@ -35,19 +35,19 @@
 
     :param settings: :class:`~cowslipcourse.entry.settings.EntrySettings`
     :param registry: :class:`~cowslipcourse.peers.PeerRegistry`
-    :param registering: :class:`~cowslipcourse.entry.registering.DaemonRegistrar`
-    :param knowledge: has ``set_following(active)``.
+    :param registrar: :class:`~cowslipcourse.entry.registering.DaemonRegistrar`
+    :param replica: has ``set_following(active)``.
     :param daemon: has ``heartbeat()`` and ``is_draining``.
     """
 
-    def __init__(self, settings, registry, registering, replica, daemon):
+    def __init__(self, settings, registry, registrar, replica, daemon):
         self._settings = settings
         self._registry = registry
-        self._registering = registering
+        self._registrar = registrar
         self._replica = replica
         self._daemon = daemon
         self._is_reporter = False
-        self._firsts = {}
+        self._first_reporters = {}
 
     @property
     def is_reporter(self):
@@ -55,35 +55,37 @@
         return self._is_reporter
 
     @property
-    def coordinators(self):
+    def coordinator_count(self):
         """Number of daemons that keep groups; 1 if none is known."""
-        return max(1, len(self._firsts))
+        return max(1, len(self._first_reporters))
 
     def coordinates(self, data_centre):
         """Whether this daemon keeps the groups of a data centre's domains.
 
         :param data_centre: name of the data centre, or ``None`` if it is not known.
         """
-        if not self._is_reporter or not self._firsts:
+        if not self._is_reporter or not self._first_reporters:
             return False
-        first = self._firsts.get(data_centre)
-        if first is None:
-            first = min(self._firsts.values(), key=registration_order)
-        return first.name == self._settings.name
+        coordinator = self._first_reporters.get(data_centre)
+        if coordinator is None:
+            coordinator = min(self._first_reporters.values(), key=registration_order)
+        return coordinator.name == self._settings.name
 
     async def run(self):
         """Read the store only while this daemon speaks for its data centre."""
         loop = asyncio.get_running_loop()
         was_reporter = False
         while True:
-            await asyncio.sleep(ROLE_LOOK_S)
+            await asyncio.sleep(ROLE_CHECK_INTERVAL_S)
             now = loop.time()
-            if not is_settled(self._registering.completed_at, now):
+            if not is_settled(self._registrar.completed_at, now):
                 continue
             own = self._daemon.heartbeat()
             reporters = self._registry.reporters(own, now)
             is_reporter = self._is_reporter = own.member.name in reporters
-            self._firsts = self._registry.first_reporter_by_data_centre(own, now)
+            self._first_reporters = self._registry.first_reporter_by_data_centre(
+                own, now
+            )
             # Without any reporter everybody reads. The second one reads once the first
             # is late: two at once were half of a large site's calls to the store.
             self._replica.set_following(
@@ -94,5 +96,5 @@
             if is_reporter and not was_reporter:
                 log.info("reporting", data_centre=self._settings.data_centre)
                 # Daemons elsewhere may have registered after this one had read.
-                is_reporter = await self._registering.read_registrations()
+                is_reporter = await self._registrar.read_registrations()
             was_reporter = is_reporter
--- a/cowslipcourse/entry/scope.py
+++ b/cowslipcourse/entry/scope.py
@@ -9,7 +9,7 @@
     """What a coordinator asks about its part of the site."""
 
     @property
-    def coordinators(self) -> int:
+    def coordinator_count(self) -> int:
         """Number of daemons that keep groups, this one included; 1 if none is known."""
 
     def coordinates(self, data_centre: str | None) -> bool:
--- a/cowslipcourse/entry/side_apps.py
+++ b/cowslipcourse/entry/side_apps.py
@@ -17,20 +17,20 @@
     )
 
 
-def peer_app(state):
+def peer_app(encoded_state):
     """Return the application from which peers read configuration and targets.
 
-    :param state: callable that takes the versions of configuration and targets that
+    :param encoded_state: callable that takes the versions of configuration and targets that
         the peer has, and returns bytes.
     """
 
-    def read(query):
+    def answer_state(query):
         try:
             configuration = int(query.get("configuration", 0))
             targets = int(query.get("targets", 0))
         except ValueError:
             return Answer(b"versions are numbers", BAD_REQUEST, media_type="text/plain")
-        content = state(configuration, targets)
+        content = encoded_state(configuration, targets)
         return Answer(content, media_type="application/msgpack")
 
-    return one_path_app("/state", read)
+    return one_path_app("/state", answer_state)
--- a/cowslipcourse/entry/stopping.py
+++ b/cowslipcourse/entry/stopping.py
@@ -9,11 +9,11 @@
 
 __all__ = ["RequestDurations", "can_finish"]
 
-REMEMBERED = 100
+DURATIONS_PER_ROUTE = 100
 """Answers of a route by which a daemon knows how long they take; 10 s of a busy one."""
-UNKNOWN_SHARE = 0.5
+DEFAULT_TIMEOUT_SHARE = 0.5
 """Share of a route's time that is assumed where no answer is remembered."""
-MARGIN = 1.5
+DURATION_MARGIN = 1.5
 """Factor on the longest remembered answer: a stop moves load to fewer daemons."""
 
 
@@ -23,19 +23,23 @@
     def __init__(self):
         self._by_route = {}
 
-    def note(self, route, seconds):
+    def record(self, route, duration_s):
         """Note an answer.
 
         :param route: :class:`~cowslipcourse.routes.Route`
-        :param seconds: time from the request to the end of its answer.
+        :param duration_s: seconds from the request to the end of its answer.
         """
-        known = self._by_route.setdefault(route.name, deque(maxlen=REMEMBERED))
-        known.append(seconds)
+        durations_s = self._by_route.setdefault(
+            route.name, deque(maxlen=DURATIONS_PER_ROUTE)
+        )
+        durations_s.append(duration_s)
 
     def longest_s(self, route):
         """Return the longest of the last answers, or what is assumed without any."""
-        known = self._by_route.get(route.name)
-        return max(known) if known else UNKNOWN_SHARE * route.timeout_s
+        durations_s = self._by_route.get(route.name)
+        return (
+            max(durations_s) if durations_s else DEFAULT_TIMEOUT_SHARE * route.timeout_s
+        )
 
 
 def can_finish(left_s, longest_s):
@@ -44,4 +48,4 @@
     :param left_s: seconds until the daemon closes its last connections.
     :param longest_s: longest of the last answers.
     """
-    return left_s >= MARGIN * longest_s
+    return left_s >= DURATION_MARGIN * longest_s
--- a/cowslipcourse/entry/target_list.py
+++ b/cowslipcourse/entry/target_list.py
@@ -15,7 +15,7 @@
 
 __all__ = ["EntryChanges", "TargetList"]
 
-MOST_REMEMBERED = 10_000
+MAX_REMEMBERED_INCARNATIONS = 10_000
 """Targets whose newest life is remembered after they are gone, about 2 MB: an entry of
 an earlier life that comes late must not bring them back."""
 
@@ -40,7 +40,7 @@
         self._contents = {}
         self._entries = {}
         self._incarnations = {}
-        self._refused = {}
+        self._unreadable = {}
 
     @property
     def contents(self):
@@ -63,49 +63,51 @@
         :param changed: bytes of entries by target id.
         :param gone: ids of entries that were dropped.
         """
-        entries = [self._take(target, content) for target, content in changed.items()]
+        entries = [
+            self._apply_entry(target, content) for target, content in changed.items()
+        ]
         for target in gone:
-            self._drop(target)
+            self._remove(target)
         return EntryChanges(tuple(e for e in entries if e is not None), tuple(gone))
 
-    def _take(self, target, content):
+    def _apply_entry(self, target, content):
         """Take one entry; return what it changes, or ``None``."""
         if self._contents.get(target) == content:
             return None
-        newest = self._incarnations.get(target, UNKNOWN_INCARNATION)
+        newest_incarnation = self._incarnations.get(target, UNKNOWN_INCARNATION)
         try:
             entry = decode_entry(target, content)
-            if entry.incarnation == UNKNOWN_INCARNATION != newest:
+            if entry.incarnation == UNKNOWN_INCARNATION != newest_incarnation:
                 raise MalformedAnswer("it no longer tells its life")
         except MalformedAnswer as error:
             self._contents[target] = content
-            return self._withhold(target, content, error)
-        if entry.incarnation < newest:
+            return self._mark_leaving(target, content, error)
+        if entry.incarnation < newest_incarnation:
             log.info("entry-outdated", id=target, incarnation=entry.incarnation)
             return None
         self._contents[target] = content
-        self._refused.pop(target, None)
-        self._remember(entry)
+        self._unreadable.pop(target, None)
+        self._remember_incarnation(entry)
         self._entries[target] = entry
         return entry
 
-    def _withhold(self, target, content, error):
-        if self._refused.get(target) != content:
-            self._refused[target] = content
+    def _mark_leaving(self, target, content, error):
+        if self._unreadable.get(target) != content:
+            self._unreadable[target] = content
             log.warning("entry-unreadable", id=target, why=error)
-        known = self._entries.get(target)
-        if known is None or known.is_leaving:
+        known_entry = self._entries.get(target)
+        if known_entry is None or known_entry.is_leaving:
             return None
-        self._entries[target] = known._replace(is_leaving=True)
+        self._entries[target] = known_entry._replace(is_leaving=True)
         return self._entries[target]
 
-    def _remember(self, entry):
+    def _remember_incarnation(self, entry):
         self._incarnations.pop(entry.id, None)
         self._incarnations[entry.id] = entry.incarnation
-        if len(self._incarnations) > MOST_REMEMBERED:
+        if len(self._incarnations) > MAX_REMEMBERED_INCARNATIONS:
             del self._incarnations[next(iter(self._incarnations))]
 
-    def _drop(self, target):
-        self._refused.pop(target, None)
+    def _remove(self, target):
+        self._unreadable.pop(target, None)
         self._entries.pop(target, None)
         self._contents.pop(target, None)
--- a/features/steps/knowledge_steps.py
+++ b/features/steps/knowledge_steps.py
@@ -272,7 +272,7 @@
 
 @when("a peer reads that has configuration 7 and newer targets")
 def step_peer_reads(context):
-    context.state = decode_state(context.knowledge.state(7, 99))
+    context.state = decode_state(context.knowledge.encoded_state(7, 99))
 
 
 @then("the answer holds neither configuration nor targets")
--- a/features/steps/size_steps.py
+++ b/features/steps/size_steps.py
@@ -344,7 +344,7 @@
 
 @then("a peer reads it in less than {most:d} KB, and a second one gets the same bytes")
 def step_packed(context, most):
-    first, second = (context.knowledge.state(0, 0) for _ in range(2))
+    first, second = (context.knowledge.encoded_state(0, 0) for _ in range(2))
     assert first is second and len(first) < most * 1000, len(first)
     assert len(decode_state(first).targets) == 930
 
@@ -408,7 +408,7 @@
 
 def _read(context, source, reader):
     state = decode_state(
-        source.state(reader.configuration_version, reader.targets_version)
+        source.encoded_state(reader.configuration_version, reader.targets_version)
     )
     context.whole += state.after is None
     reader._apply_peer_state(state)
@@ -500,11 +500,11 @@
     for _ in range(8):
         now += 1.3
         assert context.reading.sources(_Behind, now)
-        context.reading.note(False, now)
+        context.reading.record_result(False, now)
         pauses.append(_pause_s(context.reading, now))
     assert pauses[0] < 0.2 < pauses[-1] <= 1.5 * MAX_BACKOFF_S, pauses
     now += 1.3
-    context.reading.note(True, now)
+    context.reading.record_result(True, now)
     assert context.reading.sources(_Behind, now)
 
 
--- a/features/support/daemon_network.py
+++ b/features/support/daemon_network.py
@@ -166,7 +166,7 @@
     def investigate_suspects(self, message):
         """Nothing is looked into here."""
 
-    def take_news(self, news):
+    def apply_group_update(self, news):
         """Nothing is formed here."""
 
     def sendto(self, content, address):
@@ -203,7 +203,7 @@
 
     def _deliver(self, daemon, content):
         if not daemon.is_down:
-            daemon.link._take(content)
+            daemon.link._handle_datagram(content)
 
     async def run(self, seconds, then=None):
         """Run for a while; return the bytes a second that each daemon sent.
