--- a/cowslipcourse/entry/coordinator.py
+++ b/cowslipcourse/entry/coordinator.py
@@ -57,7 +57,8 @@
     :param control: :class:`~cowslipcourse.ports.EngineControl`
     :param settings: :class:`~cowslipcourse.entry.settings.ControlSettings`
     :param scope: :class:`~cowslipcourse.entry.scope.CoordinationScope`
-    :param broadcast: called with :class:`~cowslipcourse.peers.GroupUpdate` for all daemons.
+    :param broadcast: called with each :class:`~cowslipcourse.peers.GroupUpdate` to
+        send to all daemons.
     """
 
     def __init__(self, context, store, control, settings, scope, broadcast):
--- a/cowslipcourse/entry/following.py
+++ b/cowslipcourse/entry/following.py
@@ -123,7 +123,7 @@
             self._has_snapshot = True
             return
         known_version = self._version
-        changes = await self._store.changes(
+        changes = await self._store.wait_for_changes(
             self._table, known_version, self._settings.feed_wait_s
         )
         if changes.rows:
--- a/cowslipcourse/entry/registering.py
+++ b/cowslipcourse/entry/registering.py
@@ -22,7 +22,8 @@
 
     :param settings: :class:`~cowslipcourse.entry.settings.EntrySettings`
     :param store: :class:`~cowslipcourse.ports.RowStore`
-    :param on_registrations: called with :class:`~cowslipcourse.peers.Registration` list.
+    :param on_registrations: called with a list of
+        :class:`~cowslipcourse.peers.Registration`.
     :param rng: :class:`random.Random`
     """
 
--- a/cowslipcourse/entry/side_apps.py
+++ b/cowslipcourse/entry/side_apps.py
@@ -20,8 +20,8 @@
 def peer_app(encoded_state):
     """Return the application from which peers read configuration and targets.
 
-    :param encoded_state: callable that takes the versions of configuration and targets that
-        the peer has, and returns bytes.
+    :param encoded_state: callable that takes the versions of configuration and targets
+        that the peer has, and returns the newer state as bytes.
     """
 
     def answer_state(query):
