--- a/cowslipcourse/entry/daemon.py
+++ b/cowslipcourse/entry/daemon.py
@@ -282,7 +282,7 @@
         while True:
             await asyncio.sleep(HOUSEKEEPING_INTERVAL_S)
             self._update_daemon_count(asyncio.get_running_loop().time())
-            self._context.attempt_sender.sweep()
+            self._context.attempt_sender.close_stale_connections()
             self._metrics.set_state("in_flight", self._front.in_flight)
             self._metrics.set_state("quarantined", self.quarantine.size)
             self._metrics.set_group_counts(
--- a/cowslipcourse/entry/own_links.py
+++ b/cowslipcourse/entry/own_links.py
@@ -52,9 +52,9 @@
             return
         if len(silent) <= MAX_SILENT_SHARE * len(listed):
             return
-        if now - self._engine_client.heard_at <= ANSWER_VALIDITY_S:
+        if now - self._engine_client.last_answer_at <= ANSWER_VALIDITY_S:
             return
-        if self._engine_client.heard_at >= self._probed_at:
+        if self._engine_client.last_answer_at >= self._probed_at:
             self._probed_at = now
             for engine in self._probe_candidates(owned_domains):
                 self._engine_client.request_report(engine)
