--- a/cowslipcourse/entry/attempts.py
+++ b/cowslipcourse/entry/attempts.py
@@ -76,7 +76,7 @@
         """
         loop = asyncio.get_running_loop()
         entry = run.entry
-        needs_new_connection = not call.route.may_repeat
+        needs_new_connection = not call.route.is_retryable
         key = _connection_key(entry)
         self._fleet.request_started(entry.id)
         connection = None
--- a/cowslipcourse/entry/balancing.py
+++ b/cowslipcourse/entry/balancing.py
@@ -2,11 +2,11 @@
 
 from cowslipcourse.adapters.log import get_logger
 from cowslipcourse.groups import (
-    choose_changes,
+    choose_reassignments,
     choose_standby,
     group_counts,
     is_present,
-    short_models,
+    underprovisioned_models,
 )
 
 __all__ = ["GroupBalancer"]
@@ -76,7 +76,7 @@
 
     def _choose_changes(self, spec, now):
         plans = self._plan_table.plans
-        chosen = choose_changes(
+        chosen = choose_reassignments(
             plans, spec.models, self._has_all_members, self._staged_member_count
         )
         if chosen and self._is_domain_about_to_form(spec, now):
@@ -88,7 +88,7 @@
         return any(c.is_warm and c.domain in owned_domains for c in self._changes)
 
     def changes_to_begin(self, domain, now):
-        """Return the :class:`~cowslipcourse.groups.Change` list to begin in a domain.
+        """Return the :class:`~cowslipcourse.groups.Reassignment` list of a domain.
 
         None is begun by plans that may be outdated: another coordinator may have made
         a change that is enough.
@@ -125,7 +125,7 @@
     def _needs_plan_read(self, spec, now):
         """Whether a model is short, and the plans that are known may be outdated."""
         serving = self._serving_group_counts(spec, now)
-        has_short_model = bool(short_models(serving, spec.models))
+        has_short_model = bool(underprovisioned_models(serving, spec.models))
         has_changed = serving != self._serving_at_last_read
         age_s = self._plan_table.age_s(now)
         if not has_short_model or age_s < (
--- a/cowslipcourse/entry/coordinator.py
+++ b/cowslipcourse/entry/coordinator.py
@@ -19,18 +19,18 @@
 from cowslipcourse.entry.plan_table import PlanTable
 from cowslipcourse.exceptions import StoreError
 from cowslipcourse.groups import (
-    LoadLimit,
+    LoadRateLimiter,
     StepKind,
+    assign_domain,
     broken_groups,
-    choose_shape,
     choose_staging,
     engine_views,
-    models_waiting,
+    model_demands,
+    models_awaiting_members,
     next_steps,
-    practice_step,
-    revise,
-    spares_of,
-    wishes,
+    revise_plan,
+    spare_engines,
+    warmup_step,
 )
 from cowslipcourse.peers import GroupUpdate, OpenedHead
 from cowslipcourse.ports import EngineOrder, OrderOperation
@@ -67,7 +67,7 @@
         self._engine_client = EngineClient(
             control,
             settings,
-            self.domains.record_report,
+            self.domains.update_from_report,
             self._check_isolation,
             self._on_group_opened,
         )
@@ -75,9 +75,9 @@
         self._isolation_detector = IsolationDetector(self.domains, self._engine_client)
         self._scope = scope
         self._broadcast = broadcast
-        self._plan_table = PlanTable(store, self.domains.record_plan)
+        self._plan_table = PlanTable(store, self.domains.update_from_plan)
         self._group_balancer = GroupBalancer(context, self.domains, self._plan_table)
-        self._load_limit = LoadLimit()
+        self._load_limiter = LoadRateLimiter()
         self._investigated_at = {}
         self._owned_domains = frozenset()
 
@@ -115,7 +115,7 @@
         log.info("group-suspected", group=group.name, epoch=group.epoch)
         for member in group.members:
             self._request_report(plan.domain, member)
-        for engine in spares_of(plan, self.domains.by_name[plan.domain]):
+        for engine in spare_engines(plan, self.domains.by_name[plan.domain]):
             self._request_report(plan.domain, engine.id)
 
     # The loop.
@@ -220,8 +220,8 @@
         known = self.domains.by_name
         data_centres = {name: domain.data_centre for name, domain in known.items()}
         live = [e for e in known[domain].engines.values() if e.is_live]
-        held = [model for engine in live for model in engine.held]
-        return choose_shape(
+        held = [model for engine in live for model in engine.warm_models]
+        return assign_domain(
             domain, self._plan_table.plans, data_centres, spec.models, held
         )
 
@@ -229,10 +229,10 @@
         plan = self._plan_table.plan(domain)
         views = engine_views(plan, domain_knowledge, self.settings.stall_s, now)
         sizes = {model.name: model.size for model in spec.models}
-        wanted = wishes(spec.models, self._plan_table.plans.values())
+        wanted = model_demands(spec.models, self._plan_table.plans.values())
         broken = broken_groups(plan, domain_knowledge)
         changes = self._group_balancer.changes_to_begin(domain, now)
-        groups = revise(plan, views, sizes, wanted, shape, broken, changes)
+        groups = revise_plan(plan, views, sizes, wanted, shape, broken, changes)
         if groups == plan.groups:
             return
         written = await self._plan_table.replace(plan, groups)
@@ -277,8 +277,8 @@
             self._engine_client.send_order(engine, order, models)
 
     def _stage_models(self, plan, domain_knowledge, spec, shape, now):
-        free = spares_of(plan, domain_knowledge)
-        waiting = models_waiting(plan, domain_knowledge)
+        free = spare_engines(plan, domain_knowledge)
+        waiting = models_awaiting_members(plan, domain_knowledge)
         models = [m for m in spec.models if shape.model in (None, m.name)]
         chosen = choose_staging(plan, free, models, waiting)
         if not waiting:
@@ -290,39 +290,39 @@
 
     def _stage_model(self, domain, engine, model, spec, now):
         """Load a model onto an engine's host, unless it is there or on its way."""
-        if engine.staging is not None or model in engine.staged:
+        if engine.staging_model is not None or model in engine.staged:
             return
         if engine.order_count is None:
             self._request_report(domain, engine.id)
         elif (
             self._plan_table.is_confirmed(now)
             and not self._engine_client.is_busy(engine)
-            and self._load_limit.take(
+            and self._load_limiter.try_acquire(
                 spec.loads_per_s, self._scope.coordinator_count, now
             )
         ):
-            engine.staging = model
+            engine.staging_model = model
             order = EngineOrder(OrderOperation.STAGE, engine.order_count, model=model)
             self._send_order(domain, engine.id, order, {})
 
     def _practise_joins(self, plan, domain_knowledge, shape, models):
         """Let spares join once, while nothing is under way in the domain."""
-        if models_waiting(plan, domain_knowledge):
+        if models_awaiting_members(plan, domain_knowledge):
             return
         served = [name for name in models if shape.model in (None, name)]
-        for engine in spares_of(plan, domain_knowledge):
-            step = practice_step(plan, engine, served)
+        for engine in spare_engines(plan, domain_knowledge):
+            step = warmup_step(plan, engine, served)
             if step is not None:
                 self._run_step(plan.domain, step, models)
 
     def _query_silent_engines(self, domain, domain_knowledge, now):
         for engine in domain_knowledge.engines.values():
-            if engine.silent_since is None or not engine.listed:
+            if engine.silent_since is None or not engine.is_listed:
                 continue
             if engine.is_replaced:
                 continue
-            if now - engine.asked_silent_at > SILENT_RETRY_INTERVAL_S:
-                engine.asked_silent_at = now
+            if now - engine.last_probed_at > SILENT_RETRY_INTERVAL_S:
+                engine.last_probed_at = now
                 self._request_report(domain, engine.id)
 
 
--- a/cowslipcourse/entry/daemon.py
+++ b/cowslipcourse/entry/daemon.py
@@ -8,7 +8,7 @@
 
 from cowslipcourse.adapters.log import get_logger
 from cowslipcourse.adapters.web import WebServer
-from cowslipcourse.admission import SMALLEST_SITE, SharedRetryBudget
+from cowslipcourse.admission import MIN_DAEMON_COUNT, SharedRetryBudget
 from cowslipcourse.entry.attempts import AttemptSender
 from cowslipcourse.entry.census import GroupCountMonitor
 from cowslipcourse.entry.coordinator import Coordinator
@@ -239,7 +239,7 @@
 
     def _update_daemon_count(self, now):
         known = self._registry.known_daemon_count(now) + 1
-        self._context.retry_budget.daemons = max(known, SMALLEST_SITE)
+        self._context.retry_budget.daemon_count = max(known, MIN_DAEMON_COUNT)
 
     def apply_group_update(self, update):
         """Take in what a coordinator has decided about a group."""
--- a/cowslipcourse/entry/plan_table.py
+++ b/cowslipcourse/entry/plan_table.py
@@ -73,7 +73,7 @@
     def plan(self, domain):
         """Return the :class:`~cowslipcourse.groups.DomainPlan` of a domain."""
         return self.plans.get(domain) or DomainPlan(
-            domain, absent_at=self._read_version
+            domain, absent_at_version=self._read_version
         )
 
     async def read(self):
