--- a/cowslipcourse/entry/__init__.py
+++ b/cowslipcourse/entry/__init__.py
@@ -1,1 +1,1 @@
-"""The program that runs on each entry VM: callers, directory and control in one."""
+"""The ``cowslip-entry`` daemon: request forwarding, directory and group control."""
--- a/cowslipcourse/entry/__main__.py
+++ b/cowslipcourse/entry/__main__.py
@@ -1,20 +1,20 @@
-"""Start of ``cowslip-entry``: ready for signals before anything large is imported."""
+"""Entry point of ``cowslip-entry``: handles signals before the slow imports."""
 
 import gc
 import os
 import signal
 
-# By default the signal ends a process. Until the settings can be read again there is
-# nothing to do: they will be read for the first time after this.
+# The default action of SIGHUP ends the process. A reload requested before the settings
+# have been read needs no action, since they are read afterwards anyway.
 signal.signal(signal.SIGHUP, signal.SIG_IGN)
 
-# The HTTP client reads all certificate authorities of the VM when it is imported, and
-# nothing here speaks TLS.
+# The HTTP client loads all certificate authorities of the VM on import; this daemon
+# does not use TLS.
 os.environ["SSL_CERT_FILE"] = os.environ["SSL_CERT_DIR"] = os.devnull
-# The settings library would look through all installed packages for plugins.
+# Pydantic would otherwise scan all installed packages for plugins.
 os.environ["PYDANTIC_DISABLE_PLUGINS"] = "1"
 
-# Nearly all that imports make is kept, so collecting garbage meanwhile is lost time.
+# Nearly all objects created by imports stay alive, so collections would be wasted.
 gc.disable()
 
 from cowslipcourse.entry.main import main  # noqa: E402
--- a/cowslipcourse/entry/balancing.py
+++ b/cowslipcourse/entry/balancing.py
@@ -1,4 +1,4 @@
-"""Which groups of this daemon's domains give their engines to a model that is short."""
+"""Choose groups whose engines are reassigned to an underprovisioned model."""
 
 from cowslipcourse.adapters.log import get_logger
 from cowslipcourse.groups import (
@@ -12,21 +12,21 @@
 __all__ = ["GroupBalancer"]
 
 REBALANCE_INTERVAL_S = 0.25
-"""Interval at which it is looked for models that are short."""
+"""Interval between searches for underprovisioned models."""
 MAX_PLAN_AGE_S = 0.5
-"""Age of the other coordinators' plans up to which a change is begun."""
+"""Largest age of the known plans at which a reassignment may begin."""
 PLAN_REREAD_INTERVAL_S = 2.0
-"""Interval at which they are read while a model is short and nothing else changes."""
+"""Interval of plan reads while a model is underprovisioned and nothing changes."""
 FORMING_WINDOW_S = 3.0
-"""Time after its last new engine within which a domain forms its groups, if it can."""
+"""Time after its last new engine in which a domain is expected to form groups."""
 STANDBY_INTERVAL_S = 1.0
-"""Interval at which it is chosen which groups stand by."""
+"""Interval between choices of standby groups."""
 
 log = get_logger(__name__)
 
 
 class GroupBalancer:
-    """Looks at the groups of all domains, and chooses for those of this daemon.
+    """Chooses reassignments over all domains and standby models for their groups.
 
     :param context: :class:`~cowslipcourse.entry.tools.DaemonContext`
     :param domains: :class:`~cowslipcourse.entry.domains.DomainTracker`
@@ -44,11 +44,11 @@
         self._standby_models = {}
 
     async def rebalance(self, spec, owned_domains, now):
-        """Choose again, if it is time.
+        """Choose reassignments and standby groups anew if their intervals have passed.
 
         :param spec: :class:`~cowslipcourse.routes.ServiceSpec` of the engines.
-        :param owned_domains: names of the domains that this daemon keeps.
-        :raises StoreError: the plans could not be read.
+        :param owned_domains: names of the domains that this daemon coordinates.
+        :raises StoreError: if the plans cannot be read.
         """
         if now - self._rebalanced_at < REBALANCE_INTERVAL_S:
             return
@@ -84,14 +84,14 @@
         return tuple(chosen)
 
     def _has_startable_change(self, owned_domains):
-        """Whether a change in this daemon's own domains waits for nothing."""
+        """Whether a warm reassignment of an owned domain can begin at once."""
         return any(c.is_warm and c.domain in owned_domains for c in self._changes)
 
     def changes_to_begin(self, domain, now):
         """Return the :class:`~cowslipcourse.groups.Reassignment` list of a domain.
 
-        None is begun by plans that may be outdated: another coordinator may have made
-        a change that is enough.
+        It is empty if the plans may be outdated, since another coordinator may have
+        made a sufficient change already.
         """
         if self._plan_table.age_s(now) > MAX_PLAN_AGE_S:
             return []
@@ -101,10 +101,10 @@
         return [change for change in self._changes if change.domain == domain]
 
     def models_to_stage(self, plan):
-        """Return ``{engine id: model}`` for members of groups that are to hold it.
+        """Return ``{engine id: model}`` of weights to stage on members' hosts.
 
-        Those that must change over come before those that stand by. While a member
-        still joins, its own model would replace what its host is told to hold.
+        A reassignment takes precedence over a standby model. Members that still join
+        are left out: loading their own model would replace the staged one.
 
         :param plan: :class:`~cowslipcourse.groups.DomainPlan`
         """
@@ -123,7 +123,7 @@
         }
 
     def _needs_plan_read(self, spec, now):
-        """Whether a model is short, and the plans that are known may be outdated."""
+        """Whether a model is underprovisioned and the known plans may be outdated."""
         serving = self._serving_group_counts(spec, now)
         has_short_model = bool(underprovisioned_models(serving, spec.models))
         has_changed = serving != self._serving_at_last_read
@@ -136,7 +136,7 @@
         return True
 
     def _serving_group_counts(self, spec, now):
-        """Return the number of groups that serve, by model, in this daemon's view."""
+        """Return the number of serving groups by model, as this daemon sees them."""
         fleet = self._context.fleet
         return {
             model.name: len(
@@ -146,9 +146,9 @@
         }
 
     def _is_domain_about_to_form(self, spec, now):
-        """Whether a domain has got engines enough for a group, and no group yet.
+        """Whether a domain with enough engines for a group has none yet.
 
-        Its groups are formed in a moment; nothing else has to be given up for them.
+        Its groups are about to be formed, so no other group need be reassigned.
         """
         smallest_group_size = min(model.size for model in spec.models)
         for name, domain in self._domains.by_name.items():
--- a/cowslipcourse/entry/census.py
+++ b/cowslipcourse/entry/census.py
@@ -1,4 +1,4 @@
-"""How many groups serve each model, and what the engines are in."""
+"""Count serving groups by model, and engines by model and group state."""
 
 import asyncio
 from collections import Counter
@@ -9,16 +9,16 @@
 __all__ = ["GroupCountMonitor", "GroupCounts"]
 
 UNASSIGNED = "free"
-"""State of an engine that is in no group."""
+"""Metric label for the state of an engine that is in no group."""
 
 log = get_logger(__name__)
 
 
 class GroupCounts(NamedTuple):
-    """Groups and engines of all services with models, as this daemon sees them.
+    """Numbers of groups and engines of all services with models.
 
-    :param groups_by_model: number of groups that take requests, by model.
-    :param engines_by_state: number of listed engines by model and state of their group.
+    :param groups_by_model: groups that accept requests, by model.
+    :param engines_by_state: listed engines by model and state of their group.
     """
 
     groups_by_model: dict[str, int]
@@ -26,14 +26,14 @@
 
 
 class GroupCountMonitor:
-    """Counts groups and engines and logs when a model loses or regains its groups."""
+    """Counts groups and engines; logs when a model becomes unserved or served."""
 
     def __init__(self):
         self._last_counts = {}
         self._unserved_since = {}
 
     def count(self, table, fleet):
-        """Return the present :class:`GroupCounts`.
+        """Return the current :class:`GroupCounts`.
 
         :param table: :class:`~cowslipcourse.routes.RouteTable` or ``None``.
         :param fleet: :class:`~cowslipcourse.entry.fleet.FleetView`
@@ -55,7 +55,7 @@
         return GroupCounts(groups, engines)
 
     def _log_transitions(self, groups, engines, now):
-        """Log models that have lost their last group or have one again."""
+        """Log models that have lost their last group or regained one."""
         for model, group_count in groups.items():
             since = self._unserved_since.get(model)
             if not group_count and since is None and self._last_counts.get(model):
@@ -82,5 +82,5 @@
 
 
 def _format_counts(engines):
-    """Return numbers by model and state as one text."""
+    """Return the counts as comma-separated ``model:state:count`` items."""
     return ",".join(f"{m}:{s}:{n}" for (m, s), n in sorted(engines.items()))
--- a/cowslipcourse/entry/change_history.py
+++ b/cowslipcourse/entry/change_history.py
@@ -1,17 +1,17 @@
-"""When entries of the list changed, so that a peer is told only what is new."""
+"""Versions at which target entries changed, for incremental reads by peers."""
 
 __all__ = ["ChangeHistory"]
 
 MAX_REMEMBERED_GONE = 10_000
-"""Dropped entries that are remembered, about 1 MB: a site of 1,200 targets that loses
-all of them eight times. Who missed more reads the whole list."""
+"""Removed entries that are remembered, about 1 MB: a site of 1,200 targets that loses
+all of them eight times. A peer that missed more reads the whole list."""
 
 
 class ChangeHistory:
-    """Store versions of the last change of each entry.
+    """Store version of the last change or removal of each entry.
 
-    What changed before the list was first read is not known, nor which entries went
-    before those that are remembered.
+    Changes before the first read of the list are unknown, and so are removals older
+    than those that are remembered.
     """
 
     def __init__(self):
@@ -20,9 +20,11 @@
         self._gone_at_version = {}
 
     def record(self, version, changed, gone):
-        """Note ids of entries that changed or went.
+        """Record the ids of entries that changed or were removed.
 
-        :param version: store version up to which the list is complete now.
+        :param version: store version up to which the list is complete.
+        :param changed: ids of entries that changed.
+        :param gone: ids of entries that were removed.
         """
         if self._complete_from_version is None:
             self._complete_from_version = version
@@ -40,14 +42,14 @@
             )
 
     def has_changed_since(self, target, version):
-        """Whether an entry that is listed has changed after a version."""
+        """Whether a listed entry has changed after a store version."""
         return self._changed_at_version.get(target, 0) > version
 
     def changes_since(self, version):
-        """Return ids that changed and ids that went, or ``None`` if that is not known.
+        """Return ids of changed and of removed entries, or ``None`` if unknown.
 
-        Changes at the version itself are among them: entries that were held back after
-        an outage go without a newer version.
+        Changes at the version itself are included, because entries that were held back
+        after an outage are removed without a newer version.
         """
         if self._complete_from_version is None or version < self._complete_from_version:
             return None
--- a/cowslipcourse/entry/coordinator.py
+++ b/cowslipcourse/entry/coordinator.py
@@ -1,11 +1,12 @@
-"""Form and repair groups of the domains that this daemon keeps.
+"""Form and repair groups of the domains that this daemon coordinates.
 
-Each data centre's first reporter keeps the groups of its domains; those of a data
-centre without one are kept by the first reporter of all. So a coordinator that is lost
-costs one data centre its repairs, and each does a part of the questions and orders.
+The first reporter of each data centre coordinates its domains; those of a data centre
+without a reporter are coordinated by the first reporter of the site. The loss of a
+coordinator therefore stops repairs in one data centre only, and report requests and
+orders are divided among coordinators.
 
-The row of a domain is written first and orders follow from it. Nothing here is trusted
-across a pause: rows are read again if they have not been confirmed lately.
+The row of a domain is written before any order that follows from it. After a pause of
+the process no row is trusted: rows not confirmed recently are read again.
 """
 
 import asyncio
@@ -39,18 +40,18 @@
 
 RECONCILE_INTERVAL_S = 0.05
 IDLE_INTERVAL_S = 0.2
-"""Interval at which a daemon that does not coordinate looks whether it is its turn."""
+"""Interval at which a daemon without owned domains checks whether it has any."""
 MAX_TICK_DELAY_S = 0.5
-"""A tick that comes this late: another daemon may have acted meanwhile."""
+"""Delay of a tick beyond which another daemon may have acted meanwhile."""
 DOMAIN_SETTLE_S = 0.8
-"""Time without a new engine before the first groups of a domain are formed."""
+"""Time without a new engine before a domain forms its first groups."""
 SILENT_RETRY_INTERVAL_S = 1.0
-"""Interval at which silent engines that are still listed are asked again."""
+"""Interval of report requests to silent engines that are still listed."""
 log = get_logger(__name__)
 
 
 class Coordinator:
-    """Keeps the groups of its domains as they should be.
+    """Reconciles the groups of the owned domains with their plans.
 
     :param context: :class:`~cowslipcourse.entry.tools.DaemonContext`
     :param store: :class:`~cowslipcourse.ports.RowStore`
@@ -86,22 +87,22 @@
         """Loop time until which this daemon must not coordinate."""
         return self._isolation_detector.isolated_until
 
-    # What other parts tell.
+    # Suspicions.
 
     def investigate(self, target, epoch):
-        """Ask the members of a group whose head was found silent."""
+        """Request reports from the members of a group whose head is suspected."""
         if not self._owned_domains:
             return
         now = asyncio.get_running_loop().time()
-        recent = {
+        recently_investigated = {
             key: at
             for key, at in self._investigated_at.items()
             if now - at < SILENT_RETRY_INTERVAL_S
         }
-        self._investigated_at = recent
-        if (target, epoch) in recent:
+        self._investigated_at = recently_investigated
+        if (target, epoch) in recently_investigated:
             return
-        recent[target, epoch] = now
+        recently_investigated[target, epoch] = now
         for plan in self._plan_table.plans.values():
             if plan.domain not in self._owned_domains:
                 continue
@@ -111,17 +112,17 @@
                     self._query_group(plan, group)
 
     def _query_group(self, plan, group):
-        """Ask the members, and the spares: they are needed next, if they are there."""
+        """Request reports from members, and from spares that may replace them."""
         log.info("group-suspected", group=group.name, epoch=group.epoch)
         for member in group.members:
             self._request_report(plan.domain, member)
         for engine in spare_engines(plan, self.domains.by_name[plan.domain]):
             self._request_report(plan.domain, engine.id)
 
-    # The loop.
+    # Reconciliation loop.
 
     async def run(self):
-        """Coordinate for ever, whichever domains are this daemon's turn."""
+        """Coordinate the owned domains, whichever they are, until cancelled."""
         async for _, late_s in ticks(
             RECONCILE_INTERVAL_S, lambda: not self._owned_domains, IDLE_INTERVAL_S
         ):
@@ -132,7 +133,7 @@
                 await self._reconcile()
 
     def _update_owned_domains(self):
-        """Take on the domains that this daemon keeps now."""
+        """Determine which domains this daemon coordinates now."""
         owned_domains = frozenset(
             name
             for name, domain in self.domains.by_name.items()
@@ -142,7 +143,7 @@
         if bool(owned_domains) != bool(self._owned_domains):
             log.info("coordinating" if owned_domains else "not-coordinating")
         if owned_domains - self._owned_domains:
-            # Others may have kept them until now.
+            # Another daemon may have coordinated them until now.
             log.info(
                 "domains-taken",
                 domains=",".join(sorted(owned_domains - self._owned_domains)),
@@ -183,40 +184,40 @@
             domain, now
         ):
             return
-        domain_knowledge = self.domains.by_name[domain]
-        spec = self._service_spec(domain_knowledge)
+        observed_domain = self.domains.by_name[domain]
+        spec = self._service_spec(observed_domain)
         if spec is None:
             return
-        shape = self._choose_domain_shape(domain, spec)
-        await self._revise_plan(domain, domain_knowledge, spec, shape, now)
+        assignment = self._assign_domain(domain, spec)
+        await self._revise_plan(domain, observed_domain, spec, assignment, now)
         plan = self._plan_table.plan(domain)
         self.domains.forget(plan)
         models = {model.name: model for model in spec.models}
         steps = next_steps(
-            plan, domain_knowledge.engines, models, self.settings.stall_s, now
+            plan, observed_domain.engines, models, self.settings.stall_s, now
         )
         for step in steps:
             self._run_step(domain, step, models)
-        self._stage_models(plan, domain_knowledge, spec, shape, now)
-        self._practise_joins(plan, domain_knowledge, shape, models)
-        self._query_silent_engines(domain, domain_knowledge, now)
+        self._stage_models(plan, observed_domain, spec, assignment, now)
+        self._warm_up_spares(plan, observed_domain, assignment, models)
+        self._query_silent_engines(domain, observed_domain, now)
 
     def _awaits_more_engines(self, domain, now):
-        """Whether more engines, or domains to be divided with this one, may come."""
+        """Whether more engines, or domains planned together with it, may appear."""
         is_growing = self.domains.time_since_growth_s(domain, now) < DOMAIN_SETTLE_S
         is_new = not self._plan_table.plan(domain).version
         return is_growing or (
             is_new and not self.domains.are_all_discovered(domain, now)
         )
 
-    def _service_spec(self, domain_knowledge):
-        for engine in domain_knowledge.engines.values():
+    def _service_spec(self, observed_domain):
+        for engine in observed_domain.engines.values():
             spec = self._context.table.services.get(engine.entry.service)
             if spec is not None and spec.models:
                 return spec
         return None
 
-    def _choose_domain_shape(self, domain, spec):
+    def _assign_domain(self, domain, spec):
         known = self.domains.by_name
         data_centres = {name: domain.data_centre for name, domain in known.items()}
         live = [e for e in known[domain].engines.values() if e.is_live]
@@ -225,14 +226,14 @@
             domain, self._plan_table.plans, data_centres, spec.models, held
         )
 
-    async def _revise_plan(self, domain, domain_knowledge, spec, shape, now):
+    async def _revise_plan(self, domain, observed_domain, spec, assignment, now):
         plan = self._plan_table.plan(domain)
-        views = engine_views(plan, domain_knowledge, self.settings.stall_s, now)
+        views = engine_views(plan, observed_domain, self.settings.stall_s, now)
         sizes = {model.name: model.size for model in spec.models}
         wanted = model_demands(spec.models, self._plan_table.plans.values())
-        broken = broken_groups(plan, domain_knowledge)
+        broken = broken_groups(plan, observed_domain)
         changes = self._group_balancer.changes_to_begin(domain, now)
-        groups = revise_plan(plan, views, sizes, wanted, shape, broken, changes)
+        groups = revise_plan(plan, views, sizes, wanted, assignment, broken, changes)
         if groups == plan.groups:
             return
         written = await self._plan_table.replace(plan, groups)
@@ -243,7 +244,7 @@
             self._broadcast(update)
 
     def _on_group_opened(self, engine, order):
-        """Tell which head begins to serve; the list says so up to a second later."""
+        """Broadcast that a head begins to serve; the list shows it up to 1 s later."""
         spec = self._context.table.services.get(engine.entry.service)
         plan = self._plan_table.plans.get(engine.entry.domain)
         group = plan and plan.group_of(engine.id, engine.incarnation)
@@ -252,7 +253,7 @@
         head = OpenedHead(engine.id, engine.incarnation, group.model, spec.open_s)
         self._broadcast(GroupUpdate(group.name, group.epoch, head))
 
-    # Orders and questions.
+    # Orders and report requests.
 
     def _run_step(self, domain, step, models):
         if step.kind is StepKind.ASK:
@@ -276,20 +277,20 @@
         if engine is not None and self._plan_table.is_confirmed(now):
             self._engine_client.send_order(engine, order, models)
 
-    def _stage_models(self, plan, domain_knowledge, spec, shape, now):
-        free = spare_engines(plan, domain_knowledge)
-        waiting = models_awaiting_members(plan, domain_knowledge)
-        models = [m for m in spec.models if shape.model in (None, m.name)]
-        chosen = choose_staging(plan, free, models, waiting)
+    def _stage_models(self, plan, observed_domain, spec, assignment, now):
+        spares = spare_engines(plan, observed_domain)
+        waiting = models_awaiting_members(plan, observed_domain)
+        models = [m for m in spec.models if assignment.model in (None, m.name)]
+        chosen = choose_staging(plan, spares, models, waiting)
         if not waiting:
             chosen |= self._group_balancer.models_to_stage(plan)
         for engine_id, model in chosen.items():
-            engine = domain_knowledge.engines.get(engine_id)
+            engine = observed_domain.engines.get(engine_id)
             if engine is not None and engine.is_live:
                 self._stage_model(plan.domain, engine, model, spec, now)
 
     def _stage_model(self, domain, engine, model, spec, now):
-        """Load a model onto an engine's host, unless it is there or on its way."""
+        """Stage a model on an engine's host unless it is staged or being staged."""
         if engine.staging_model is not None or model in engine.staged:
             return
         if engine.order_count is None:
@@ -305,18 +306,18 @@
             order = EngineOrder(OrderOperation.STAGE, engine.order_count, model=model)
             self._send_order(domain, engine.id, order, {})
 
-    def _practise_joins(self, plan, domain_knowledge, shape, models):
-        """Let spares join once, while nothing is under way in the domain."""
-        if models_awaiting_members(plan, domain_knowledge):
+    def _warm_up_spares(self, plan, observed_domain, assignment, models):
+        """Warm up spares while no group of the domain awaits members."""
+        if models_awaiting_members(plan, observed_domain):
             return
-        served = [name for name in models if shape.model in (None, name)]
-        for engine in spare_engines(plan, domain_knowledge):
+        served = [name for name in models if assignment.model in (None, name)]
+        for engine in spare_engines(plan, observed_domain):
             step = warmup_step(plan, engine, served)
             if step is not None:
                 self._run_step(plan.domain, step, models)
 
-    def _query_silent_engines(self, domain, domain_knowledge, now):
-        for engine in domain_knowledge.engines.values():
+    def _query_silent_engines(self, domain, observed_domain, now):
+        for engine in observed_domain.engines.values():
             if engine.silent_since is None or not engine.is_listed:
                 continue
             if engine.is_replaced:
@@ -327,13 +328,13 @@
 
 
 def _ended_group_updates(plan, groups):
-    """Yield news of groups whose earlier heads serve no longer."""
+    """Yield updates for groups whose previous heads no longer serve."""
     previous = {group.name: group for group in plan.groups}
     for group in groups:
         known = previous.get(group.name)
         if known is None or known == group:
             continue
-        # If a retired group is formed anew, its epoch is a later one.
+        # A retired group that is formed again gets a later epoch.
         yield GroupUpdate(group.name, group.epoch + group.is_retired)
 
 
--- a/cowslipcourse/entry/daemon.py
+++ b/cowslipcourse/entry/daemon.py
@@ -1,4 +1,4 @@
-"""The daemon of one entry VM: builds its parts and runs them until it is stopped."""
+"""The daemon of one entry VM: builds its components and runs them."""
 
 import asyncio
 import logging
@@ -39,22 +39,22 @@
 
 EXIT_CRASHED = 70
 LOG_FLUSH_S = 0.05
-"""Time for the last lines to be written before a crashed process ends."""
+"""Time for the queued log lines to be written before a crashed process ends."""
 HOUSEKEEPING_INTERVAL_S = 1.0
 ADDRESS_TTL_FACTOR = 3
-"""Some callers keep a list of addresses this many times longer than they are told."""
+"""Some callers cache addresses for this multiple of the TTL."""
 STOP_CHECK_INTERVAL_S = 0.1
 STOP_MARGIN_S = 0.8
-"""Left of the grace when the last connections are closed."""
+"""Remainder of the grace period when the last connections are closed."""
 
 log = get_logger(__name__)
 
 
 class EntryDaemon:
-    """One daemon.
+    """Owns the components of one daemon and connects them.
 
     :param settings: :class:`~cowslipcourse.entry.settings.EntrySettings`
-    :param path: settings file, which is read again when it changes.
+    :param path: settings file, reloaded when it changes.
     """
 
     def __init__(self, settings, path):
@@ -105,7 +105,7 @@
         )
 
     async def run(self, stopping):
-        """Serve until told to stop, then stop gracefully."""
+        """Serve until ``stopping`` is set, then stop gracefully."""
         listen = self._settings.listen
         servers = [
             WebServer(self._front, listen.front),
@@ -143,7 +143,7 @@
         task.add_done_callback(_exit_on_failure)
 
     async def _stop(self, servers):
-        """Leave the directory, finish what comes meanwhile, and end."""
+        """Leave the directory and finish the requests that arrive meanwhile."""
         loop = asyncio.get_running_loop()
         now = loop.time()
         addresses_cached_until = now + ADDRESS_TTL_FACTOR * self._settings.address_ttl_s
@@ -154,8 +154,8 @@
         self._peer_link.heartbeat_now()
         while loop.time() < connections_close_at:
             await asyncio.sleep(STOP_CHECK_INTERVAL_S)
-            # Idle connections are no reason to stay: whoever still keeps one has a
-            # newer list of addresses by now.
+            # Idle connections do not delay the stop: by now their callers have a newer
+            # list of addresses.
             if not self._front.in_flight and loop.time() > addresses_cached_until:
                 break
         log.info(
@@ -165,7 +165,7 @@
         )
 
     def _apply_settings(self, settings):
-        """Put changed settings in force."""
+        """Apply changed settings."""
         self._settings = settings
         self._context.retry_budget.settings = settings.retries
         self._coordinator.settings = settings.control
@@ -173,17 +173,17 @@
 
     @property
     def is_draining(self):
-        """Whether the daemon is about to stop."""
+        """Whether the daemon is draining before a stop."""
         return self._front.is_draining
 
-    # What is learnt.
+    # Changes from the replica.
 
     def apply_configuration(self, table):
-        """Put a newer configuration in force."""
+        """Apply a newer configuration."""
         self._context.table = table
         self._is_ready = not self._front.is_draining
         log.info("configuration", version=table.version, routes=len(table))
-        # Which entries name engines follows from the services.
+        # The services determine which entries name engines.
         self._coordinator.domains.update_entries(self._fleet.entries.values())
 
     def apply_targets(self, entries, gone):
@@ -195,7 +195,7 @@
     # Peers.
 
     def heartbeat(self):
-        """Return the present heartbeat."""
+        """Return the current heartbeat with the next sequence number."""
         self._sequence += 1
         settings = self._settings
         now = asyncio.get_running_loop().time()
@@ -225,7 +225,7 @@
         return self._registry.heartbeat_interval_s(self._roles.is_reporter, now)
 
     def _is_healthy(self, now):
-        """Whether others may rely on it: it reads the store, reaches engines, stays."""
+        """Whether it is current, reaches engines and is not draining."""
         return (
             self.replica.is_current
             and now >= self._coordinator.isolated_until
@@ -233,7 +233,7 @@
         )
 
     def investigate_suspects(self, message):
-        """Take in what a peer's heartbeat or digest tells."""
+        """Investigate the suspects that a peer's heartbeat or digest names."""
         for target, epoch in message.suspects.items():
             self._coordinator.investigate(target, epoch)
 
@@ -242,16 +242,16 @@
         self._context.retry_budget.daemon_count = max(known, MIN_DAEMON_COUNT)
 
     def apply_group_update(self, update):
-        """Take in what a coordinator has decided about a group."""
+        """Apply a coordinator's :class:`~cowslipcourse.peers.GroupUpdate`."""
         self._fleet.take_news(update, asyncio.get_running_loop().time())
 
     def broadcast_group_update(self, update):
-        """Tell all daemons, this one first, what was decided about a group."""
+        """Apply a group update here, then send it to all other daemons."""
         self.apply_group_update(update)
         self._peer_link.broadcast_group_update(update)
 
     def push_changes(self, changes):
-        """Send changes of targets to the daemons of the data centre."""
+        """Send target changes to the daemons of the data centre."""
         self._peer_link.push_changes(changes)
 
     def _on_suspect(self):
@@ -270,7 +270,7 @@
         return addresses
 
     def _on_registrations(self, registrations):
-        """Take in where other daemons have registered."""
+        """Add the addresses at which other daemons have registered."""
         now = asyncio.get_running_loop().time()
         for known in registrations:
             self._registry.add_address(known.peer_address, known.data_centre, now)
@@ -291,8 +291,8 @@
             self._check_store_era()
 
     def _check_store_era(self):
-        """Write again what the store may have lost, if it has come back older."""
-        # Others that read the store tell its points too.
+        """Rewrite rows that a store restored to an older state may have lost."""
+        # Versions may also come from peers that read the store.
         era = era_of(self.replica.targets_version)
         if era > max(self._last_store_era, era_of(self._registrar.version)):
             self._registrar.rewrite_later()
--- a/cowslipcourse/entry/domains.py
+++ b/cowslipcourse/entry/domains.py
@@ -1,4 +1,4 @@
-"""The fabric domains as the list of targets and reports tell of them."""
+"""Engines by fabric domain, from the list of targets, reports and plans."""
 
 import asyncio
 
@@ -8,15 +8,15 @@
 __all__ = ["DomainTracker"]
 
 DISCOVERY_QUIET_S = 2.0
-"""Time without a new domain after which all are taken as known: they are listed up to
-that far apart."""
+"""Time without a new domain after which all count as discovered: their first entries
+are listed up to that far apart."""
 MAX_DISCOVERY_S = 4.0
-"""Time after which a domain gets groups although others keep coming."""
+"""Time after which a domain forms groups although others are still discovered."""
 log = get_logger(__name__)
 
 
 class DomainTracker:
-    """What is known of engines, by domain.
+    """Tracks the observed engines of each domain.
 
     :param context: :class:`~cowslipcourse.entry.tools.DaemonContext`
     """
@@ -30,11 +30,11 @@
 
     @property
     def engines(self):
-        """All engines that are listed, or needed still, in a list."""
+        """List of all engines that are listed or still needed."""
         return [e for domain in self.by_name.values() for e in domain.engines.values()]
 
     def update_entries(self, entries):
-        """Take in changed entries; those that name no engine are taken as gone."""
+        """Apply changed entries; those that name no engine count as removed."""
         now = asyncio.get_running_loop().time()
         for entry in entries:
             if not self._is_engine(entry):
@@ -48,17 +48,17 @@
             domain.update_from_entry(entry)
 
     def mark_unlisted(self, ids):
-        """Note ids that the list no longer holds."""
+        """Mark engines whose entries were removed from the list."""
         for engine_id in ids:
             known = self._domain_by_engine.get(engine_id)
             if known is not None:
                 self.by_name[known].mark_unlisted(engine_id)
 
     def update_from_report(self, engine, report, requested_at):
-        """Take in a report.
+        """Apply an engine's report.
 
-        :param engine: :class:`~cowslipcourse.groups.ObservedEngine` that was asked.
-        :param requested_at: when it was asked for.
+        :param engine: :class:`~cowslipcourse.groups.ObservedEngine` that sent it.
+        :param requested_at: loop time at which it was requested.
         """
         if report.incarnation != engine.incarnation:
             log.info(
@@ -72,28 +72,28 @@
         )
 
     def update_from_plan(self, plan, is_own):
-        """Take in what a domain's plan says of its engines.
+        """Apply a domain's plan to its engines.
 
-        :param is_own: whether this daemon wrote it in place of the one that it knew.
+        :param is_own: whether this daemon wrote it to replace the plan that it knew.
         """
         known = self.by_name.setdefault(plan.domain, ObservedDomain())
         known.update_from_plan(plan, asyncio.get_running_loop().time(), is_own)
 
     def forget(self, plan):
-        """Forget engines of a plan's domain that neither list nor plan names."""
+        """Remove engines that neither the list nor their domain's plan names."""
         for engine_id in self.by_name[plan.domain].remove_unlisted(
             plan.contains_engine
         ):
             del self._domain_by_engine[engine_id]
 
     def time_since_growth_s(self, domain, now):
-        """Return the seconds since a domain got an engine; 0 if it never did."""
+        """Return the seconds since a domain gained an engine; 0 if it never did."""
         return now - self._last_growth_at.get(domain, now)
 
     def are_all_discovered(self, domain, now):
-        """Whether all domains are likely to be known that are divided with a new one.
+        """Whether all domains that are planned together with a new one are known.
 
-        :param domain: name of the domain that is to get its first groups.
+        :param domain: name of the domain that is to form its first groups.
         """
         known_for_s = now - self._discovered_at.get(domain, now)
         last_discovery_at = max(self._discovered_at.values(), default=now)
@@ -108,13 +108,13 @@
         return None if known is None else known.engines.get(engine_id)
 
     def _is_engine(self, entry):
-        """Whether an entry names an engine: its service is one that serves models."""
+        """Whether an entry names an engine, that is, its service serves models."""
         table = self._context.table
         spec = None if table is None else table.services.get(entry.service)
         return bool(entry.domain) and spec is not None and bool(spec.models)
 
     def _remove_from_previous_domain(self, entry):
-        """An engine is in one domain: two rows could plan it for two groups."""
+        """Keep an engine in one domain, so that no two plans assign it to groups."""
         known = self._domain_by_engine.get(entry.id)
         if known not in (None, entry.domain):
             log.warning("engine-moved", id=entry.id, known=known, listed=entry.domain)
--- a/cowslipcourse/entry/following.py
+++ b/cowslipcourse/entry/following.py
@@ -1,4 +1,4 @@
-"""Follow the platform's store: configuration and list of targets."""
+"""Follow a table of the platform's store: snapshots and changes."""
 
 import asyncio
 
@@ -15,25 +15,25 @@
 INITIAL_RETRY_S = 0.1
 MAX_RETRY_S = 0.5
 PEER_FEED_S = 2.5
-"""Time for which others must have told what changes: by then what lapsed in an outage
-has come back, or is gone for them too."""
+"""Time for which peers must have sent the changes: by then entries that lapsed in an
+outage have come back, or peers have seen their removal."""
 RECENT_FAILURE_S = 5.0
-"""Time for which a daemon that the store refused leaves the reading to others. It would
-find out only by trying again, and nobody coordinates meanwhile."""
+"""Time after a failed read for which a daemon leaves reading to others. It could learn
+of a recovery only by reading again, and nobody coordinates meanwhile."""
 
 log = get_logger(__name__)
 
 
 class TableFollower:
-    """Keeps up with one table and hands on what changes.
+    """Reads one table and passes its changes to callbacks.
 
     :param store: :class:`~cowslipcourse.ports.RowStore`
     :param settings: :class:`~cowslipcourse.entry.settings.StoreSettings`
     :param table: table name.
     :param on_snapshot: called with all rows, as
         :class:`~cowslipcourse.ports.RowChanges`.
-    :param on_changes: called with the version that was known and the changes.
-    :param batch_s: pause between two reads, so that changes come together.
+    :param on_changes: called with the previously known version and the changes.
+    :param batch_s: seconds between two reads, so that changes are batched.
     """
 
     def __init__(self, store, settings, table, on_snapshot, on_changes, batch_s):
@@ -53,12 +53,12 @@
 
     @property
     def is_current(self):
-        """Whether the store answers."""
+        """Whether the last read succeeded."""
         return self._has_snapshot and self._failed_since is None
 
     @property
     def was_unavailable(self):
-        """Whether the store did not answer until now, and nobody told what changed."""
+        """Whether reads failed until now and no peer sent the changes meanwhile."""
         return self._failed_since is not None and not self._is_fed_by_peers()
 
     def _is_fed_by_peers(self):
@@ -67,19 +67,19 @@
         return asyncio.get_running_loop().time() - self._peer_fed_since >= PEER_FEED_S
 
     def note_peer_update(self):
-        """Note that another daemon has told what it read in the store."""
+        """Record that a peer has sent changes that it read from the store."""
         if self._failed_since is not None and self._peer_fed_since is None:
             self._peer_fed_since = asyncio.get_running_loop().time()
 
     @property
     def has_failed_recently(self):
-        """Whether the store refused this daemon a short while ago."""
+        """Whether a read has failed within ``RECENT_FAILURE_S``."""
         if self._failed_at is None:
             return False
         return asyncio.get_running_loop().time() - self._failed_at < RECENT_FAILURE_S
 
     def set_following(self, active):
-        """Follow the store, or rest until told to go on."""
+        """Start or suspend following the table."""
         if active == self._active.is_set():
             return
         log.info("following" if active else "resting", table=self._table)
@@ -90,11 +90,11 @@
             self._active.clear()
 
     def request_full_read(self):
-        """Read the whole table instead of waiting for changes the next time."""
+        """Read the whole table next time instead of waiting for changes."""
         self._version = None
 
     async def run(self):
-        """Follow the table for ever."""
+        """Follow the table until cancelled."""
         retry_s = INITIAL_RETRY_S
         while True:
             await self._active.wait()
@@ -129,7 +129,7 @@
         if changes.rows:
             self._on_changes(known_version, changes)
         if self._version is not None:
-            # Unless the whole table is to be read again by now.
+            # A full read may have been requested by a callback.
             self._version = changes.version
 
     def _record_failure(self, error):
--- a/cowslipcourse/entry/knowledge.py
+++ b/cowslipcourse/entry/knowledge.py
@@ -1,7 +1,7 @@
-"""Configuration and targets: from the store, or from peers that read it.
+"""Replica of configuration and targets, from the store or from peers that read it.
 
-Reporters follow the store. They push what changes to the daemons of their data centre;
-who misses something, or cannot reach the store, reads a peer's whole state.
+Reporters follow the store and push changes to the daemons of their data centre. A
+daemon that misses a push, or cannot reach the store, reads the state of a peer.
 """
 
 import asyncio
@@ -30,24 +30,24 @@
 __all__ = ["StateReplica"]
 
 RECOVERY_S = 2.2
-"""After an outage, entries that lapsed meanwhile are back within about two seconds."""
+"""Time after an outage in which lapsed entries return, which takes about 2 s."""
 REMOVAL_HOLD_S = 1.5
-"""Time for which an entry that is dropped soon after an outage is kept: it may have
-lapsed and be back. A target must get nothing new 2 s after its entry is dropped."""
+"""Time for which an entry removed soon after an outage is kept: it may have lapsed and
+return. A target must get no new request 2 s after the removal of its entry."""
 CHECK_INTERVAL_S = 0.1
-"""Interval at which it is checked whether a peer must be read."""
+"""Interval of checks for due removals and for a need to read a peer."""
 MAX_CACHED_STATES = 8
-"""Encoded answers that are kept: many peers that missed the same ask for the same."""
+"""Encoded states that are cached: peers that missed the same push ask alike."""
 MAX_SOURCES_PER_READ = 3
-"""Peers that are asked one after the other before a pause."""
+"""Peers that are tried one after the other before a back-off."""
 NO_TARGETS_WANTED = 1 << 62
-"""Stands for a reader that wants no targets."""
+"""Known version sent by a reader that needs no targets."""
 
 log = get_logger(__name__)
 
 
 class StateReplica:
-    """Keeps configuration and targets up to date and hands on what changes.
+    """Keeps configuration and targets up to date and notifies a listener.
 
     :param settings: :class:`~cowslipcourse.entry.settings.EntrySettings`
     :param store: :class:`~cowslipcourse.ports.RowStore`
@@ -96,9 +96,9 @@
 
     @property
     def is_current(self):
-        """Whether the store answers, as far as this daemon asks it.
+        """Whether reads of the store succeed.
 
-        Of a daemon that rests it is assumed, unless it was refused lately.
+        Without following it this is assumed, unless a read has failed recently.
         """
         tables = self._configuration_follower, self._target_follower
         if not self._follows_store:
@@ -106,9 +106,9 @@
         return all(table.is_current for table in tables)
 
     def set_following(self, active):
-        """Read the store, or leave that to others.
+        """Start or stop following the store.
 
-        A daemon rests only once it knows a configuration and targets.
+        A daemon stops only once it knows a configuration and targets.
         """
         if not active and not (self.configuration_version and self.targets_version):
             return
@@ -117,7 +117,7 @@
         self._target_follower.set_following(active)
 
     def coroutines(self):
-        """Return the coroutines that keep it up to date."""
+        """Return the coroutines that keep the replica up to date."""
         return (
             self._configuration_follower.run(),
             self._target_follower.run(),
@@ -126,7 +126,7 @@
         )
 
     def encoded_state(self, known_configuration, known_targets):
-        """Return the bytes that a peer reads: only what it does not have.
+        """Return the encoded state for a peer, without what the peer already has.
 
         :param known_configuration: version of the configuration that the peer has.
         :param known_targets: store version of the targets that the peer has.
@@ -161,7 +161,7 @@
                 self._apply_configuration(row.value)
 
     def _apply_configuration(self, content):
-        """Put a newer configuration in force; an unreadable one changes nothing."""
+        """Apply a newer configuration; an invalid one changes nothing."""
         if content in (self._configuration_content, self._refused_content):
             return
         try:
@@ -181,7 +181,7 @@
 
     def _on_target_snapshot(self, snapshot):
         listed = {row.key: row.value for row in snapshot.rows}
-        # What the store lists has come back, or was never gone.
+        # Held entries that the store lists have returned or were never removed.
         self._held_until = {
             t: at for t, at in self._held_until.items() if t not in listed
         }
@@ -191,8 +191,8 @@
             loop = asyncio.get_running_loop()
             self._recovered_at = loop.time() + RECOVERY_S
             self._recovery_pending.set()
-            # What is missing may be back in a moment. A store that has come back older
-            # may also list what a target has since replaced, and will write again.
+            # Missing entries may return soon. A store restored to an older state may
+            # also list entries that a target has since replaced and will write again.
             listed = {**listed, **known} if is_older else {**known, **listed}
         self._replace_targets(listed, snapshot.version)
 
@@ -231,7 +231,7 @@
 
     def _record_changes(self, changed, gone):
         self._cached_states.clear()
-        # Entries of earlier lives that came late are in no list.
+        # Late entries of earlier incarnations are not in the list.
         changed = [target for target in changed if target in self._target_list.contents]
         self._change_history.record(self.targets_version, changed, gone)
 
@@ -251,7 +251,7 @@
         self._listener.apply_targets(*changes)
 
     def _drop_expired_held(self, now):
-        """Drop the entries that were held and have not come back, for all daemons."""
+        """Remove held entries that have not returned, here and at peers."""
         due = tuple(target for target, at in self._held_until.items() if now >= at)
         if not due:
             return
@@ -262,7 +262,7 @@
         self._listener.push_changes(message)
 
     async def _reread_after_recovery(self):
-        """Read all targets again once what lapsed in an outage had time to return."""
+        """Read all targets again once entries that lapsed had time to return."""
         loop = asyncio.get_running_loop()
         recovered_at = 0.0
         while True:
@@ -281,10 +281,10 @@
     # From peers.
 
     def apply_push(self, message):
-        """Take in a reporter's :class:`~cowslipcourse.peers.TargetChanges`.
+        """Apply a reporter's :class:`~cowslipcourse.peers.TargetChanges`.
 
-        One that leads to no newer version may tell of entries that another reporter
-        holds back, or has held back until now.
+        A push without a newer version may contain removals that another reporter holds
+        back, or has held back until now.
         """
         if self._follows_store:
             return
@@ -295,7 +295,7 @@
             self._target_follower.note_peer_update()
 
     def _apply_late_removals(self, message):
-        """Drop what a push of a version that is known here says has gone."""
+        """Apply the removals of a push whose version is already known."""
         gone = tuple(
             target
             for target in message.gone
@@ -314,7 +314,7 @@
                 self._read_policy.record_result(succeeded, loop.time())
 
     async def _read_first_available(self, members):
-        """Read the first peer that answers; return whether one did."""
+        """Read the state of the first peer that answers; return whether one did."""
         if self._session is None:
             self._session = aiohttp.ClientSession()
         for member in members[:MAX_SOURCES_PER_READ]:
@@ -342,7 +342,7 @@
             self._replace_targets(dict(state.targets), version)
 
     def _needed_after_version(self):
-        """Return the store version after which a peer's targets are of use."""
+        """Return the store version after which targets are needed from a peer."""
         if self._follows_store and self.is_current:
             return NO_TARGETS_WANTED
         return self.targets_version
--- a/cowslipcourse/entry/main.py
+++ b/cowslipcourse/entry/main.py
@@ -1,4 +1,4 @@
-"""Program ``cowslip-entry``: everything of the system on one entry VM."""
+"""Command line of ``cowslip-entry``, the daemon of an entry VM."""
 
 import asyncio
 import os
@@ -39,7 +39,7 @@
 
 
 def _load_settings(command):
-    """Return the settings and their path as a command names them, or ``None``."""
+    """Return the settings and path named by a command, or ``None`` if invalid."""
     path = command.argument("settings") or os.environ.get(SETTINGS_VARIABLE)
     if not path:
         command.line_error(f"Name a settings file or set {SETTINGS_VARIABLE}.")
@@ -54,7 +54,7 @@
 
 _SETTINGS_ARGUMENT = argument(
     "settings",
-    f"Settings file (TOML); else the one that {SETTINGS_VARIABLE} names.",
+    f"Settings file (TOML); by default the one that {SETTINGS_VARIABLE} names.",
     optional=True,
 )
 
@@ -67,7 +67,7 @@
     arguments: ClassVar = [_SETTINGS_ARGUMENT]
 
     def handle(self):
-        """Run until SIGTERM; return another exit code than 0 if that fails."""
+        """Run until SIGTERM; exit with a non-zero code on failure."""
         loaded = _load_settings(self)
         if loaded is None:
             return EXIT_USAGE
@@ -82,8 +82,8 @@
         finally:
             log_listener.stop()
         sys.stdout.flush()
-        # Taking the interpreter apart takes tenths of a second of what is left of the
-        # grace on a busy VM, and nothing is left to be saved.
+        # Interpreter shutdown would take tenths of a second of the remaining grace
+        # period on a busy VM, and no state is left to save.
         os._exit(code)
 
 
@@ -91,14 +91,14 @@
     """``cowslip-entry check``: check a settings file."""
 
     name = "check"
-    description = "Check a settings file and say what is wrong in it."
+    description = "Check a settings file and report its errors."
     arguments: ClassVar = [_SETTINGS_ARGUMENT]
 
     def handle(self):
-        """Check the file."""
+        """Check the settings file; return 0 if it is valid."""
         if _load_settings(self) is None:
             return EXIT_USAGE
-        self.line("The settings are good.")
+        self.line("The settings are valid.")
         return 0
 
 
--- a/cowslipcourse/entry/metrics.py
+++ b/cowslipcourse/entry/metrics.py
@@ -1,4 +1,4 @@
-"""Counters and latency histograms of a daemon, served as text."""
+"""Prometheus metrics of a daemon."""
 
 import logging
 
@@ -8,7 +8,7 @@
 __all__ = ["EntryMetrics"]
 
 MAX_ROUTES = 200
-"""Routes with counters of their own; the others share one, so memory is bounded."""
+"""Routes with their own counters; all others share one, which bounds memory."""
 OTHER_ROUTES = "other"
 LATENCY_BUCKETS_S = (0.05, 0.1, 0.2, 0.3, 0.5, 1.0, 2.0, 4.0, 8.0)
 
@@ -69,15 +69,15 @@
         )
 
     def observe_request(self, outcome, duration_s):
-        """Count a request that is over."""
+        """Record the outcome and latency of a finished request."""
         self._requests.labels(outcome).inc()
         self._latency_s.observe(duration_s)
 
     def count_cause(self, route, model, cause):
-        """Count a request that is over under the one cause of its end.
+        """Count a finished request under the single cause of its end.
 
         :param route: name of the route; empty if it was not found.
-        :param model: model that was asked for, or empty.
+        :param model: requested model, or empty.
         :param cause: ``served``, or why it was lost.
         """
         if route not in self._routes and len(self._routes) >= MAX_ROUTES:
@@ -87,7 +87,7 @@
         self._causes.labels(route, model, cause).inc()
 
     def set_group_counts(self, counts):
-        """Set the numbers of groups and engines.
+        """Set the gauges of groups and engines.
 
         :param counts: :class:`~cowslipcourse.entry.census.GroupCounts`
         """
@@ -99,13 +99,13 @@
             self._engines.labels(model, state).set(count)
 
     def event_counter(self):
-        """Return a log handler that counts what is logged, by event and level."""
+        """Return a log handler that counts log records by event."""
         return _EventCounter(self._events)
 
     def set_state(self, name, value):
-        """Set a value of the daemon's state."""
+        """Set a gauge of the daemon's state."""
         self._state_gauge.labels(name).set(value)
 
     def render(self):
-        """Return all metrics as text."""
+        """Return all metrics in the Prometheus text format."""
         return generate_latest(self._registry)
--- a/cowslipcourse/entry/own_links.py
+++ b/cowslipcourse/entry/own_links.py
@@ -1,27 +1,27 @@
-"""Tell whether engines are silent, or this daemon is cut off from them."""
+"""Distinguish silent engines from an isolation of this daemon."""
 
 from cowslipcourse.adapters.log import get_logger
 
 __all__ = ["IsolationDetector"]
 
 MAX_SILENT_SHARE = 0.4
-"""Share of a coordinator's engines that may seem lost before it doubts itself: two of
-five domains."""
+"""Share of a coordinator's engines that may be silent before it suspects its own
+isolation: two of five domains."""
 ANSWER_VALIDITY_S = 1.0
-"""Time for which one engine's answer proves that this daemon reaches engines."""
+"""Time for which an engine's answer shows that this daemon reaches engines."""
 PROBE_COUNT = 5
-"""Engines elsewhere that are asked then: they are in other racks, so one of them
-answers if this daemon is not cut off."""
+"""Engines of other domains that are probed on suspicion: they are in other racks, so
+one of them answers if this daemon is not isolated."""
 PROBE_TIMEOUT_S = 0.3
-"""Time for their answers: two questions of 0.15 s."""
+"""Time for answers to a probe: two report requests of 0.15 s each."""
 ISOLATION_S = 3.0
-"""Time for which a daemon that seems cut off leaves coordination to others."""
+"""Time for which an isolated daemon leaves coordination to others."""
 
 log = get_logger(__name__)
 
 
 class IsolationDetector:
-    """Doubts this daemon's own links if too many engines seem silent at once.
+    """Detects isolation of this daemon if many engines seem silent at once.
 
     :param domains: :class:`~cowslipcourse.entry.domains.DomainTracker`
     :param engine_client: :class:`~cowslipcourse.entry.engine_calls.EngineClient`
@@ -39,15 +39,15 @@
         return self._isolated_until
 
     def check(self, owned_domains, now):
-        """Look again after an engine was found silent.
+        """Check for isolation after an engine was found silent.
 
-        :param owned_domains: names of the domains that this daemon keeps.
+        :param owned_domains: names of the domains that this daemon coordinates.
         :param now: loop time.
         """
         listed = self._listed_engines(owned_domains)
         silent = [engine for engine in listed if engine.silent_since is not None]
         if now < self._isolated_until:
-            # Questions that were under way when the doubt arose.
+            # Report requests that were in flight when the isolation was detected.
             _clear_silence(silent)
             return
         if len(silent) <= MAX_SILENT_SHARE * len(listed):
@@ -73,17 +73,19 @@
         ]
 
     def _probe_candidates(self, owned_domains):
-        """Return a few engines of other domains, or else any that are not silent."""
+        """Return a few engines that are not silent, of other domains if possible."""
         elsewhere = [
             name for name in self._domains.by_name if name not in owned_domains
         ]
-        found = self._listed_engines(elsewhere) or self._listed_engines(owned_domains)
-        found = [engine for engine in found if engine.silent_since is None]
-        return found[:: max(1, len(found) // PROBE_COUNT)][:PROBE_COUNT]
+        candidates = self._listed_engines(elsewhere) or self._listed_engines(
+            owned_domains
+        )
+        candidates = [engine for engine in candidates if engine.silent_since is None]
+        return candidates[:: max(1, len(candidates) // PROBE_COUNT)][:PROBE_COUNT]
 
 
 def _clear_silence(silent):
-    """Take back that engines are silent, but for those that have ended."""
+    """Clear the silence of engines, except of those that were replaced."""
     for engine in silent:
         if not engine.is_replaced:
             engine.silent_since = None
--- a/cowslipcourse/entry/peer_link.py
+++ b/cowslipcourse/entry/peer_link.py
@@ -19,7 +19,7 @@
 __all__ = ["PeerLink"]
 
 MAX_PUSH_BYTES = 32_000
-"""Longest datagram that is pushed; more is left to a read of the whole state."""
+"""Longest pushed datagram; peers read larger changes as state."""
 
 log = get_logger(__name__)
 
@@ -36,7 +36,7 @@
 
 
 class PeerLink:
-    """Sends what this daemon has to tell and takes in what the others tell.
+    """Sends this daemon's messages to its peers and dispatches received ones.
 
     :param settings: :class:`~cowslipcourse.entry.settings.EntrySettings`
     :param registry: :class:`~cowslipcourse.peers.PeerRegistry`
@@ -54,9 +54,9 @@
         self._sent_to_all_at = None
 
     async def start(self):
-        """Listen, and write to the seeds at first.
+        """Listen, and register the seeds as the first peers.
 
-        :raises AddressTaken: if the address cannot be listened on.
+        :raises AddressTaken: if the daemon cannot listen on its address.
         """
         loop = asyncio.get_running_loop()
         address = self._settings.listen.peer
@@ -69,53 +69,57 @@
         except OSError as error:
             raise AddressTaken(address, error.strerror) from error
         for address in self._settings.peers.seeds:
-            # Where a seed runs is learnt from its heartbeat; until then it is near.
+            # Until its heartbeat names its data centre, a seed counts as local.
             self._registry.add_address(address, self._settings.data_centre, loop.time())
 
     async def run(self):
-        """Send heartbeats for ever, and digests while this daemon is a reporter."""
+        """Send heartbeats, and digests while a reporter, until cancelled."""
         while True:
             self._send_heartbeats()
             await asyncio.sleep(self._settings.peers.interval_s)
 
     def heartbeat_now(self):
-        """Send a heartbeat to the whole data centre at once."""
+        """Send a heartbeat to the whole data centre immediately."""
         self._sent_to_all_at = None
         self._send_heartbeats()
 
     def _send_heartbeats(self):
-        """Send a heartbeat to the reporters, and to all others when it is time."""
+        """Send a heartbeat to the reporters, and to all others when it is due."""
         now = asyncio.get_running_loop().time()
         self._registry.expire(now)
-        own = self._daemon.heartbeat()
-        reporters = self._registry.reporter_addresses(own, now)
-        frequent_heartbeat = own._replace(interval_s=self._settings.peers.interval_s)
+        own_heartbeat = self._daemon.heartbeat()
+        reporters = self._registry.reporter_addresses(own_heartbeat, now)
+        frequent_heartbeat = own_heartbeat._replace(
+            interval_s=self._settings.peers.interval_s
+        )
         self._send(encode(frequent_heartbeat), reporters)
-        self._registry.record_own_in_flight(own.in_flight)
-        if self._is_full_heartbeat_due(own, now):
+        self._registry.record_own_in_flight(own_heartbeat.in_flight)
+        if self._is_full_heartbeat_due(own_heartbeat, now):
             self._sent_to_all_at = now
             local = self._registry.local_addresses(now)
-            self._send(encode(own), [each for each in local if each not in reporters])
-        if own.member.name in self._registry.reporters(own, now):
-            self._send_digests(own, now)
+            self._send(
+                encode(own_heartbeat), [each for each in local if each not in reporters]
+            )
+        if own_heartbeat.member.name in self._registry.reporters(own_heartbeat, now):
+            self._send_digests(own_heartbeat, now)
 
-    def _is_full_heartbeat_due(self, own, now):
+    def _is_full_heartbeat_due(self, own_heartbeat, now):
         if self._sent_to_all_at is None:
             return True
         margin_s = self._settings.peers.interval_s / 2
-        return now - self._sent_to_all_at >= own.interval_s - margin_s
+        return now - self._sent_to_all_at >= own_heartbeat.interval_s - margin_s
 
-    def _send_digests(self, own, now):
-        remote = self._digests.build_remote_digest(own, now)
+    def _send_digests(self, own_heartbeat, now):
+        remote = self._digests.build_remote_digest(own_heartbeat, now)
         self._send(encode(remote), self._registry.remote_addresses(now))
-        local = self._digests.build_local_digest(own, now)
+        local = self._digests.build_local_digest(own_heartbeat, now)
         if local is not None:
             self._send(encode(local), self._registry.local_addresses(now))
 
     def broadcast_group_update(self, update):
         """Send a :class:`~cowslipcourse.peers.GroupUpdate` to all daemons, once.
 
-        One that is lost costs what there is without news: the list tells it later.
+        If a datagram is lost, its receiver learns the change later from the list.
         """
         now = asyncio.get_running_loop().time()
         self._send(encode(update), self._registry.all_addresses(now))
@@ -126,18 +130,18 @@
         return self._settings.listen.peer
 
     def alive_addresses(self):
-        """Return the addresses of the other daemons that live."""
+        """Return the addresses of the other daemons that are alive."""
         return self._registry.alive_addresses(asyncio.get_running_loop().time())
 
     def all_addresses(self):
-        """Return the addresses of all other daemons that are known."""
+        """Return the addresses of all other known daemons."""
         return self._registry.all_addresses(asyncio.get_running_loop().time())
 
     def repeat_addresses(self):
-        """Return the addresses that this daemon speaks to for its data centre.
+        """Return the addresses to which an active reporter repeats messages.
 
-        They are those of its own data centre and the reporters elsewhere; none if
-        another daemon speaks.
+        They are those of its own data centre and the reporters elsewhere; none if this
+        daemon is not the active reporter.
         """
         now = asyncio.get_running_loop().time()
         if not self._registry.is_active_reporter(self._daemon.heartbeat(), now):
@@ -147,11 +151,11 @@
         )
 
     def send(self, message, addresses):
-        """Send a message to some daemons, once; a datagram may be lost."""
+        """Send a message once to each address; datagrams may be lost."""
         self._send(encode(message), addresses)
 
     def push_changes(self, changes):
-        """Send changes of targets to the own data centre."""
+        """Send target changes to the daemons of this data centre."""
         content = encode(changes)
         if len(content) > MAX_PUSH_BYTES:
             return
@@ -189,21 +193,21 @@
             self._daemon.investigate_suspects(message)
 
     def _handle_heartbeat(self, heartbeat, now):
-        """Take in a heartbeat, and answer the first one of a run with an own one.
+        """Record a heartbeat; answer the first one of an incarnation with a heartbeat.
 
-        A daemon that has just started need not wait for the next one of each other:
-        that takes over a second in a large data centre.
+        A daemon that has just started would otherwise wait for the next heartbeat of
+        each peer, which takes over a second in a large data centre.
         """
         is_first = self._registry.is_unknown(heartbeat.member)
         if not self._registry.record_heartbeat(heartbeat, now):
             return
         if is_first:
-            own = self._daemon.heartbeat()
-            self._send(encode(own), [heartbeat.member.peer_address])
+            own_heartbeat = self._daemon.heartbeat()
+            self._send(encode(own_heartbeat), [heartbeat.member.peer_address])
         self._daemon.investigate_suspects(heartbeat)
 
     def _relay_digest(self, content, digest, now):
-        """Bring another data centre's digest to the own one, once."""
+        """Relay a digest of another data centre to the daemons of this one, once."""
         is_local = digest.reporter.data_centre == self._settings.data_centre
         if is_local or digest.in_flight is None:
             return
--- a/cowslipcourse/entry/peer_reading.py
+++ b/cowslipcourse/entry/peer_reading.py
@@ -1,4 +1,4 @@
-"""Read configuration and targets from peers: from whom, and what they answer."""
+"""Choose peers to read configuration and targets from, and read their state."""
 
 import aiohttp
 
@@ -8,17 +8,17 @@
 __all__ = ["PeerReadPolicy", "read_state"]
 
 PUSH_GRACE_S = 0.3
-"""Time for a push to arrive before the state is read instead."""
+"""Time for a push to arrive before the state of a peer is read instead."""
 PEER_TIMEOUT_S = 1.0
-"""Longest read of a peer's state: 20 KB over a link of 20 Mbit/s that others use."""
+"""Longest read of a peer's state: 20 KB over a shared link of 20 Mbit/s."""
 INITIAL_BACKOFF_S = 0.1
 MAX_BACKOFF_S = 0.8
-"""Pauses after reads of which none succeeded: whoever reads again at once keeps the
-links full that made the first reads late."""
+"""Limits of the back-off after failed reads: immediate retries would keep the links
+congested that delayed the first reads."""
 
 
 class PeerReadPolicy:
-    """Decides whether peers must be read, and which.
+    """Decides whether to read peers, which of them, and when to back off.
 
     :param registry: :class:`~cowslipcourse.peers.PeerRegistry`
     :param rng: :class:`random.Random` that spreads reads over peers.
@@ -32,7 +32,7 @@
         self._backoff_until = 0.0
 
     def sources(self, replica, now):
-        """Return the members to read from, in order, if something is missing.
+        """Return the members to read from, in order; empty if nothing is missing.
 
         :param replica: has ``configuration_version``, ``targets_version``,
             ``is_current`` and ``follows_store``.
@@ -65,7 +65,7 @@
         return self._shuffled([h.member for h in local_heartbeats]) + others
 
     def record_result(self, succeeded, now):
-        """Note whether one of the sources answered."""
+        """Record whether one of the sources answered, which resets the back-off."""
         if succeeded:
             self._backoff_s = INITIAL_BACKOFF_S
             return
@@ -73,12 +73,12 @@
         self._backoff_s = min(MAX_BACKOFF_S, 2 * self._backoff_s)
 
     def _shuffled(self, members):
-        """Any of them: the link of one could not serve its whole data centre."""
+        """Shuffle members: the link of one could not serve its whole data centre."""
         self._rng.shuffle(members)
         return members
 
     def _missed_version(self, replica, local_heartbeats, now):
-        """Return the version that a lost push must have brought, or ``None``."""
+        """Return the version that a lost push must have contained, or ``None``."""
         newest = max((h.targets_version for h in local_heartbeats), default=0)
         if replica.follows_store or newest <= replica.targets_version:
             self._missed_since = None
@@ -97,10 +97,10 @@
 
     :param session: :class:`aiohttp.ClientSession`
     :param address: ``ip:port`` of the peer.
-    :param configuration: version of the configuration that is known here.
-    :param targets: store version of the targets that are known here.
-    :raises PeerUnreachable: no answer in time.
-    :raises MalformedAnswer: the answer cannot be read.
+    :param configuration: known version of the configuration.
+    :param targets: known store version of the targets.
+    :raises PeerUnreachable: if no successful answer arrives in time.
+    :raises MalformedAnswer: if the answer cannot be decoded.
     """
     known = {"configuration": str(configuration), "targets": str(targets)}
     timeout = aiohttp.ClientTimeout(total=PEER_TIMEOUT_S)
--- a/cowslipcourse/entry/plan_table.py
+++ b/cowslipcourse/entry/plan_table.py
@@ -1,4 +1,4 @@
-"""The plans of all domains, as this daemon knows their rows."""
+"""The known plans of all domains and their rows in the store."""
 
 import asyncio
 
@@ -11,13 +11,13 @@
 
 GROUPS_TABLE = "groups"
 CONFIRMATION_VALIDITY_S = 2.0
-"""Age at which the rows are read again before the next order."""
+"""Age beyond which the rows are read again before the next order."""
 
 log = get_logger(__name__)
 
 
 class PlanTable:
-    """Reads and replaces the rows of plans.
+    """Reads and conditionally replaces the rows of plans.
 
     :param store: :class:`~cowslipcourse.ports.RowStore`
     :param on_plan: called with each :class:`~cowslipcourse.groups.DomainPlan` that
@@ -36,20 +36,20 @@
 
     @property
     def is_valid(self):
-        """Whether the rows were read and nothing has cast doubt on them since."""
+        """Whether the rows were read and not invalidated since."""
         return self._confirmed_at is not None
 
     def check_era(self):
-        """Read the rows again if the store has come back older since."""
+        """Invalidate the rows if the store was restored to an older state."""
         if self._store.era != era_of(self._read_version):
             self._confirmed_at = None
 
     def invalidate(self):
-        """Read the rows again before anything is done."""
+        """Require a read of the rows before the next action."""
         self._confirmed_at = None
 
     def is_confirmed(self, now):
-        """Whether the rows are known to have been current a moment ago."""
+        """Whether the rows were confirmed within ``CONFIRMATION_VALIDITY_S``."""
         if (
             self._confirmed_at is None
             or now - self._confirmed_at > CONFIRMATION_VALIDITY_S
@@ -59,7 +59,7 @@
         return True
 
     def age_s(self, now):
-        """Return the seconds since all rows were read."""
+        """Return the seconds since the last read of all rows."""
         return now - self._read_at
 
     def is_readable(self, domain):
@@ -67,7 +67,7 @@
         return domain not in self._unreadable
 
     def is_lost(self, domain):
-        """Whether the store has lost the row of the plan that is known of a domain."""
+        """Whether the store has lost the row of a domain's known plan."""
         return domain in self._lost_domains
 
     def plan(self, domain):
@@ -79,7 +79,7 @@
     async def read(self):
         """Read all rows.
 
-        :raises StoreError: they could not be read.
+        :raises StoreError: if they cannot be read.
         """
         requested_at = asyncio.get_running_loop().time()
         found = await self._store.read_table(GROUPS_TABLE)
@@ -92,7 +92,7 @@
             try:
                 plan = decode_plan(row.key, row.value, row.version)
             except MalformedAnswer as error:
-                # Who is in its groups is not known, so nothing is done there.
+                # The members of its groups are unknown, so the domain is left alone.
                 log.warning("plan-unreadable", domain=row.key, why=error)
                 unreadable.add(row.key)
                 continue
@@ -104,7 +104,7 @@
         log.info("plans-read", domains=len(self.plans), version=found.version)
 
     def _restore_lost(self, known):
-        """Keep the plans that are newer than what the store has come back with.
+        """Keep plans that are newer than those of a restored store.
 
         :param known: :class:`~cowslipcourse.groups.DomainPlan` by domain, as known
             before.
@@ -140,7 +140,7 @@
         return await self._write(plan, groups, plan.next_epoch)
 
     async def rewrite(self, domain):
-        """Write the plan of a domain again that the store has lost.
+        """Write a domain's plan again after the store has lost it.
 
         :returns: the new plan; ``None`` if the row had changed and all were read again.
         :raises StoreError: the row may not have been written.
--- a/cowslipcourse/entry/registering.py
+++ b/cowslipcourse/entry/registering.py
@@ -1,4 +1,4 @@
-"""Register this daemon in the store, and learn where the others are."""
+"""Register this daemon in the store and read the other registrations."""
 
 import asyncio
 
@@ -12,13 +12,13 @@
 DAEMONS_TABLE = "daemons"
 RETRY_INTERVAL_S = 0.5
 REWRITE_SPREAD_S = 5.0
-"""Time over which all daemons write their rows again that the store may have lost."""
+"""Time over which daemons spread rewrites of rows that the store may have lost."""
 
 log = get_logger(__name__)
 
 
 class DaemonRegistrar:
-    """This daemon's row, and the rows of the others.
+    """Writes this daemon's registration and reads those of the others.
 
     :param settings: :class:`~cowslipcourse.entry.settings.EntrySettings`
     :param store: :class:`~cowslipcourse.ports.RowStore`
@@ -38,19 +38,19 @@
 
     @property
     def version(self):
-        """Point at which this daemon registered; 0 until it has.
+        """Store version at which this daemon registered; 0 until it has.
 
-        It tells the order in which daemons came: a row that is written again keeps it.
+        It orders daemons by registration and does not change when the row is rewritten.
         """
         return self._version
 
     @property
     def completed_at(self):
-        """Loop time since when the others have been known, or ``None``."""
+        """Loop time at which the other registrations were first read, or ``None``."""
         return self._finished_at
 
     async def run(self):
-        """Write this daemon's row, read the others', and write again what is lost."""
+        """Register, read the other registrations, and rewrite the row on request."""
         self._version = await self._register()
         while not await self.read_registrations():
             await asyncio.sleep(RETRY_INTERVAL_S)
@@ -62,7 +62,7 @@
             await self._register()
 
     async def _register(self):
-        """Write this daemon's row, whatever it takes, and return its point."""
+        """Write this daemon's row, retrying until it succeeds; return its version."""
         listen = self._settings.listen
         registration = Registration(listen.peer, self._settings.data_centre)
         content = encode_registration(registration)
@@ -78,11 +78,11 @@
             return version
 
     def rewrite_later(self):
-        """Write the row again in a while: the store may have lost it."""
+        """Request a delayed rewrite of the row, which the store may have lost."""
         self._rewrite_requested.set()
 
     async def read_registrations(self):
-        """Learn the other daemons' addresses; return whether that was possible."""
+        """Read the other registrations; return whether the read succeeded."""
         try:
             snapshot = await self._store.read_table(DAEMONS_TABLE)
         except StoreError as error:
--- a/cowslipcourse/entry/reloading.py
+++ b/cowslipcourse/entry/reloading.py
@@ -1,4 +1,4 @@
-"""Take in a changed settings file without a restart."""
+"""Reload the settings file without a restart."""
 
 import asyncio
 import logging
@@ -12,25 +12,25 @@
 __all__ = ["SettingsWatcher", "changed_sections"]
 
 CHECK_INTERVAL_S = 1.0
-"""Interval at which the file is looked at; it may change without a signal."""
+"""Interval of checks of the file, which may change without a signal."""
 RESTART_ONLY_SECTIONS = ("name", "data_centre", "listen", "store", "peers")
-"""Sections that take effect at a start only: addresses are bound, tasks hold them."""
+"""Sections that take effect only at a start: addresses are bound, tasks hold them."""
 
 log = get_logger(__name__)
 
 
 def changed_sections(old, new):
-    """Return the names of the sections in which two settings differ."""
+    """Return the names of the sections that differ between two settings."""
     names = type(old).model_fields
     return [name for name in names if getattr(old, name) != getattr(new, name)]
 
 
 class SettingsWatcher:
-    """Reads the settings file again when it changes or when told to.
+    """Reloads the settings file when it changes or on request.
 
     :param path: settings file.
     :param settings: :class:`~cowslipcourse.entry.settings.EntrySettings` in force.
-    :param on_change: called with the new settings.
+    :param on_change: called with the settings to apply.
     """
 
     def __init__(self, path, settings, on_change):
@@ -40,16 +40,16 @@
         self._content = self._read()
 
     async def run(self):
-        """Look at the file for ever."""
+        """Check the file until cancelled."""
         while True:
             await asyncio.sleep(CHECK_INTERVAL_S)
             if self._read() != self._content:
                 self.reload("file changed")
 
     def reload(self, why):
-        """Read the file; keep the settings in force if it is wrong.
+        """Reload the file; keep the settings in force if it is invalid.
 
-        :param why: what made the daemon read it, for the log.
+        :param why: reason for the reload, for the log.
         """
         self._content = self._read()
         try:
--- a/cowslipcourse/entry/roles.py
+++ b/cowslipcourse/entry/roles.py
@@ -1,4 +1,4 @@
-"""Which parts a daemon takes for its data centre: reading the store, keeping groups."""
+"""Decide whether this daemon reads the store and coordinates groups."""
 
 import asyncio
 
@@ -8,30 +8,30 @@
 __all__ = ["RoleAssignment", "is_settled"]
 
 ROLE_CHECK_INTERVAL_S = 0.1
-"""Interval at which a daemon looks whether it is a reporter."""
+"""Interval at which a daemon checks whether it is a reporter."""
 REGISTRATION_SETTLE_S = 0.6
-"""Time after a daemon has registered until it takes a role. Those that registered
-before it say so at once when they first hear it; one of those datagrams may be lost.
-After all 195 daemons of a site had lost power, 45 of them took a role at the same
-moment, each before it had heard who had registered earlier."""
+"""Time between registration and taking a role. Daemons that registered earlier answer
+the first heartbeat at once, but one of those datagrams may be lost. Without the delay,
+45 of the 195 daemons of a site took a role at the same moment after a loss of power,
+each before it had received who had registered earlier."""
 
 log = get_logger(__name__)
 
 
 def is_settled(completed_at, now):
-    """Whether a daemon may have heard all who registered before it.
+    """Whether a daemon has had time to receive all earlier registrations.
 
-    :param finished_at: loop time at which it had registered and knew the others'
-        addresses, or ``None``.
+    :param completed_at: loop time at which it had registered and knew the addresses
+        of the others, or ``None``.
     :param now: loop time.
     """
     return completed_at is not None and now - completed_at >= REGISTRATION_SETTLE_S
 
 
 class RoleAssignment:
-    """Decides again and again which roles are this daemon's.
+    """Determines the roles of this daemon periodically.
 
-    It meets :class:`~cowslipcourse.entry.scope.CoordinationScope`.
+    It implements :class:`~cowslipcourse.entry.scope.CoordinationScope`.
 
     :param settings: :class:`~cowslipcourse.entry.settings.EntrySettings`
     :param registry: :class:`~cowslipcourse.peers.PeerRegistry`
@@ -51,16 +51,16 @@
 
     @property
     def is_reporter(self):
-        """Whether this daemon reads the store for its data centre, or stands by."""
+        """Whether this daemon is an active or a standby reader of the store."""
         return self._is_reporter
 
     @property
     def coordinator_count(self):
-        """Number of daemons that keep groups; 1 if none is known."""
+        """Number of daemons that coordinate groups; 1 if none is known."""
         return max(1, len(self._first_reporters))
 
     def coordinates(self, data_centre):
-        """Whether this daemon keeps the groups of a data centre's domains.
+        """Whether this daemon coordinates the domains of a data centre.
 
         :param data_centre: name of the data centre, or ``None`` if it is not known.
         """
@@ -72,7 +72,7 @@
         return coordinator.name == self._settings.name
 
     async def run(self):
-        """Read the store only while this daemon speaks for its data centre."""
+        """Follow the store only while this daemon is the active reporter."""
         loop = asyncio.get_running_loop()
         was_reporter = False
         while True:
@@ -86,8 +86,9 @@
             self._first_reporters = self._registry.first_reporter_by_data_centre(
                 own, now
             )
-            # Without any reporter everybody reads. The second one reads once the first
-            # is late: two at once were half of a large site's calls to the store.
+            # Without any reporter all daemons read. The second reporter reads only once
+            # the first is late: two readers per data centre caused half of a large
+            # site's calls to the store.
             self._replica.set_following(
                 not reporters or self._registry.is_active_reporter(own, now)
             )
@@ -95,6 +96,6 @@
                 continue
             if is_reporter and not was_reporter:
                 log.info("reporting", data_centre=self._settings.data_centre)
-                # Daemons elsewhere may have registered after this one had read.
+                # Other daemons may have registered since this one last read.
                 is_reporter = await self._registrar.read_registrations()
             was_reporter = is_reporter
--- a/cowslipcourse/entry/scope.py
+++ b/cowslipcourse/entry/scope.py
@@ -1,4 +1,4 @@
-"""Which domains a daemon keeps the groups of."""
+"""The domains that a daemon coordinates."""
 
 from typing import Protocol
 
@@ -6,11 +6,11 @@
 
 
 class CoordinationScope(Protocol):
-    """What a coordinator asks about its part of the site."""
+    """The part of the site that a coordinator is responsible for."""
 
     @property
     def coordinator_count(self) -> int:
-        """Number of daemons that keep groups, this one included; 1 if none is known."""
+        """Number of coordinating daemons, this one included; 1 if none is known."""
 
     def coordinates(self, data_centre: str | None) -> bool:
-        """Whether this daemon keeps the groups of a data centre's domains."""
+        """Whether this daemon coordinates the domains of a data centre."""
--- a/cowslipcourse/entry/settings.py
+++ b/cowslipcourse/entry/settings.py
@@ -1,4 +1,4 @@
-"""Settings of ``cowslip-entry``: one checked TOML file."""
+"""Settings of ``cowslip-entry``, validated from a TOML file."""
 
 from pydantic import Field
 
@@ -18,11 +18,11 @@
 class ListenSettings(Section):
     """Addresses that the daemon listens on.
 
-    :param front: callers' requests.
-    :param directory: callers that ask which addresses to use.
-    :param ready: whether the daemon is ready.
-    :param peer: datagrams of other daemons, and their reads over TCP.
-    :param metrics: metrics as text; empty for none.
+    :param front: requests of callers.
+    :param directory: look-ups of the addresses that callers may use.
+    :param ready: readiness checks.
+    :param peer: datagrams of other daemons, and their state reads over TCP.
+    :param metrics: metrics; not served if absent.
     """
 
     front: Address
@@ -33,13 +33,13 @@
 
 
 class StoreSettings(Section):
-    """The platform's store.
+    """Access to the platform's store.
 
-    :param address: where it answers.
-    :param timeout_s: longest wait for one call; its usual answer takes 4 ms.
-    :param feed_wait_s: longest wait of the store for a change.
-    :param feed_margin_s: more than that before a feed counts as dead.
-    :param batch_s: pause between two reads of a feed, so that changes come together.
+    :param address: address of the store.
+    :param timeout_s: time-out of a call in seconds; an answer usually takes 4 ms.
+    :param feed_wait_s: seconds that the store waits for a change before it answers.
+    :param feed_margin_s: seconds beyond ``feed_wait_s`` before a feed counts as dead.
+    :param batch_s: seconds between two reads of a feed, so that changes are batched.
     """
 
     address: Address
@@ -52,11 +52,12 @@
 class PeerSettings(Section):
     """Heartbeats between daemons.
 
-    :param seeds: addresses of daemons that may be up.
-    :param interval_s: time between two heartbeats.
-    :param alive_s: silence after which a daemon counts as gone; four heartbeats.
-    :param listed_s: silence after which callers are no longer sent to it.
-    :param forget_s: silence after which it gets no heartbeats any more.
+    :param seeds: addresses of daemons to contact first.
+    :param interval_s: seconds between two heartbeats.
+    :param alive_s: seconds of silence after which a daemon counts as lost; four
+        heartbeats.
+    :param listed_s: seconds of silence after which the directory omits it.
+    :param forget_s: seconds of silence after which it is sent no heartbeats.
     """
 
     seeds: tuple[Address, ...] = ()
@@ -67,12 +68,13 @@
 
 
 class ControlSettings(Section):
-    """Orders to engines.
+    """Orders and report requests to engines.
 
-    :param report_timeout_s: longest wait for a report; a sound engine takes 5 ms,
-        a lost packet is sent again after a second, so two questions are better.
-    :param order_timeout_s: longest wait for an order's answer.
-    :param stall_s: time after which a group with a silent member is broken.
+    :param report_timeout_s: time-out of a report request in seconds. A sound engine
+        answers in 5 ms, and a lost packet is sent again only after 1 s, so a second
+        request is faster than a longer wait.
+    :param order_timeout_s: time-out of an order in seconds.
+    :param stall_s: seconds after which a group with a silent member counts as broken.
     """
 
     report_timeout_s: Seconds = 0.15
@@ -81,11 +83,11 @@
 
 
 class RetrySettings(Section):
-    """How often requests may be sent again, over all daemons together.
+    """Retry budget over all daemons together.
 
-    :param ratio: repeats for each request.
-    :param slack: repeats in a window beyond that.
-    :param window_s: length of the window.
+    :param ratio: retries per request.
+    :param slack: additional retries per window.
+    :param window_s: length of the window in seconds.
     """
 
     ratio: float = Field(default=0.2, ge=0, le=10)
@@ -94,9 +96,9 @@
 
 
 class StopSettings(Section):
-    """A planned stop.
+    """Graceful stop.
 
-    :param grace_s: time from the signal until the process is killed.
+    :param grace_s: seconds from the signal until the process is killed.
     """
 
     grace_s: Seconds = 8.0
@@ -106,8 +108,8 @@
     """Settings file of ``cowslip-entry``.
 
     :param name: unique name of the daemon.
-    :param data_centre: data centre it runs in.
-    :param address_ttl_s: time for which callers may keep a list of addresses.
+    :param data_centre: data centre that it runs in.
+    :param address_ttl_s: seconds for which callers may cache a list of addresses.
     """
 
     name: str = Field(min_length=1, max_length=100)
--- a/cowslipcourse/entry/side_apps.py
+++ b/cowslipcourse/entry/side_apps.py
@@ -1,4 +1,4 @@
-"""Small applications beside the front: metrics, and what peers read."""
+"""Applications beside the front: metrics, and the state that peers read."""
 
 from cowslipcourse.adapters.answers import Answer, one_path_app
 
--- a/cowslipcourse/entry/stopping.py
+++ b/cowslipcourse/entry/stopping.py
@@ -1,8 +1,8 @@
-"""Which requests a daemon that stops as planned still takes; pure decisions.
+"""Decide which requests a daemon still accepts during a graceful stop.
 
-Callers go on to use open connections until the process ends, although it is in no list
-of addresses any more. A stream that comes late cannot end in the time that is left and
-would be cut; its caller is told at once to go elsewhere instead.
+Callers use open connections until the process ends, although the directory no longer
+lists it. A late stream could not finish in the remaining time and would be cut off, so
+its caller is told at once to use another daemon.
 """
 
 from collections import deque
@@ -10,21 +10,21 @@
 __all__ = ["RequestDurations", "can_finish"]
 
 DURATIONS_PER_ROUTE = 100
-"""Answers of a route by which a daemon knows how long they take; 10 s of a busy one."""
+"""Recent durations that are kept per route; 10 s of a busy route."""
 DEFAULT_TIMEOUT_SHARE = 0.5
-"""Share of a route's time that is assumed where no answer is remembered."""
+"""Share of a route's time-out that is assumed without a recorded duration."""
 DURATION_MARGIN = 1.5
-"""Factor on the longest remembered answer: a stop moves load to fewer daemons."""
+"""Factor on the longest recorded duration: a stop moves load to fewer daemons."""
 
 
 class RequestDurations:
-    """How long the last answers of each route took."""
+    """Durations of the most recent requests of each route."""
 
     def __init__(self):
         self._by_route = {}
 
     def record(self, route, duration_s):
-        """Note an answer.
+        """Record the duration of a request.
 
         :param route: :class:`~cowslipcourse.routes.Route`
         :param duration_s: seconds from the request to the end of its answer.
@@ -35,7 +35,7 @@
         durations_s.append(duration_s)
 
     def longest_s(self, route):
-        """Return the longest of the last answers, or what is assumed without any."""
+        """Return the longest recent duration, or the default without any."""
         durations_s = self._by_route.get(route.name)
         return (
             max(durations_s) if durations_s else DEFAULT_TIMEOUT_SHARE * route.timeout_s
@@ -43,9 +43,9 @@
 
 
 def can_finish(left_s, longest_s):
-    """Whether a request that comes now is likely to end before the daemon does.
+    """Whether a request that arrives now is likely to finish before the stop.
 
     :param left_s: seconds until the daemon closes its last connections.
-    :param longest_s: longest of the last answers.
+    :param longest_s: longest recent duration of the route in seconds.
     """
     return left_s >= DURATION_MARGIN * longest_s
--- a/cowslipcourse/entry/target_list.py
+++ b/cowslipcourse/entry/target_list.py
@@ -1,9 +1,9 @@
-"""The platform's list of targets as this daemon knows it: bytes, and what they say.
+"""The platform's list of targets as known here: encoded and decoded entries.
 
-The list may hold entries of other writers. One that cannot be read names no target. If
-its target was known by a good entry before, it takes nothing new until a good one
-comes, as if it were about to leave: what runs there may end, and its group is repaired
-by an engine that is ready for it, if there is one.
+The list may contain entries of other writers. An entry that cannot be decoded names no
+target. If its target is known from an earlier valid entry, the target is treated as
+leaving until a valid entry arrives: it gets no new requests, running ones may finish,
+and its group is repaired by an engine that is ready for it, if there is one.
 """
 
 from typing import NamedTuple
@@ -16,17 +16,17 @@
 __all__ = ["EntryChanges", "TargetList"]
 
 MAX_REMEMBERED_INCARNATIONS = 10_000
-"""Targets whose newest life is remembered after they are gone, about 2 MB: an entry of
-an earlier life that comes late must not bring them back."""
+"""Targets whose newest incarnation is remembered after their removal, about 2 MB: a
+late entry of an earlier incarnation must not restore them."""
 
 log = get_logger(__name__)
 
 
 class EntryChanges(NamedTuple):
-    """What changed in the list.
+    """Changes of the list.
 
     :param entries: changed :class:`~cowslipcourse.ports.TargetEntry`.
-    :param gone: ids of targets that were dropped.
+    :param gone: ids of removed targets.
     """
 
     entries: tuple
@@ -34,7 +34,7 @@
 
 
 class TargetList:
-    """Contents and entries by target id; each content is decoded once."""
+    """Encoded and decoded entries by target id; each content is decoded once."""
 
     def __init__(self):
         self._contents = {}
@@ -44,7 +44,7 @@
 
     @property
     def contents(self):
-        """Bytes of the entries by target id, good or not."""
+        """Encoded entries by target id, valid or not."""
         return self._contents
 
     @property
@@ -53,15 +53,15 @@
         return self._entries
 
     def replace(self, contents):
-        """Take a whole list and return the :class:`EntryChanges`."""
+        """Replace the whole list and return the :class:`EntryChanges`."""
         gone = tuple(target for target in self._contents if target not in contents)
         return self.apply(contents, gone)
 
     def apply(self, changed, gone):
-        """Take changes and return the :class:`EntryChanges`.
+        """Apply changes and return the :class:`EntryChanges`.
 
-        :param changed: bytes of entries by target id.
-        :param gone: ids of entries that were dropped.
+        :param changed: encoded entries by target id.
+        :param gone: ids of removed entries.
         """
         entries = [
             self._apply_entry(target, content) for target, content in changed.items()
@@ -71,14 +71,14 @@
         return EntryChanges(tuple(e for e in entries if e is not None), tuple(gone))
 
     def _apply_entry(self, target, content):
-        """Take one entry; return what it changes, or ``None``."""
+        """Apply one entry; return the resulting change, or ``None``."""
         if self._contents.get(target) == content:
             return None
         newest_incarnation = self._incarnations.get(target, UNKNOWN_INCARNATION)
         try:
             entry = decode_entry(target, content)
             if entry.incarnation == UNKNOWN_INCARNATION != newest_incarnation:
-                raise MalformedAnswer("it no longer tells its life")
+                raise MalformedAnswer("the entry no longer tells its incarnation")
         except MalformedAnswer as error:
             self._contents[target] = content
             return self._mark_leaving(target, content, error)
