--- a/cowslipcourse/entry/balancing.py
+++ b/cowslipcourse/entry/balancing.py
@@ -125,10 +125,10 @@
     def _needs_plan_read(self, spec, now):
         """Whether a model is underprovisioned and the known plans may be outdated."""
         serving = self._serving_group_counts(spec, now)
-        has_short_model = bool(underprovisioned_models(serving, spec.models))
+        is_underprovisioned = bool(underprovisioned_models(serving, spec.models))
         has_changed = serving != self._serving_at_last_read
         age_s = self._plan_table.age_s(now)
-        if not has_short_model or age_s < (
+        if not is_underprovisioned or age_s < (
             MAX_PLAN_AGE_S if has_changed else PLAN_REREAD_INTERVAL_S
         ):
             return False
@@ -171,8 +171,8 @@
         return all(is_present(group, member, engines) for member in group.members)
 
     def _staged_member_count(self, group, domain, model):
-        tracked_domain = self._domains.by_name.get(domain)
-        engines = {} if tracked_domain is None else tracked_domain.engines
+        observed_domain = self._domains.by_name.get(domain)
+        engines = {} if observed_domain is None else observed_domain.engines
         return sum(
             member in engines and model in engines[member].staged
             for member in group.members
--- a/cowslipcourse/entry/coordinator.py
+++ b/cowslipcourse/entry/coordinator.py
@@ -221,19 +221,19 @@
         known = self.domains.by_name
         data_centres = {name: domain.data_centre for name, domain in known.items()}
         live = [e for e in known[domain].engines.values() if e.is_live]
-        held = [model for engine in live for model in engine.warm_models]
+        warm_models = [model for engine in live for model in engine.warm_models]
         return assign_domain(
-            domain, self._plan_table.plans, data_centres, spec.models, held
+            domain, self._plan_table.plans, data_centres, spec.models, warm_models
         )
 
     async def _revise_plan(self, domain, observed_domain, spec, assignment, now):
         plan = self._plan_table.plan(domain)
         views = engine_views(plan, observed_domain, self.settings.stall_s, now)
         sizes = {model.name: model.size for model in spec.models}
-        wanted = model_demands(spec.models, self._plan_table.plans.values())
+        demands = model_demands(spec.models, self._plan_table.plans.values())
         broken = broken_groups(plan, observed_domain)
         changes = self._group_balancer.changes_to_begin(domain, now)
-        groups = revise_plan(plan, views, sizes, wanted, assignment, broken, changes)
+        groups = revise_plan(plan, views, sizes, demands, assignment, broken, changes)
         if groups == plan.groups:
             return
         written = await self._plan_table.replace(plan, groups)
@@ -279,10 +279,10 @@
 
     def _stage_models(self, plan, observed_domain, spec, assignment, now):
         spares = spare_engines(plan, observed_domain)
-        waiting = models_awaiting_members(plan, observed_domain)
+        awaiting_models = models_awaiting_members(plan, observed_domain)
         models = [m for m in spec.models if assignment.model in (None, m.name)]
-        chosen = choose_staging(plan, spares, models, waiting)
-        if not waiting:
+        chosen = choose_staging(plan, spares, models, awaiting_models)
+        if not awaiting_models:
             chosen |= self._group_balancer.models_to_stage(plan)
         for engine_id, model in chosen.items():
             engine = observed_domain.engines.get(engine_id)
--- a/cowslipcourse/entry/daemon.py
+++ b/cowslipcourse/entry/daemon.py
@@ -75,17 +75,23 @@
         logging.getLogger().addHandler(self._metrics.event_counter())
         self._store = HttpRowStore(settings.store)
         self._control = HttpEngineControl(settings.control)
-        attempts = AttemptSender(self._fleet)
-        budget = SharedRetryBudget(settings.retries)
-        silence = SilenceDetector(self._fleet, self._on_suspect)
+        attempt_sender = AttemptSender(self._fleet)
+        retry_budget = SharedRetryBudget(settings.retries)
+        silence_detector = SilenceDetector(self._fleet, self._on_suspect)
         self._registry = PeerRegistry(settings.peers, settings.data_centre)
         self._fleet.set_peers_in_flight(self._registry.in_flight)
         self._peer_link = PeerLink(settings, self._registry, self)
-        ends = TargetExitDetector(self._fleet.is_expected)
-        kept = VerdictStore(self._store, time.time)
-        self.quarantine = Quarantine(self._peer_link, ends, kept)
+        exit_detector = TargetExitDetector(self._fleet.is_expected)
+        verdict_store = VerdictStore(self._store, time.time)
+        self.quarantine = Quarantine(self._peer_link, exit_detector, verdict_store)
         self._context = DaemonContext(
-            settings, self._fleet, attempts, budget, silence, self.quarantine, rng
+            settings,
+            self._fleet,
+            attempt_sender,
+            retry_budget,
+            silence_detector,
+            self.quarantine,
+            rng,
         )
         self._front = FrontApp(self._context, Forwarder(self._context), self._metrics)
         self._registrar = DaemonRegistrar(
--- a/cowslipcourse/entry/own_links.py
+++ b/cowslipcourse/entry/own_links.py
@@ -84,8 +84,8 @@
         return candidates[:: max(1, len(candidates) // PROBE_COUNT)][:PROBE_COUNT]
 
 
-def _clear_silence(silent):
+def _clear_silence(engines):
     """Clear the silence of engines, except of those that were replaced."""
-    for engine in silent:
+    for engine in engines:
         if not engine.is_replaced:
             engine.silent_since = None
--- a/cowslipcourse/entry/peer_link.py
+++ b/cowslipcourse/entry/peer_link.py
@@ -41,8 +41,8 @@
     :param settings: :class:`~cowslipcourse.entry.settings.EntrySettings`
     :param registry: :class:`~cowslipcourse.peers.PeerRegistry`
     :param daemon: has ``heartbeat()``, ``heartbeat_interval_s()``,
-        ``investigate_suspects(message)``, ``take_news(news)``, ``replica`` and
-        ``quarantine``.
+        ``investigate_suspects(message)``, ``apply_group_update(update)``, ``replica``
+        and ``quarantine``.
     """
 
     def __init__(self, settings, registry, daemon):
@@ -96,9 +96,10 @@
         self._registry.record_own_in_flight(own_heartbeat.in_flight)
         if self._is_full_heartbeat_due(own_heartbeat, now):
             self._sent_to_all_at = now
-            local = self._registry.local_addresses(now)
+            local_addresses = self._registry.local_addresses(now)
             self._send(
-                encode(own_heartbeat), [each for each in local if each not in reporters]
+                encode(own_heartbeat),
+                [a for a in local_addresses if a not in reporters],
             )
         if own_heartbeat.member.name in self._registry.reporters(own_heartbeat, now):
             self._send_digests(own_heartbeat, now)
@@ -110,11 +111,11 @@
         return now - self._sent_to_all_at >= own_heartbeat.interval_s - margin_s
 
     def _send_digests(self, own_heartbeat, now):
-        remote = self._digests.build_remote_digest(own_heartbeat, now)
-        self._send(encode(remote), self._registry.remote_addresses(now))
-        local = self._digests.build_local_digest(own_heartbeat, now)
-        if local is not None:
-            self._send(encode(local), self._registry.local_addresses(now))
+        remote_digest = self._digests.build_remote_digest(own_heartbeat, now)
+        self._send(encode(remote_digest), self._registry.remote_addresses(now))
+        local_digest = self._digests.build_local_digest(own_heartbeat, now)
+        if local_digest is not None:
+            self._send(encode(local_digest), self._registry.local_addresses(now))
 
     def broadcast_group_update(self, update):
         """Send a :class:`~cowslipcourse.peers.GroupUpdate` to all daemons, once.
--- a/cowslipcourse/entry/peer_reading.py
+++ b/cowslipcourse/entry/peer_reading.py
@@ -27,7 +27,7 @@
     def __init__(self, registry, rng):
         self._registry = registry
         self._rng = rng
-        self._missed_since = None
+        self._missed_push = None
         self._backoff_s = INITIAL_BACKOFF_S
         self._backoff_until = 0.0
 
@@ -81,28 +81,28 @@
         """Return the version that a lost push must have contained, or ``None``."""
         newest = max((h.targets_version for h in local_heartbeats), default=0)
         if replica.follows_store or newest <= replica.targets_version:
-            self._missed_since = None
+            self._missed_push = None
             return None
-        if (
-            self._missed_since is None
-            or self._missed_since[0] <= replica.targets_version
-        ):
-            self._missed_since = newest, now
-        wanted_version, missed_since = self._missed_since
+        if self._missed_push is None or self._missed_push[0] <= replica.targets_version:
+            self._missed_push = newest, now
+        wanted_version, missed_since = self._missed_push
         return wanted_version if now - missed_since >= PUSH_GRACE_S else None
 
 
-async def read_state(session, address, configuration, targets):
+async def read_state(session, address, configuration_version, targets_version):
     """Return the :class:`~cowslipcourse.peers.PeerState` of a peer.
 
     :param session: :class:`aiohttp.ClientSession`
     :param address: ``ip:port`` of the peer.
-    :param configuration: known version of the configuration.
-    :param targets: known store version of the targets.
+    :param configuration_version: known version of the configuration.
+    :param targets_version: known store version of the targets.
     :raises PeerUnreachable: if no successful answer arrives in time.
     :raises MalformedAnswer: if the answer cannot be decoded.
     """
-    known = {"configuration": str(configuration), "targets": str(targets)}
+    known = {
+        "configuration": str(configuration_version),
+        "targets": str(targets_version),
+    }
     timeout = aiohttp.ClientTimeout(total=PEER_TIMEOUT_S)
     try:
         async with session.get(
--- a/cowslipcourse/entry/side_apps.py
+++ b/cowslipcourse/entry/side_apps.py
@@ -26,11 +26,11 @@
 
     def answer_state(query):
         try:
-            configuration = int(query.get("configuration", 0))
-            targets = int(query.get("targets", 0))
+            configuration_version = int(query.get("configuration", 0))
+            targets_version = int(query.get("targets", 0))
         except ValueError:
             return Answer(b"versions are numbers", BAD_REQUEST, media_type="text/plain")
-        content = encoded_state(configuration, targets)
+        content = encoded_state(configuration_version, targets_version)
         return Answer(content, media_type="application/msgpack")
 
     return one_path_app("/state", answer_state)
--- a/features/steps/size_steps.py
+++ b/features/steps/size_steps.py
@@ -367,7 +367,7 @@
     source, _, source_listener = make_knowledge(FlakyStore())
     reader, _, _ = make_knowledge(FlakyStore())
     reader.configuration_version, reader._follows_store = 7, False
-    source_listener.push = reader.apply_push
+    source_listener.push_changes = reader.apply_push
     context.differ, context.whole = [], 0
 
     async def run():
@@ -394,16 +394,16 @@
         for n in numbers
     )
     changes = RowChanges(rows, version + 1)
-    push = source._listener.push
+    push = source._listener.push_changes
     if rng.random() < 0.1:
         # Entries that were held back go without a newer version.
         source._held_until = {_id(rng.randrange(60)): 0.0}
         source._drop_expired_held(1.0)
         return
     if rng.random() < 0.4:
-        source._listener.push = lambda message: None
+        source._listener.push_changes = lambda message: None
     source._on_target_changes(source.targets_version, changes)
-    source._listener.push = push
+    source._listener.push_changes = push
 
 
 def _read(context, source, reader):
