--- a/cowslipcourse/emulator/daemons.py
+++ b/cowslipcourse/emulator/daemons.py
@@ -126,7 +126,7 @@
 
     def take_news(self, news):
         """Take in what a coordinator has decided about a group."""
-        self.fleet.take_news(news, self._heads.now())
+        self.fleet.apply_group_update(news, self._heads.now())
 
     def _on_suspect(self):
         now = self._heads.now()
--- a/cowslipcourse/entry/accounting.py
+++ b/cowslipcourse/entry/accounting.py
@@ -1,4 +1,4 @@
-"""What became of each request, and the one decision that cost it; pure decisions."""
+"""Attribute refused and late requests to a single cause each. Pure functions."""
 
 from enum import StrEnum
 from typing import NamedTuple
@@ -13,15 +13,16 @@
 ]
 
 SERVED = "served"
-"""Stands for a request that was answered on time, where others have a cause."""
+"""Value in place of a cause for requests that were answered on time."""
 LATE_SLOT_WAIT_FRACTION = 0.5
-"""Share of a route's objective from which a wait for a place made an answer late."""
+"""Fraction of a route's objective above which the wait for a slot is the cause of a
+late first event."""
 
 
 class LossCause(StrEnum):
-    """Why a request was refused for want of a target, or why a stream was late.
+    """Why a request got no target, or why a stream was late.
 
-    Requests that end with another error have the code of that error as their cause.
+    Requests that fail with another error have its code as their cause.
     """
 
     NO_GROUP = "no-group"
@@ -35,10 +36,10 @@
 
 
 class TargetChoice(NamedTuple):
-    """The target that was chosen for a request, or why there is none.
+    """The target chosen for a request, or the reason why there is none.
 
     :param entry: :class:`~cowslipcourse.ports.TargetEntry` or ``None``.
-    :param cause: :class:`LossCause` if there is none.
+    :param cause: :class:`LossCause` if no target was found.
     """
 
     entry: object
@@ -46,12 +47,12 @@
 
 
 class StreamTimes(NamedTuple):
-    """How a stream went, in seconds.
+    """Timing of a stream, in seconds, and its attempts.
 
-    :param slot_wait_s: time for which it waited for a place.
-    :param first_s: time from its arrival to its first event.
-    :param pause_s: longest pause between two events.
-    :param attempts: targets that it was sent to.
+    :param slot_wait_s: time for which it waited for a free slot.
+    :param first_event_s: time from its arrival to its first event.
+    :param longest_pause_s: longest pause between two events.
+    :param attempts: number of targets that it was sent to.
     """
 
     slot_wait_s: float
@@ -61,10 +62,10 @@
 
 
 def no_target_cause(candidates, tried_ids):
-    """Return the :class:`LossCause` of a request for which no place was found.
+    """Return the :class:`LossCause` of a request for which no target was found.
 
-    :param places: list of :class:`~cowslipcourse.entry.fleet.Candidate` that serve it.
-    :param tried: ids of targets that it was sent to already.
+    :param candidates: list of :class:`~cowslipcourse.entry.fleet.Candidate`
+    :param tried_ids: ids of targets that it was sent to already.
     """
     if not candidates:
         return LossCause.NO_GROUP
@@ -74,7 +75,7 @@
 
 
 def late_cause(route, times):
-    """Return the :class:`LossCause` of a late stream, ``None`` if it was on time.
+    """Return the :class:`LossCause` of a late stream, or ``None`` if it was on time.
 
     :param route: :class:`~cowslipcourse.routes.Route`
     :param times: :class:`StreamTimes`
--- a/cowslipcourse/entry/attempts.py
+++ b/cowslipcourse/entry/attempts.py
@@ -1,4 +1,4 @@
-"""One attempt at a target: send, and read the head of the answer."""
+"""Single attempts at targets: connections, requests and in-flight counts."""
 
 import asyncio
 from contextlib import asynccontextmanager
@@ -12,15 +12,15 @@
 __all__ = ["Attempt", "AttemptSender", "TargetRun"]
 
 CONNECT_TIMEOUT_S = 0.4
-"""A sound target accepts within some ms; a dropped packet costs a second or more."""
+"""A healthy target accepts within a few ms; a lost packet costs a second or more."""
 
 
 class Attempt(NamedTuple):
-    """A request under way at a target.
+    """A request in flight at a target.
 
     :param entry: :class:`~cowslipcourse.ports.TargetEntry`
     :param connection: :class:`~cowslipcourse.exchange.TargetConnection`
-    :param sent_at: loop time.
+    :param sent_at: loop time at which the request was sent.
     """
 
     entry: object
@@ -29,7 +29,7 @@
 
 
 class TargetRun:
-    """What this daemon sees of one run of a request at a target.
+    """Observed state of a request at one target.
 
     :param entry: :class:`~cowslipcourse.ports.TargetEntry`
     """
@@ -39,24 +39,24 @@
         self.connection = None
         """:class:`~cowslipcourse.exchange.TargetConnection` that it was sent on."""
         self.answer_started = False
-        """Whether the head of an answer has come."""
+        """Whether the request may have begun to run at the target."""
         self.relayed_events = 0
-        """Events of a stream that were passed on."""
+        """Number of events that were relayed to the caller."""
         self.last_event_id = 0
-        """Number of the last event that the caller has; 0 for none."""
+        """Id of the last event that the caller has received; 0 for none."""
         self.ended_by_target = False
-        """Whether the target closed or reset the connection under it."""
+        """Whether the target closed or reset the connection during the request."""
         self.succeeded = False
-        """Whether the target has answered whole, and with success."""
+        """Whether the target sent a complete, successful response."""
 
     def abort(self, error):
-        """Break it off; whoever reads the answer gets the error."""
+        """Abort the request; the reader of its response gets the error."""
         if self.connection is not None:
             self.connection.abort(error)
 
 
 class AttemptSender:
-    """Makes attempts and counts them in flight.
+    """Sends requests to targets and counts them as in flight.
 
     :param fleet: :class:`~cowslipcourse.entry.fleet.FleetView`
     """
@@ -72,7 +72,7 @@
         :param call: :class:`~cowslipcourse.entry.calls.Call`
         :param run: :class:`TargetRun` at the target.
         :param last_event_id: id of the last event of a stream that is resumed.
-        :raises TargetUnreachable: ``sent`` tells whether it may run.
+        :raises TargetUnreachable: ``sent`` tells whether the request may run.
         """
         loop = asyncio.get_running_loop()
         entry = run.entry
@@ -86,7 +86,9 @@
             )
             left_s = call.deadline - loop.time()
             if left_s <= 0:
-                raise TargetUnreachable("no time is left", sent=False)
+                raise TargetUnreachable(
+                    "the deadline passed before the request was sent", sent=False
+                )
             waited_s = call.waited_s(loop.time())
             request = _target_request(call, entry, left_s, waited_s, last_event_id)
             connection.send(request)
@@ -99,13 +101,13 @@
                 self._pool.release(key, connection)
 
     def close_stale_connections(self):
-        """Close connections that are too old or lead to targets that left."""
+        """Close connections that are too old or belong to targets no longer listed."""
         entries = self._fleet.entries.values()
         self._pool.close_stale({_connection_key(entry) for entry in entries})
 
 
 def _connection_key(entry):
-    """Return what connections are kept by: a target's new start ends its old ones."""
+    """Return the pool key; a restarted target gets new connections."""
     return entry.id, entry.incarnation, entry.address
 
 
--- a/cowslipcourse/entry/calls.py
+++ b/cowslipcourse/entry/calls.py
@@ -1,4 +1,4 @@
-"""A caller's request on its way through a daemon."""
+"""Requests of callers: reading, validation and responding."""
 
 import asyncio
 from typing import NamedTuple
@@ -16,25 +16,25 @@
 __all__ = ["Call", "Responder", "read_call"]
 
 DEFAULT_TIME_BUDGET_S = 30.0
-"""Time for a request of a caller that does not say how long it waits."""
+"""Time budget of a request that states none."""
 NO_CONFIGURATION_RETRY_AFTER_S = 0.5
 
 
 class Call(NamedTuple):
-    """A request whose route and workspace are known and whose body is whole.
+    """A complete request with its route and workspace.
 
     :param id: the caller's attempt id, for logs.
     :param method: HTTP method.
-    :param path: path and query as sent.
-    :param headers: ``(lower-case name, value)`` pairs as sent.
-    :param body: whole body.
-    :param fingerprint: what it has in common with its repeats, as bytes.
+    :param path: path and query as received.
+    :param headers: ``(lower-case name, value)`` pairs as received.
+    :param body: complete body.
+    :param fingerprint: hash as bytes that a request shares with its repeats.
     :param fields: :class:`~cowslipcourse.platform.edge.CallerHeaders`
     :param route: :class:`~cowslipcourse.routes.Route`
     :param workspace: :class:`~cowslipcourse.routes.Workspace` or ``None``.
-    :param arrived_at: loop time at which the head was there.
-    :param deadline: loop time at which the caller or the operator gives up.
-    :param waited_elsewhere_s: seconds that the caller has waited before it came here.
+    :param arrived_at: loop time at which its head had been received.
+    :param deadline: loop time at which the time of the caller or of the route ends.
+    :param waited_elsewhere_s: seconds that the caller waited before this request.
     """
 
     id: str
@@ -51,36 +51,43 @@
     waited_elsewhere_s: float = 0.0
 
     def waited_s(self, now):
-        """Return the seconds that the caller has waited at a loop time."""
+        """Return the seconds that the caller has waited in all.
+
+        :param now: loop time.
+        """
         return self.waited_elsewhere_s + now - self.arrived_at
 
     @property
     def workspace_name(self):
-        """Name of the caller's workspace, or ``None``."""
+        """Name of the workspace of the caller, or ``None``."""
         return None if self.workspace is None else self.workspace.name
 
 
 async def read_call(scope, receive, table):
-    """Read and check a request.
+    """Read and validate a request.
 
     :param scope: ASGI scope.
     :param receive: ASGI receive.
-    :param table: :class:`~cowslipcourse.routes.RouteTable` in force, or ``None``.
-    :raises RequestError: it cannot be served.
+    :param table: current :class:`~cowslipcourse.routes.RouteTable`, or ``None``.
+    :raises RequestError: the request cannot be served.
     """
     arrived_at = asyncio.get_running_loop().time()
     if table is None:
-        raise NoConfiguration("no configuration yet", NO_CONFIGURATION_RETRY_AFTER_S)
+        raise NoConfiguration(
+            "no configuration has been loaded yet", NO_CONFIGURATION_RETRY_AFTER_S
+        )
     headers = tuple(scope["headers"])
     if total_header_bytes(headers) > table.limits.header_bytes:
-        raise HeadTooLarge("the head is too long")
+        raise HeadTooLarge("the request head exceeds its size limit")
     fields = parse_caller_headers(headers)
     host = dict(headers).get(b"host", b"").decode("latin-1")
     raw_path = scope["raw_path"]
     try:
         route = table.find(host, raw_path.decode("ascii"))
     except UnicodeDecodeError as error:
-        raise BadRequest("the path has bytes that must be escaped") from error
+        raise BadRequest(
+            "the path contains non-ASCII bytes that must be percent-encoded"
+        ) from error
     workspace = table.workspace(route, fields.key)
     body = await _read_body(receive, table.limits.body_bytes)
     query = scope["query_string"]
@@ -109,20 +116,22 @@
     while True:
         message = await receive()
         if message["type"] == "http.disconnect":
-            raise CallerGone("the caller left before its request was whole")
+            raise CallerGone(
+                "the caller closed the connection before sending the whole request"
+            )
         chunks.append(message.get("body", b""))
         received_bytes += len(chunks[-1])
         if received_bytes > limit_bytes:
-            raise BodyTooLarge("the body is too long")
+            raise BodyTooLarge("the request body exceeds its size limit")
         if not message.get("more_body"):
             return b"".join(chunks)
 
 
 class Responder:
-    """Sends one answer to the caller.
+    """Sends one response to the caller.
 
     :param send: ASGI send.
-    :param closes: callable that tells whether the connection shall end after it.
+    :param should_close: callable that returns whether to close the connection after it.
     """
 
     def __init__(self, send, should_close):
@@ -141,11 +150,11 @@
         )
 
     async def send_chunk(self, body):
-        """Send a piece of the body."""
+        """Send a part of the body."""
         await self._send(
             {"type": "http.response.body", "body": body, "more_body": True}
         )
 
     async def finish(self, body=b""):
-        """Send the last piece."""
+        """Send the last part of the body."""
         await self._send({"type": "http.response.body", "body": body})
--- a/cowslipcourse/entry/choosing.py
+++ b/cowslipcourse/entry/choosing.py
@@ -1,26 +1,26 @@
-"""Choose a target for a request; pure decisions."""
+"""Load balancing: choose a target for a request. Pure functions."""
 
 __all__ = ["choose_group", "choose_target"]
 
 MAX_QUEUED_FRACTION = 0.2
-"""Requests that may wait at a group, as a fraction of what it runs at once: behind more
-of them a request would be late. One that is late already takes a free place only."""
+"""Requests that may queue at a group, as a fraction of its slots: behind a longer queue
+a request would miss its objective. Late requests only take free slots."""
 SAMPLE_SIZE = 2
-"""Places that are compared. What other daemons have in flight is known some tenths of
-a second late; the best of all would be every daemon's choice at once."""
+"""Number of random candidates that are compared. Counts of other daemons are some
+tenths of a second old, so all daemons would choose the least loaded of all at once."""
 
 
 def choose_group(candidates, tried_ids, rng, sample_size=SAMPLE_SIZE, is_late=False):
-    """Return the place with the least load, or ``None`` if all are full.
+    """Return the least loaded of some sampled candidates, ``None`` if all are full.
 
-    Load that this answers: more requests than groups run, in a lasting burst, or as
-    callers of an outage come back. Those that can be on time find a place.
+    Under overload, as in a long burst or when callers retry after an outage, capacity
+    goes first to the requests that can still meet their objective.
 
-    :param places: list of :class:`~cowslipcourse.entry.fleet.Candidate`
-    :param tried: ids of targets that this request is not to be sent to again.
+    :param candidates: list of :class:`~cowslipcourse.entry.fleet.Candidate`
+    :param tried_ids: ids of targets that this request must not be sent to again.
     :param rng: :class:`random.Random`
-    :param sample: number of places that are compared.
-    :param is_late: whether the request cannot be on time whichever group takes it.
+    :param sample_size: number of candidates that are compared.
+    :param is_late: whether the request will miss its objective at any group.
     """
     capacity_factor = 1 if is_late else 1 + MAX_QUEUED_FRACTION
     available = [
@@ -37,11 +37,11 @@
 
 
 def choose_target(candidates, tried_ids, data_centre, rng):
-    """Return the least loaded place of a plain service, or ``None``.
+    """Return the least loaded candidate of a service without groups, or ``None``.
 
-    :param places: list of :class:`~cowslipcourse.entry.fleet.Candidate`
-    :param tried: ids of targets that this request is not to be sent to again.
-    :param data_centre: this daemon's own; near targets are preferred at equal load.
+    :param candidates: list of :class:`~cowslipcourse.entry.fleet.Candidate`
+    :param tried_ids: ids of targets that this request must not be sent to again.
+    :param data_centre: the daemon's own; targets in it are preferred at equal load.
     :param rng: :class:`random.Random`
     """
     untried = [
--- a/cowslipcourse/entry/daemon.py
+++ b/cowslipcourse/entry/daemon.py
@@ -241,7 +241,7 @@
 
     def take_news(self, news):
         """Take in what a coordinator has decided about a group."""
-        self._fleet.take_news(news, asyncio.get_running_loop().time())
+        self._fleet.apply_group_update(news, asyncio.get_running_loop().time())
 
     def broadcast_group_news(self, news):
         """Tell all daemons, this one first, what was decided about a group."""
--- a/cowslipcourse/entry/engine_calls.py
+++ b/cowslipcourse/entry/engine_calls.py
@@ -1,4 +1,4 @@
-"""Questions and orders to engines, each a task of its own."""
+"""Status requests and orders to engines, each in its own task."""
 
 import asyncio
 
@@ -11,33 +11,34 @@
 __all__ = ["EngineClient"]
 
 SILENT_AFTER_TIMEOUTS = 2
-"""Questions without an answer after which an engine counts as silent: packets are lost,
-and a group is taken apart for it."""
+"""Unanswered status requests after which an engine counts as silent. One is not
+enough: packets get lost, and the group of a silent engine is taken apart."""
 MAX_REPORT_REQUESTS = 6
-"""Questions to one engine at most, where own delays say nothing about it."""
+"""Limit on status requests to one engine in a row: requests that this process itself
+delayed prove nothing about the engine."""
 MAX_CONCURRENT_REPORTS = 24
-"""Questions under way at once; orders wait for none of them. A call costs a small VM
-some 5 ms of its processor time, and an answer that is read after 0.15 s counts as none:
-a coordinator that asked hundreds of engines at once called 7,855 sound ones silent in
-25 s."""
+"""Limit on concurrent status requests; orders are not limited. A call takes some 5 ms of
+a small VM's processor time, and a response read after 0.15 s counts as missing. Without
+the limit, a coordinator with hundreds of engines found healthy ones silent 7,855 times
+in 25 s."""
 MAX_TIMER_DELAY_S = 0.05
-"""A time limit that is noticed so much later: this process stood still, and an answer
-may have come that it has not read."""
+"""Lateness of a time-out from which this process counts as paused: a response may have
+arrived that it has not read."""
 
 log = get_logger(__name__)
 
 
 class EngineClient:
-    """Calls engines, one call at a time for each life, and notes what they answer.
+    """Calls engines, one call at a time per incarnation, and records the results.
 
-    What an engine answers is noted for the life that was called. If it has started
-    again meanwhile, nobody looks at that any more.
+    A result is recorded for the incarnation that was called, and is no longer used if
+    the engine has restarted in the meantime.
 
     :param control: :class:`~cowslipcourse.ports.EngineControl`
     :param settings: :class:`~cowslipcourse.entry.settings.ControlSettings`
-    :param on_report: called with an engine, its report and when it was asked for.
-    :param on_silent: called after an engine was found silent.
-    :param on_opened: called with an engine and the order, after it began to open.
+    :param on_report: called with an engine, its report and the request's loop time.
+    :param on_silent: called after an engine has been found silent.
+    :param on_opened: called with an engine and its order, after it has begun to open.
     """
 
     def __init__(self, control, settings, on_report, on_silent, on_opened):
@@ -53,15 +54,15 @@
 
     @property
     def last_answer_at(self):
-        """Loop time at which an engine last answered a question."""
+        """Loop time of the last report from any engine."""
         return self._last_answer_at
 
     def is_busy(self, engine):
-        """Whether a call to an engine is under way."""
+        """Whether a call to this incarnation of an engine is in progress."""
         return _engine_instance(engine) in self._busy_engines
 
     def request_report(self, engine):
-        """Ask for a report unless a call is under way.
+        """Request a report unless a call is in progress.
 
         :param engine: :class:`~cowslipcourse.groups.EngineKnowledge`
         """
@@ -69,11 +70,11 @@
             self._spawn(engine, self._request_report(engine))
 
     def send_order(self, engine, order, models):
-        """Give an order unless a call is under way.
+        """Send an order unless a call is in progress.
 
         :param engine: :class:`~cowslipcourse.groups.EngineKnowledge`
         :param order: :class:`~cowslipcourse.ports.EngineOrder`
-        :param models: :class:`~cowslipcourse.routes.EngineModel` by name.
+        :param models: mapping of names to :class:`~cowslipcourse.routes.EngineModel`
         """
         if not self.is_busy(engine):
             self._spawn(engine, self._send_order(engine, order, models))
@@ -147,7 +148,7 @@
             if order.operation is OrderOperation.OPEN:
                 self._on_opened(engine, order)
         elif result is OrderResult.DONE:
-            # It may have counted up or not.
+            # The engine may or may not have incremented its order count.
             _clear_order_count(engine, order)
             if order.operation is OrderOperation.LEAVE:
                 engine.membership = None
@@ -164,7 +165,7 @@
 
 
 def _clear_order_count(engine, order):
-    """Forget the order count: it must be asked for before the next order."""
+    """Clear the order count, which must be read again before the next order."""
     engine.order_count = None
     if order.operation is OrderOperation.STAGE:
         engine.staging = None
--- a/cowslipcourse/entry/fleet.py
+++ b/cowslipcourse/entry/fleet.py
@@ -1,4 +1,4 @@
-"""The targets as this daemon sees them, and what it has in flight at them."""
+"""This daemon's view of the targets, with in-flight counts and suspicions."""
 
 from typing import NamedTuple
 
@@ -7,10 +7,11 @@
 __all__ = ["Candidate", "FleetView"]
 
 MIN_SUSPICION_S = 1.0
-"""A repair takes 2.5 s and changes the group, which ends a suspicion before that."""
+"""Duration of a first suspicion. A repair takes 2.5 s and changes the epoch of the
+group, which clears the suspicion earlier."""
 MAX_SUSPICION_S = 8.0
 SUSPICION_RESET_S = 4.0
-"""Time without a new suspicion after which the next one is short again."""
+"""Time after the end of a suspicion until the next one starts at the minimum again."""
 
 
 class _Suspicion(NamedTuple):
@@ -20,11 +21,11 @@
 
 
 class Candidate(NamedTuple):
-    """A target that can take a request now.
+    """A target that a request may be sent to.
 
     :param entry: :class:`~cowslipcourse.ports.TargetEntry`
-    :param in_flight: requests that all daemons have there.
-    :param slots: requests that it runs at once.
+    :param in_flight: requests of all daemons in flight at the target.
+    :param slots: requests that the target runs concurrently.
     """
 
     entry: object
@@ -35,8 +36,9 @@
 class FleetView:
     """Targets by id, with in-flight counts and suspicions.
 
-    A silent target is not chosen for a while, unless its group changes. The time
-    doubles with each suspicion: a slow target sends events again, but late ones.
+    A silent target is avoided until its suspicion expires or its group changes. The
+    duration doubles with each suspicion, because a slow target resumes sending events,
+    but late.
     """
 
     def __init__(self):
@@ -49,7 +51,7 @@
 
     @property
     def entries(self):
-        """Entries by id."""
+        """Listed entries by target id."""
         return self._entries
 
     @property
@@ -58,7 +60,7 @@
         return self._in_flight
 
     def is_expected(self, entry):
-        """Whether a target is listed in this life and is not about to leave."""
+        """Whether a target is listed with this incarnation and is not leaving."""
         listed = self._entries.get(entry.id)
         return (
             listed is not None
@@ -67,7 +69,7 @@
         )
 
     def apply(self, entries, removed_ids):
-        """Take changed entries and ids that are gone."""
+        """Apply changed entries and the ids of removed ones."""
         for entry in entries:
             self._entries[entry.id] = entry
         for target in removed_ids:
@@ -78,31 +80,31 @@
         self.version += 1
         self._heads.update_entries(self._entries.values())
 
-    def take_news(self, news, now):
-        """Take in what a coordinator has decided about a group.
+    def apply_group_update(self, update, now):
+        """Apply a coordinator's decision about a group before the list shows it.
 
-        :param news: :class:`~cowslipcourse.peers.GroupUpdate`
+        :param update: :class:`~cowslipcourse.peers.GroupUpdate`
         """
-        self._heads.take_news(news, self._entries.values(), now)
+        self._heads.apply_group_update(update, self._entries.values(), now)
 
     def request_started(self, target):
-        """Count a request that was sent to a target."""
+        """Count a request as in flight at a target."""
         self._in_flight[target] = self._in_flight.get(target, 0) + 1
 
     def request_ended(self, target):
-        """Count a request that is over."""
-        left = self._in_flight[target] - 1
-        if left:
-            self._in_flight[target] = left
+        """Remove a finished request from the in-flight count of a target."""
+        remaining = self._in_flight[target] - 1
+        if remaining:
+            self._in_flight[target] = remaining
         else:
             del self._in_flight[target]
 
     def set_peers_in_flight(self, in_flight):
-        """Take the other daemons' requests in flight by target id."""
+        """Set the in-flight counts of the other daemons, by target id."""
         self._peers_in_flight = in_flight
 
     def suspect(self, target, now):
-        """Do not choose a target for a while; return whether that is new."""
+        """Suspect a target; return whether it was not suspected already."""
         if target in self.suspects(now):
             return False
         instance = self._instance(target)
@@ -115,7 +117,7 @@
         return True
 
     def suspects(self, now):
-        """Return the epochs of suspected targets by id."""
+        """Return the group epochs of the suspected targets by target id."""
         for target, suspicion in list(self._suspicions.items()):
             is_forgotten = now >= suspicion.expires_at + SUSPICION_RESET_S
             if is_forgotten or suspicion.instance != self._instance(target):
@@ -127,7 +129,7 @@
         }
 
     def _instance(self, target):
-        """Return incarnation and epoch, in either of which a target begins anew."""
+        """Return incarnation and group epoch; a change of either clears suspicions."""
         entry = self._entries.get(target)
         if entry is None:
             return 0, 0
@@ -135,11 +137,11 @@
         return entry.incarnation, max(listed, self._heads.opened_epoch(target))
 
     def load(self, target):
-        """Return the requests that all daemons have at a target."""
+        """Return the number of requests of all daemons in flight at a target."""
         return self._in_flight.get(target, 0) + self._peers_in_flight.get(target, 0)
 
     def service_candidates(self, service, now):
-        """Return the :class:`Candidate` list of a plain service."""
+        """Return the :class:`Candidate` list of a service without engine groups."""
         candidates = [
             Candidate(entry, self.load(entry.id), entry.slots)
             for entry in self._entries.values()
@@ -148,14 +150,14 @@
         return self._without_suspects(candidates, now)
 
     def _without_suspects(self, candidates, now):
-        """Return the places that are not suspected; all if there are no others."""
+        """Return the candidates that are not suspected, or all if every one is."""
         suspects = self.suspects(now)
         return [
             candidate for candidate in candidates if candidate.entry.id not in suspects
         ] or candidates
 
     def group_candidates(self, service, model, slots, now):
-        """Return the :class:`Candidate` list of a model: heads of its open groups."""
+        """Return a :class:`Candidate` for the head of each open group of a model."""
         candidates = [
             Candidate(entry, self.load(entry.id), slots)
             for entry in self._heads.serving_heads(service, model, now)
--- a/cowslipcourse/entry/forwarding.py
+++ b/cowslipcourse/entry/forwarding.py
@@ -1,4 +1,4 @@
-"""Forward requests to targets, again where that is allowed and helps."""
+"""Forward requests to targets, with retries where they are safe and useful."""
 
 import asyncio
 
@@ -15,7 +15,7 @@
 
 
 class Forwarder:
-    """Brings calls to targets and their answers back, within their deadline.
+    """Forwards calls to targets and relays the responses, within their deadlines.
 
     :param context: :class:`~cowslipcourse.entry.tools.DaemonContext`
     """
@@ -27,11 +27,11 @@
         self._prior_waits = PriorWaitEstimator()
 
     async def forward(self, call, responder):
-        """Bring a call to a target and its answer to the caller.
+        """Forward a call to a target and relay the response to the caller.
 
         :param call: :class:`~cowslipcourse.entry.calls.Call`
         :param responder: :class:`~cowslipcourse.entry.calls.Responder`
-        :raises RequestError: the answer that the caller is to get instead.
+        :raises RequestError: error to be returned to the caller instead of a response.
         """
         loop = asyncio.get_running_loop()
         waited_elsewhere_s = self._prior_waits.observe(
@@ -44,13 +44,16 @@
         forwarder = self._stream_forwarder if is_stream else self._unary_forwarder
         try:
             async with asyncio.timeout_at(call.deadline):
-                # Repeats of a request that ends its targets come at any daemon. When
-                # each was sent to two targets, 17 and 23 ended under two requests.
+                # Repeats of a request that crashes its targets arrive at any daemon.
+                # When each was sent to two targets, two requests ended 17 and 23 of
+                # them.
                 await self._context.quarantine.admit(call)
                 await forwarder.forward(call, service, responder)
         except TimeoutError as error:
             waited_s = round(loop.time() - call.arrived_at, 3)
             log.info("deadline", request=call.id, seconds=waited_s)
-            raise DeadlineWhileRunning("no answer in time") from error
+            raise DeadlineWhileRunning(
+                "no complete response before the deadline"
+            ) from error
         finally:
             self._context.quarantine.note_finished(call)
--- a/cowslipcourse/entry/front.py
+++ b/cowslipcourse/entry/front.py
@@ -1,4 +1,4 @@
-"""The address for callers: an ASGI application without layers around it."""
+"""ASGI application for callers, without a framework or middleware."""
 
 import asyncio
 import time
@@ -14,13 +14,13 @@
 __all__ = ["FrontApp"]
 
 DRAINING_RETRY_AFTER_S = 0.0
-"""When to come back to another daemon: they are not known to be short of anything."""
+"""Retry-After of a draining daemon: the others are not known to be overloaded."""
 
 log = get_logger(__name__)
 
 
 class _RequestResult:
-    """How a request ended, for the account of its route and model."""
+    """Outcome of a request, counted by route and model."""
 
     def __init__(self):
         self.route = ""
@@ -46,13 +46,13 @@
 
     @property
     def is_draining(self):
-        """Whether the daemon is about to stop."""
+        """Whether the daemon is shutting down."""
         return self._closes_at is not None
 
     def drain(self, closes_at):
-        """Let callers go elsewhere after their answers.
+        """Close connections after responses, so that callers move to other daemons.
 
-        :param ends_at: loop time at which the last connections will be closed.
+        :param closes_at: loop time at which the last connections will be closed.
         """
         self._closes_at = closes_at
 
@@ -98,7 +98,7 @@
                     model=result.model,
                     seconds=round(_now() - call.arrived_at, 3),
                 )
-                raise CallerGone("the caller left")
+                raise CallerGone("the caller closed the connection")
             forwarding.result()
             self._durations.note(call.route, _now() - call.arrived_at)
         finally:
@@ -107,15 +107,17 @@
             await asyncio.gather(forwarding, disconnect, return_exceptions=True)
 
     def _check_time_left(self, call):
-        """Refuse what cannot end before this daemon does.
+        """Refuse a request that may not finish before this daemon stops.
 
-        :raises GatewayDraining: it has not run; other daemons take it at once.
+        :raises GatewayDraining: the request has not run; other daemons accept it now.
         """
         if self._closes_at is None:
             return
         left_s = self._closes_at - call.arrived_at
         if not can_finish(left_s, self._durations.longest_s(call.route)):
-            raise GatewayDraining("this daemon is about to end", DRAINING_RETRY_AFTER_S)
+            raise GatewayDraining(
+                "this daemon is shutting down", DRAINING_RETRY_AFTER_S
+            )
 
     async def _send_error(self, error, scope, receive, send, responder, result):
         log.info(
@@ -132,7 +134,7 @@
             started=responder.started,
         )
         if responder.started:
-            # Ending without the last chunk tells the caller that it is not whole.
+            # Without the last chunk the caller sees that the response is incomplete.
             raise error
         headers = retry_after_header(error.retry_after_s)
         if self.is_draining:
--- a/cowslipcourse/entry/heads.py
+++ b/cowslipcourse/entry/heads.py
@@ -1,10 +1,10 @@
-"""Which engines take the requests of a model: heads of groups that serve, as known.
+"""Heads of engine groups that serve a model, from the target list and group updates.
 
-The list of targets says so, but up to a second late. What a coordinator tells directly
-goes before it, in both directions: a group that is given up or formed anew gets nothing
-more at its former head, and a head that was told to open is used once it serves. Where
-an engine is lost every 3 s, requests had gone on for 2.5 s to heads of groups that had
-been given up, 0.4 to 1.1 s lost for each (from the daemons' logs).
+The target list is up to a second stale. A coordinator's group update takes precedence:
+a group that was given up or formed again gets no more requests at its former head, and
+a head that was ordered to open is used as soon as it serves. From the list alone, with
+an engine lost every 3 s, requests went to heads of abandoned groups for 2.5 s, and each
+of them lost 0.4 to 1.1 s.
 """
 
 from typing import NamedTuple
@@ -14,10 +14,11 @@
 __all__ = ["GroupHeads"]
 
 OPENED_VALID_S = 10.0
-"""Time for which a head is believed to serve that the list does not show yet: longer
-than the store is usually away. If the head ends, its entry goes, and so does belief."""
+"""Time for which an opened head is used that the list does not show as open yet: longer
+than usual outages of the store. A head that ends is dropped with its list entry."""
 MAX_REMEMBERED_GROUPS = 10_000
-"""Groups whose least epoch is remembered, about 1 MB; names are not used again."""
+"""Limit on groups whose lowest valid epoch is kept, about 1 MB. Names of groups are not
+reused, so entries would accumulate."""
 _ENDED_STATES = (GroupState.CLOSING, GroupState.BROKEN)
 
 
@@ -30,7 +31,7 @@
 
 
 class GroupHeads:
-    """Heads of groups, from the list's entries and from news."""
+    """Tracks the heads of groups from list entries and group updates."""
 
     def __init__(self):
         self._possible_heads = ()
@@ -40,7 +41,7 @@
         self._opened = {}
 
     def update_entries(self, entries):
-        """Take in the whole list.
+        """Replace the list entries.
 
         :param entries: iterable of :class:`~cowslipcourse.ports.TargetEntry`
         """
@@ -62,21 +63,21 @@
             and (_is_open_head(entry.membership) or entry.id in self._opened)
         )
 
-    def take_news(self, news, entries, now):
-        """Take in a :class:`~cowslipcourse.peers.GroupUpdate`.
+    def apply_group_update(self, update, entries, now):
+        """Apply a :class:`~cowslipcourse.peers.GroupUpdate`.
 
-        :param entries: the whole list.
+        :param entries: all list entries.
         :param now: loop time.
         """
-        previous = self._min_epochs.pop(news.group, 0)
-        self._min_epochs[news.group] = max(previous, news.epoch)
+        previous = self._min_epochs.pop(update.group, 0)
+        self._min_epochs[update.group] = max(previous, update.epoch)
         if len(self._min_epochs) > MAX_REMEMBERED_GROUPS:
             del self._min_epochs[next(iter(self._min_epochs))]
-        head = news.opened
+        head = update.opened
         if head is not None:
             self._opened[head.engine] = _OpenedGroup(
-                news.group,
-                news.epoch,
+                update.group,
+                update.epoch,
                 head.model,
                 head.incarnation,
                 now + head.serves_in_s,
@@ -89,12 +90,12 @@
         self.update_entries(entries)
 
     def opened_epoch(self, engine):
-        """Return the epoch at which an engine was told to open, 0 if it was not."""
+        """Return the epoch at which an engine was ordered to open, or 0."""
         opened = self._opened.get(engine)
         return 0 if opened is None else opened.epoch
 
     def serving_heads(self, service, model, now):
-        """Return the entries of heads that serve a model, each in its open group."""
+        """Return the entries of heads that serve a model, with their open groups."""
         found = []
         for entry in self._possible_heads:
             membership = self._membership(entry, now)
@@ -108,7 +109,7 @@
         return found
 
     def _membership(self, entry, now):
-        """Return the group of an engine by the list, or by news that is newer."""
+        """Return the group membership from the list, or from a newer group update."""
         listed, opened = entry.membership, self._opened.get(entry.id)
         if (
             opened is None
@@ -142,9 +143,9 @@
 
 
 def _is_listed_newer(listed, opened):
-    """Whether the list tells of what came after a head was told to open.
+    """Whether the listed state is newer than the order to open.
 
-    Epochs are versions of the store, so they can be compared between groups.
+    Epochs are store versions, so they are comparable across groups.
     """
     if listed.epoch != opened.epoch:
         return listed.epoch > opened.epoch
--- a/cowslipcourse/entry/outcomes.py
+++ b/cowslipcourse/entry/outcomes.py
@@ -1,4 +1,4 @@
-"""What a failed attempt says about whether a request has run; pure decisions."""
+"""Classify failed attempts by whether the request may have run. Pure functions."""
 
 from cowslipcourse.exceptions import (
     AnswerBroken,
@@ -13,10 +13,10 @@
 __all__ = ["NOT_EXECUTED_STATUSES", "final_error", "may_have_run", "may_retry"]
 
 NOT_EXECUTED_STATUSES = (408, 421, 429, 503)
-"""Callers read these as proof that a request has not run and never will."""
+"""Statuses that callers take as proof that a request has not run and will not run."""
 RETRY_AFTER_S = 0.5
-"""When to come back if no target takes a request: a fraction of a group's repair,
-after which another group has room or the repaired one serves."""
+"""Retry-After if no target accepts a request: a fraction of the time of a group repair,
+after which another group has free slots or the repaired one serves."""
 
 
 def may_have_run(error):
@@ -32,11 +32,11 @@
 
 
 def may_retry(route, possible_runs, error):
-    """Whether a request may be sent to another target.
+    """Whether a request may be retried at another target.
 
     :param route: :class:`~cowslipcourse.routes.Route`
-    :param runs: attempts in which it may have run, this one included.
-    :param error: how the last attempt failed.
+    :param possible_runs: attempts in which it may have run, including the last one.
+    :param error: error of the last attempt.
     """
     if not may_have_run(error):
         return True
@@ -44,11 +44,11 @@
 
 
 def final_error(possible_runs, cause=""):
-    """Return the error that the caller gets if there are no attempts left.
+    """Return the error for the caller after the last attempt.
 
-    :param runs: attempts in which the request may have run.
-    :param cause: why there are none.
+    :param possible_runs: attempts in which the request may have run.
+    :param cause: why there are no more attempts.
     """
     if possible_runs:
-        return TargetFailed("no target gave a whole answer", cause=cause)
-    return NoTargetAvailable("no target takes the request", RETRY_AFTER_S, cause)
+        return TargetFailed("no target sent a complete response", cause=cause)
+    return NoTargetAvailable("no target accepted the request", RETRY_AFTER_S, cause)
--- a/cowslipcourse/entry/patience.py
+++ b/cowslipcourse/entry/patience.py
@@ -1,44 +1,44 @@
-"""How long callers wait at most, and so who has waited elsewhere; pure decisions."""
+"""Estimate how long callers have waited at other daemons. No I/O."""
 
 from collections import deque
 
 __all__ = ["PriorWaitEstimator"]
 
 TIMEOUT_SPREAD_FRACTION = 0.15
-"""Part of a route's time by which callers may differ in how long they wait."""
+"""Fraction of a route's time-out by which the time-outs of its callers may differ."""
 MAX_BUDGETS_PER_ROUTE = 64
-"""Requests of a route from which it is told whether its callers differ."""
+"""Recent requests of a route from which it is judged whether time-outs differ."""
 MAX_ROUTES = 1000
-"""Routes of which budgets are kept: configurations come with new ones all the time."""
+"""Limit on routes with kept budgets, since new configurations keep adding routes."""
 MIN_BUDGETS = 16
-"""Requests before which callers may differ."""
+"""Requests of a route below which time-outs are assumed to differ."""
 EQUAL_BUDGET_TOLERANCE = 0.02
-"""Difference from the longest budget, as a part of it, up to which two are alike."""
+"""Fraction of the longest budget by which a budget counted as equal may be shorter."""
 MIN_EQUAL_FRACTION = 0.2
-"""Part of the requests with alike budgets from which callers do not differ. After an
-outage most requests come again, with less time left."""
+"""Fraction of requests with equal budgets from which time-outs count as uniform. It is
+low because most requests after an outage are retries with shorter budgets."""
 
 
 class PriorWaitEstimator:
-    """The budgets that callers of each route say, and what a short one means.
+    """Infers earlier waits of callers from the time budgets that they send.
 
-    A caller that comes again says how long it will still wait, so what it has waited
-    elsewhere is what its budget lacks of the route's time. Where callers differ, only
-    what it lacks beyond that tells.
+    A caller that retries sends the time that it will still wait, so the wait before is
+    the route's time-out less that budget. On routes where the time-outs of callers
+    differ, only the part beyond the assumed spread counts.
     """
 
     def __init__(self):
         self._budgets = {}
 
     def __len__(self):
-        """Return the number of routes of which budgets are kept."""
+        """Return the number of routes with kept budgets."""
         return len(self._budgets)
 
     def observe(self, route, time_budget_s):
-        """Note a request; return the seconds that its caller has waited elsewhere.
+        """Record a request; return the seconds that its caller has waited elsewhere.
 
         :param route: :class:`~cowslipcourse.routes.Route`
-        :param budget_s: seconds that the caller said it will wait, or ``None``.
+        :param time_budget_s: seconds that the caller will still wait, or ``None``.
         """
         if time_budget_s is None:
             return 0.0
@@ -58,7 +58,7 @@
 
 
 def _timeouts_may_vary(budgets):
-    """Whether callers may differ in how long they wait."""
+    """Whether callers of a route may have different time-outs."""
     if len(budgets) < MIN_BUDGETS:
         return True
     threshold_s = max(budgets) * (1 - EQUAL_BUDGET_TOLERANCE)
--- a/cowslipcourse/entry/pauses.py
+++ b/cowslipcourse/entry/pauses.py
@@ -1,4 +1,4 @@
-"""Notice that this process itself stood still."""
+"""Detect pauses of this process."""
 
 import asyncio
 
@@ -6,16 +6,16 @@
 
 
 async def ticks(interval_s, is_idle=None, idle_interval_s=0.0):
-    """Yield ``(loop time, seconds by which the tick is late)`` for ever.
+    """Yield ``(loop time, seconds by which the tick is late)`` forever.
 
-    A late tick tells that the process was paused or starved, or that the work of the
-    last tick took long: what it believes is older than it seems, and others may have
-    acted meanwhile.
+    A late tick means that the process was paused or starved of processor time, or that
+    handling the previous tick took long. Its state is then older than it appears, and
+    other daemons may have acted in the meantime.
 
     :param interval_s: seconds between ticks.
-    :param may_rest: callable that tells that there is nothing to look at; each wake-up
-        costs 50 us or more of a small VM's processor time.
-    :param rest_s: seconds until the next tick in that case.
+    :param is_idle: callable that returns whether there is nothing to check; each
+        wake-up costs at least 50 us of a small VM's processor time.
+    :param idle_interval_s: seconds until the next tick while idle.
     """
     loop = asyncio.get_running_loop()
     previous = loop.time()
--- a/cowslipcourse/entry/placing.py
+++ b/cowslipcourse/entry/placing.py
@@ -1,4 +1,4 @@
-"""Find a place for a stream, and wait for one while none is to be had."""
+"""Choose a target for a stream, waiting for a free slot if necessary."""
 
 import asyncio
 
@@ -10,15 +10,15 @@
 __all__ = ["StreamTargetChooser"]
 
 POLL_INTERVAL_S = 0.02
-"""Interval at which a request that waits for a place looks again."""
+"""Interval at which a request that waits for a free slot checks again."""
 MAX_WAIT_FRACTION = 0.3
-"""Share of the caller's time that a request may wait for a place."""
+"""Fraction of the time left to the deadline that a request may wait for a slot."""
 
 log = get_logger(__name__)
 
 
 class StreamTargetChooser:
-    """Chooses targets of streams.
+    """Chooses the targets of streams.
 
     :param context: :class:`~cowslipcourse.entry.tools.DaemonContext`
     """
@@ -29,9 +29,9 @@
     async def choose(self, progress, service, tried_ids):
         """Return the :class:`~cowslipcourse.entry.accounting.TargetChoice` of a stream.
 
-        :param progress: how far the stream has come.
+        :param progress: progress of the stream, as kept by its forwarder.
         :param service: name of the service.
-        :param tried: ids of targets that it is not to be sent to again.
+        :param tried_ids: ids of targets that the stream must not be sent to again.
         """
         call, loop = progress.call, asyncio.get_running_loop()
         wait_started_at = loop.time()
@@ -59,7 +59,10 @@
         return self._context.fleet.service_candidates(service, now)
 
     def _choose_group(self, progress, candidates, tried_ids, now):
-        """Return a place with room; a stream that has begun goes on at once."""
+        """Return a candidate with a free slot.
+
+        A stream whose caller has events already is never treated as late.
+        """
         call = progress.call
         is_late = not (
             progress.has_events or can_meet_objective(call.route, call.waited_s(now))
--- a/cowslipcourse/entry/plain.py
+++ b/cowslipcourse/entry/plain.py
@@ -1,4 +1,4 @@
-"""Forward requests whose answers come in one piece."""
+"""Forward requests that get a single response instead of a stream."""
 
 import asyncio
 
@@ -18,7 +18,7 @@
 
 
 class UnaryForwarder:
-    """Forwards to plain services.
+    """Forwards requests to services without engine groups.
 
     :param context: :class:`~cowslipcourse.entry.tools.DaemonContext`
     """
@@ -27,7 +27,7 @@
         self._context = context
 
     async def forward(self, call, service, responder):
-        """Bring a call to a target; see :class:`~cowslipcourse.entry.Forwarder`."""
+        """See :meth:`cowslipcourse.entry.forwarding.Forwarder.forward`."""
 
         async def choose(tried_ids):
             return self._choose(service, tried_ids)
@@ -56,7 +56,7 @@
 
     async def _attempt(self, call, run, is_last):
         async with self._context.attempt_sender.open(call, run) as attempt:
-            # A plain target says nothing before its answer, so it may be at work.
+            # Nothing precedes the response, so the target may have started already.
             run.answer_started = True
             try:
                 head = await attempt.connection.head()
@@ -69,7 +69,9 @@
         if head.status >= 500 and call.route.may_repeat and not is_last:
             raise AnswerBroken(f"answered {head.status}")
         if head.status in NOT_EXECUTED_STATUSES:
-            raise AnswerBroken(f"answered {head.status} without proof")
+            raise AnswerBroken(
+                f"answered {head.status} without proof that it did not run"
+            )
         run.succeeded = head.status < MIN_FAILURE_STATUS
         return head, body
 
--- a/cowslipcourse/entry/retrying.py
+++ b/cowslipcourse/entry/retrying.py
@@ -1,4 +1,4 @@
-"""Try one target after another, as far as that is allowed and helps."""
+"""Retry a request at other targets where that is safe and useful."""
 
 import asyncio
 
@@ -14,17 +14,17 @@
 
 
 async def try_targets(context, call, service, choose, attempt):
-    """Bring a call to targets until one attempt succeeds.
+    """Send a call to one target after another until an attempt succeeds.
 
     :param context: :class:`~cowslipcourse.entry.tools.DaemonContext`
     :param call: :class:`~cowslipcourse.entry.calls.Call`
     :param service: name of the service.
-    :param choose: coroutine function that takes the ids tried and returns a
+    :param choose: coroutine function that takes the ids of tried targets and returns a
         :class:`~cowslipcourse.entry.accounting.TargetChoice`.
     :param attempt: coroutine function that takes the
         :class:`~cowslipcourse.entry.attempts.TargetRun` and whether this is the last
-        attempt allowed; raises :class:`~cowslipcourse.exceptions.TargetError`.
-    :returns: ``(entry that answered, number of attempts)``
+        allowed attempt; raises :class:`~cowslipcourse.exceptions.TargetError`.
+    :returns: ``(entry of the target that responded, number of attempts)``
     :raises RequestError: no attempt succeeded.
     """
     loop = asyncio.get_running_loop()
@@ -34,7 +34,7 @@
         entry, cause = await choose(tried_ids)
         if entry is None:
             raise final_error(possible_runs, cause)
-        # The verdict may have come while the request waited for a place.
+        # The request may have been quarantined while it waited for a free slot.
         _check_quarantine(context, call, possible_runs)
         tried_ids.add(entry.id)
         run = TargetRun(entry)
@@ -56,9 +56,9 @@
 
 
 def _check_quarantine(context, call, possible_runs):
-    """Stop a request that ends targets, before it is sent to another one.
+    """Refuse a request that crashes its targets before it is sent to another one.
 
-    :param runs: attempts in which it may have run, by which the caller is told.
+    :param possible_runs: attempts in which it may have run, which decide the error.
     """
     if context.quarantine.is_quarantined(call):
         raise (
--- a/cowslipcourse/entry/silence.py
+++ b/cowslipcourse/entry/silence.py
@@ -1,4 +1,4 @@
-"""Notice targets that fall silent in the middle of streams."""
+"""Detect targets that stop sending events."""
 
 from cowslipcourse.adapters.log import get_logger
 from cowslipcourse.entry.pauses import ticks
@@ -8,26 +8,27 @@
 
 CHECK_INTERVAL_S = 0.03
 IDLE_INTERVAL_S = 0.1
-"""Interval without streams; the first event of one may take longer than that anyway."""
+"""Check interval without streams; a first event may take longer than that anyway."""
 MAX_EVENT_GAP_S = 0.3
-"""Longest pause inside a stream of a sound group: five token steps of a full batch and
-a prompt chunk for each of a few newcomers stay under it."""
+"""Longest gap between events of a healthy group. Five token steps of a full batch, with
+a prompt chunk for each of a few new requests, take less."""
 MAX_FIRST_EVENT_WAIT_S = 0.8
-"""Longest wait for a first event while the group's other streams are silent too and
-the group runs everything that it has."""
+"""Longest wait for a first event while all streams of the group are silent and no
+request is queued there."""
 MAX_QUEUED_EVENT_WAIT_S = 3.0
-"""The same where requests wait at the group."""
+"""Longest wait for a first event where requests are queued at the group."""
 LOCAL_PAUSE_S = 0.12
-"""A tick that comes this late says that this process stood still, not the target."""
+"""Lateness of a check that is attributed to a pause of this process. Silence before it
+does not count against targets."""
 
 log = get_logger(__name__)
 
 
 class WatchedStream:
-    """A stream that is watched.
+    """A stream watched for silence.
 
     :param attempt: :class:`~cowslipcourse.entry.attempts.Attempt`
-    :param call_id: id of the request, for logs.
+    :param request_id: id of the request, for logs.
     """
 
     def __init__(self, attempt, request_id):
@@ -37,7 +38,7 @@
 
 
 class SilenceDetector:
-    """Ends streams of targets that are silent, and has the targets suspected.
+    """Aborts streams of silent targets and marks the targets as suspected.
 
     :param fleet: :class:`~cowslipcourse.entry.fleet.FleetView`
     :param on_suspect: called when a target is newly suspected.
@@ -50,18 +51,18 @@
         self._observed_since = 0.0
 
     def add(self, stream):
-        """Watch a stream."""
+        """Start watching a stream."""
         self._streams.setdefault(stream.attempt.entry.id, set()).add(stream)
 
     def remove(self, stream):
-        """Stop to watch a stream."""
+        """Stop watching a stream."""
         target = stream.attempt.entry.id
         self._streams[target].discard(stream)
         if not self._streams[target]:
             del self._streams[target]
 
     async def run(self):
-        """Look again and again."""
+        """Check the streams forever."""
         async for now, late_s in ticks(
             CHECK_INTERVAL_S, lambda: not self._streams, IDLE_INTERVAL_S
         ):
@@ -71,7 +72,10 @@
             self.check(now)
 
     def check(self, now):
-        """End the streams of targets that are silent at a loop time."""
+        """Abort the streams of targets that are silent.
+
+        :param now: loop time.
+        """
         for target, streams in list(self._streams.items()):
             last_received_at = max(
                 stream.attempt.connection.last_received_at for stream in streams
@@ -99,5 +103,5 @@
                 begun=stream.has_events,
             )
             self._on_suspect()
-        error = TargetSilent(f"{target} was silent for {silent_s:.2f} s")
+        error = TargetSilent(f"target {target} sent nothing for {silent_s:.2f} s")
         stream.attempt.connection.abort(error)
--- a/cowslipcourse/entry/streaming.py
+++ b/cowslipcourse/entry/streaming.py
@@ -1,4 +1,4 @@
-"""Forward streams: relay whole events, and go on elsewhere if a target fails."""
+"""Forward streams: relay complete events and resume at another target on failure."""
 
 import asyncio
 
@@ -18,7 +18,7 @@
 
 
 class _StreamProgress:
-    """How far a caller's stream has come.
+    """Progress and timing of a caller's stream across attempts.
 
     :param call: :class:`~cowslipcourse.entry.calls.Call`
     :param responder: :class:`~cowslipcourse.entry.calls.Responder`
@@ -35,16 +35,16 @@
 
     @property
     def resume_event_id(self):
-        """Id of the last event that was passed on, or ``None``."""
+        """Id of the last event that this daemon relayed, or ``None``."""
         return self.position.last if self.position.forwarded else None
 
     @property
     def has_events(self):
-        """Whether the caller has events already, of this daemon or of another one."""
+        """Whether the caller has received events, from this or another daemon."""
         return self.position.last is not None
 
     def record_events(self, now):
-        """Note that events were passed on."""
+        """Record the time at which events were relayed."""
         if self._last_event_at is None:
             self.first_event_s = now - self.call.arrived_at
         else:
@@ -53,7 +53,7 @@
 
 
 class StreamForwarder:
-    """Forwards streams to heads of groups, or to targets of a plain service.
+    """Forwards streams to heads of groups, or to targets of a service without groups.
 
     :param context: :class:`~cowslipcourse.entry.tools.DaemonContext`
     """
@@ -63,7 +63,7 @@
         self._target_chooser = StreamTargetChooser(context)
 
     async def forward(self, call, service, responder):
-        """Bring a call to a target; see :class:`~cowslipcourse.entry.Forwarder`."""
+        """See :meth:`cowslipcourse.entry.forwarding.Forwarder.forward`."""
         progress = _StreamProgress(call, responder)
 
         async def choose(tried_ids):
@@ -165,6 +165,6 @@
 
 
 def _stream_headers(head):
-    """Return the headers of a stream; its length may differ if it goes on elsewhere."""
+    """Return response headers without the length, which changes if a stream resumes."""
     headers = response_headers(head.headers)
     return [(name, value) for name, value in headers if name != b"content-length"]
--- a/cowslipcourse/entry/tools.py
+++ b/cowslipcourse/entry/tools.py
@@ -1,10 +1,10 @@
-"""What the parts of a daemon share."""
+"""Objects shared by the components of a daemon."""
 
 __all__ = ["DaemonContext"]
 
 
 class DaemonContext:
-    """The daemon's views and the means to act on them.
+    """The views, helpers and configuration that components of a daemon share.
 
     :param settings: :class:`~cowslipcourse.entry.settings.EntrySettings`
     :param fleet: :class:`~cowslipcourse.entry.fleet.FleetView`
@@ -35,7 +35,7 @@
         self.table = None
 
     def choose_service(self, route):
-        """Return the name of a service that a route leads to, by weight."""
+        """Return the name of a service of a route, drawn at random by weight."""
         if len(route.services) == 1:
             return route.services[0][0]
         names = [name for name, _ in route.services]
@@ -43,5 +43,5 @@
         return self.rng.choices(names, weights)[0]
 
     def service_spec(self, name):
-        """Return the :class:`~cowslipcourse.routes.ServiceSpec` with a name."""
+        """Return the :class:`~cowslipcourse.routes.ServiceSpec` of a service."""
         return self.table.services[name]
--- a/cowslipcourse/entry/urgency.py
+++ b/cowslipcourse/entry/urgency.py
@@ -1,19 +1,19 @@
-"""How urgent a request is to an engine; pure decisions.
+"""Urgency of a request at an engine. Pure functions.
 
-Load that this answers: after an outage or a burst more requests come at once than
-groups run, callers that were turned away among them. Those that are late already are
-worth the same a moment later; those that can still be on time are not.
+After an outage or a burst, more requests arrive than groups can run, including retries
+of refused ones. A request that has missed its objective loses nothing by waiting a
+little longer; one that can still meet it does.
 """
 
 __all__ = ["LEAST_URGENT_LEVEL", "can_meet_objective", "urgency"]
 
 LEAST_URGENT_LEVEL = 9
-"""The scale that engines know ends there; 0 is the most urgent."""
+"""End of the scale that engines accept; 0 is the most urgent."""
 LEVELS_PER_PRIORITY = 2
-"""On time and late: a rank that the operator gave comes before lateness."""
+"""Levels for on time and late: the operator's priority outweighs lateness."""
 SEND_DEADLINE_FRACTION = 0.5
-"""Part of the objective within which a request must be sent to a target to be on time;
-the rest is for the target's first event."""
+"""Fraction of the objective within which a request must be sent to a target to be on
+time; the rest is left for the target to produce its first event."""
 
 
 def urgency(route, workspace, waited_s):
@@ -21,7 +21,7 @@
 
     :param route: :class:`~cowslipcourse.routes.Route`
     :param workspace: :class:`~cowslipcourse.routes.Workspace` or ``None``.
-    :param waited_s: seconds that the caller has waited, here and elsewhere.
+    :param waited_s: seconds that the caller has waited, at this daemon and before.
     """
     priority = route.priority
     if workspace is not None and workspace.priority is not None:
@@ -31,9 +31,9 @@
 
 
 def can_meet_objective(route, waited_s):
-    """Whether a request that is sent to a target now may be answered on time.
+    """Whether a request that is sent to a target now can meet its objective.
 
     :param route: :class:`~cowslipcourse.routes.Route`
-    :param waited_s: seconds that the caller has waited, here and elsewhere.
+    :param waited_s: seconds that the caller has waited, at this daemon and before.
     """
     return waited_s <= SEND_DEADLINE_FRACTION * route.objective_s
--- a/features/steps/head_steps.py
+++ b/features/steps/head_steps.py
@@ -39,7 +39,7 @@
 
 
 def _tell(context, news, now):
-    context.heads.take_news(news, context.entries.values(), now)
+    context.heads.apply_group_update(news, context.entries.values(), now)
 
 
 @when("news comes at {now:f} s that {group} is given up")
