--- a/cowslipcourse/entry/accounting.py
+++ b/cowslipcourse/entry/accounting.py
@@ -28,10 +28,10 @@
     NO_GROUP = "no-group"
     GROUPS_FULL = "groups-full"
     GROUPS_TRIED = "groups-tried"
-    NO_BUDGET = "no-retry-budget"
+    NO_RETRY_BUDGET = "no-retry-budget"
     LATE_PLACE = "late-place"
     LATE_RETRY = "late-retry"
-    LATE_FIRST = "late-first-event"
+    LATE_FIRST_EVENT = "late-first-event"
     LATE_PAUSE = "late-pause"
 
 
@@ -83,7 +83,9 @@
     if times.first_event_s > route.objective_s:
         if times.slot_wait_s > route.objective_s * LATE_SLOT_WAIT_FRACTION:
             return LossCause.LATE_PLACE
-        return LossCause.LATE_RETRY if times.attempts > 1 else LossCause.LATE_FIRST
+        return (
+            LossCause.LATE_RETRY if times.attempts > 1 else LossCause.LATE_FIRST_EVENT
+        )
     if route.pause_limit_s and times.longest_pause_s > route.pause_limit_s:
         return LossCause.LATE_PAUSE
     return None
--- a/cowslipcourse/entry/attempts.py
+++ b/cowslipcourse/entry/attempts.py
@@ -39,7 +39,8 @@
         self.connection = None
         """:class:`~cowslipcourse.exchange.TargetConnection` that it was sent on."""
         self.answer_started = False
-        """Whether the request may have begun to run at the target."""
+        """Whether the response head has arrived, or the request may be running because the
+        target sends nothing before its response."""
         self.relayed_events = 0
         """Number of events that were relayed to the caller."""
         self.last_event_id = 0
@@ -117,5 +118,9 @@
         call.headers, entry, left_s, urgency_level, call.workspace_name, last_event_id
     )
     return TargetRequest(
-        call.method, call.path, headers, call.body, attempt_id_header(call.fields)
+        call.method,
+        call.path,
+        headers,
+        call.body,
+        attempt_id_header(call.caller_headers),
     )
--- a/cowslipcourse/entry/calls.py
+++ b/cowslipcourse/entry/calls.py
@@ -29,7 +29,7 @@
     :param headers: ``(lower-case name, value)`` pairs as received.
     :param body: complete body.
     :param fingerprint: hash as bytes that a request shares with its repeats.
-    :param fields: :class:`~cowslipcourse.platform.edge.CallerHeaders`
+    :param caller_headers: :class:`~cowslipcourse.platform.edge.CallerHeaders`
     :param route: :class:`~cowslipcourse.routes.Route`
     :param workspace: :class:`~cowslipcourse.routes.Workspace` or ``None``.
     :param arrived_at: loop time at which its head had been received.
@@ -43,7 +43,7 @@
     headers: tuple
     body: bytes
     fingerprint: bytes
-    fields: object
+    caller_headers: object
     route: object
     workspace: object
     arrived_at: float
@@ -79,7 +79,7 @@
     headers = tuple(scope["headers"])
     if total_header_bytes(headers) > table.limits.header_bytes:
         raise HeadTooLarge("the request head exceeds its size limit")
-    fields = parse_caller_headers(headers)
+    caller_headers = parse_caller_headers(headers)
     host = dict(headers).get(b"host", b"").decode("latin-1")
     raw_path = scope["raw_path"]
     try:
@@ -88,22 +88,24 @@
         raise BadRequest(
             "the path contains non-ASCII bytes that must be percent-encoded"
         ) from error
-    workspace = table.workspace(route, fields.key)
+    workspace = table.workspace(route, caller_headers.key)
     body = await _read_body(receive, table.limits.body_bytes)
     query = scope["query_string"]
     path = raw_path + b"?" + query if query else raw_path
-    name = None if workspace is None else workspace.name
+    workspace_name = None if workspace is None else workspace.name
     time_budget_s = (
-        DEFAULT_TIME_BUDGET_S if fields.time_budget_s is None else fields.time_budget_s
+        DEFAULT_TIME_BUDGET_S
+        if caller_headers.time_budget_s is None
+        else caller_headers.time_budget_s
     )
     return Call(
-        id=fields.attempt_id.decode("latin-1"),
+        id=caller_headers.attempt_id.decode("latin-1"),
         method=scope["method"],
         path=path,
         headers=headers,
         body=body,
-        fingerprint=fingerprint(name, path, body),
-        fields=fields,
+        fingerprint=fingerprint(workspace_name, path, body),
+        caller_headers=caller_headers,
         route=route,
         workspace=workspace,
         arrived_at=arrived_at,
--- a/cowslipcourse/entry/engine_calls.py
+++ b/cowslipcourse/entry/engine_calls.py
@@ -17,9 +17,9 @@
 """Limit on status requests to one engine in a row: requests that this process itself
 delayed prove nothing about the engine."""
 MAX_CONCURRENT_REPORTS = 24
-"""Limit on concurrent status requests; orders are not limited. A call takes some 5 ms of
-a small VM's processor time, and a response read after 0.15 s counts as missing. Without
-the limit, a coordinator with hundreds of engines found healthy ones silent 7,855 times
+"""Limit on concurrent status requests; orders are not limited. A call takes some 5 ms
+of a small VM's processor time, and a response read after 0.15 s counts as missing.
+A coordinator that called hundreds of engines at once found 7,855 healthy ones silent
 in 25 s."""
 MAX_TIMER_DELAY_S = 0.05
 """Lateness of a time-out from which this process counts as paused: a response may have
@@ -49,13 +49,13 @@
         self._on_opened = on_opened
         self._busy_engines = set()
         self._tasks = set()
-        self._last_answer_at = float("-inf")
+        self._last_report_at = float("-inf")
         self._report_slots = asyncio.Semaphore(MAX_CONCURRENT_REPORTS)
 
     @property
-    def last_answer_at(self):
+    def last_report_at(self):
         """Loop time of the last report from any engine."""
-        return self._last_answer_at
+        return self._last_report_at
 
     def is_busy(self, engine):
         """Whether a call to this incarnation of an engine is in progress."""
@@ -118,7 +118,7 @@
         self._on_silent()
 
     def _handle_report(self, engine, report, requested_at):
-        self._last_answer_at = asyncio.get_running_loop().time()
+        self._last_report_at = asyncio.get_running_loop().time()
         if engine.silent_since is not None:
             log.info("engine-heard", engine=engine.id)
         if report.pace >= SLOW_PACE:
--- a/cowslipcourse/entry/forwarding.py
+++ b/cowslipcourse/entry/forwarding.py
@@ -35,7 +35,7 @@
         """
         loop = asyncio.get_running_loop()
         waited_elsewhere_s = self._prior_waits.observe(
-            call.route, call.fields.time_budget_s
+            call.route, call.caller_headers.time_budget_s
         )
         call = call._replace(waited_elsewhere_s=waited_elsewhere_s)
         service = self._context.choose_service(call.route)
@@ -45,8 +45,8 @@
         try:
             async with asyncio.timeout_at(call.deadline):
                 # Repeats of a request that crashes its targets arrive at any daemon.
-                # When each was sent to two targets, two requests ended 17 and 23 of
-                # them.
+                # When each repeat was sent to two targets, two such requests ended 17 and
+                # 23 targets.
                 await self._context.quarantine.admit(call)
                 await forwarder.forward(call, service, responder)
         except TimeoutError as error:
--- a/cowslipcourse/entry/front.py
+++ b/cowslipcourse/entry/front.py
@@ -82,7 +82,7 @@
 
     async def _serve(self, scope, receive, responder, result):
         call = await read_call(scope, receive, self._context.table)
-        result.route, result.model = call.route.name, call.fields.model
+        result.route, result.model = call.route.name, call.caller_headers.model
         self._check_time_left(call)
         forwarding = asyncio.create_task(self._forwarder.forward(call, responder))
         disconnect = asyncio.create_task(_wait_for_disconnect(receive))
--- a/cowslipcourse/entry/heads.py
+++ b/cowslipcourse/entry/heads.py
@@ -36,31 +36,31 @@
     def __init__(self):
         self._possible_heads = ()
         self._newest_epochs = {}
-        self._leaving = frozenset()
+        self._leaving_groups = frozenset()
         self._min_epochs = {}
-        self._opened = {}
+        self._opened_groups = {}
 
     def update_entries(self, entries):
         """Replace the list entries.
 
         :param entries: iterable of :class:`~cowslipcourse.ports.TargetEntry`
         """
-        joined = [entry for entry in entries if entry.membership is not None]
+        grouped = [entry for entry in entries if entry.membership is not None]
         self._newest_epochs = {}
-        for entry in joined:
-            found = entry.membership
-            previous = self._newest_epochs.get(found.group, 0)
-            self._newest_epochs[found.group] = max(previous, found.epoch)
-        self._leaving = frozenset(
+        for entry in grouped:
+            membership = entry.membership
+            previous = self._newest_epochs.get(membership.group, 0)
+            self._newest_epochs[membership.group] = max(previous, membership.epoch)
+        self._leaving_groups = frozenset(
             (entry.membership.group, entry.membership.epoch)
-            for entry in joined
+            for entry in grouped
             if entry.is_leaving
         )
         self._possible_heads = tuple(
             entry
             for entry in entries
             if not entry.is_leaving
-            and (_is_open_head(entry.membership) or entry.id in self._opened)
+            and (_is_open_head(entry.membership) or entry.id in self._opened_groups)
         )
 
     def apply_group_update(self, update, entries, now):
@@ -75,28 +75,28 @@
             del self._min_epochs[next(iter(self._min_epochs))]
         head = update.opened
         if head is not None:
-            self._opened[head.engine] = _OpenedGroup(
+            self._opened_groups[head.engine] = _OpenedGroup(
                 update.group,
                 update.epoch,
                 head.model,
                 head.incarnation,
                 now + head.serves_in_s,
             )
-        self._opened = {
+        self._opened_groups = {
             engine: opened
-            for engine, opened in self._opened.items()
+            for engine, opened in self._opened_groups.items()
             if now < opened.serves_at + OPENED_VALID_S
         }
         self.update_entries(entries)
 
     def opened_epoch(self, engine):
         """Return the epoch at which an engine was ordered to open, or 0."""
-        opened = self._opened.get(engine)
+        opened = self._opened_groups.get(engine)
         return 0 if opened is None else opened.epoch
 
     def serving_heads(self, service, model, now):
         """Return the entries of heads that serve a model, with their open groups."""
-        found = []
+        heads = []
         for entry in self._possible_heads:
             membership = self._membership(entry, now)
             if (
@@ -105,12 +105,12 @@
                 and membership.model == model
                 and self._is_current(membership)
             ):
-                found.append(entry._replace(membership=membership))
-        return found
+                heads.append(entry._replace(membership=membership))
+        return heads
 
     def _membership(self, entry, now):
         """Return the group membership from the list, or from a newer group update."""
-        listed, opened = entry.membership, self._opened.get(entry.id)
+        listed, opened = entry.membership, self._opened_groups.get(entry.id)
         if (
             opened is None
             or not opened.serves_at <= now < opened.serves_at + OPENED_VALID_S
@@ -130,7 +130,7 @@
         newest_epoch = self._newest_epochs.get(group, 0)
         return (
             epoch >= max(min_epoch, newest_epoch)
-            and (group, epoch) not in self._leaving
+            and (group, epoch) not in self._leaving_groups
         )
 
 
--- a/cowslipcourse/entry/patience.py
+++ b/cowslipcourse/entry/patience.py
@@ -63,5 +63,5 @@
         return True
     threshold_s = max(budgets) * (1 - EQUAL_BUDGET_TOLERANCE)
     return sum(
-        time_budget_s >= threshold_s for time_budget_s in budgets
+        budget_s >= threshold_s for budget_s in budgets
     ) < MIN_EQUAL_FRACTION * len(budgets)
--- a/cowslipcourse/entry/placing.py
+++ b/cowslipcourse/entry/placing.py
@@ -54,7 +54,7 @@
     def _candidates(self, call, service, now):
         spec = self._context.service_spec(service)
         if spec.models:
-            model = call.fields.model
+            model = call.caller_headers.model
             return self._context.fleet.group_candidates(service, model, spec.slots, now)
         return self._context.fleet.service_candidates(service, now)
 
@@ -74,7 +74,7 @@
     log.info(
         "no-place",
         request=call.id,
-        model=call.fields.model,
+        model=call.caller_headers.model,
         cause=cause,
         groups=len(candidates),
         in_flight=sum(candidate.in_flight for candidate in candidates),
--- a/cowslipcourse/entry/plain.py
+++ b/cowslipcourse/entry/plain.py
@@ -56,7 +56,7 @@
 
     async def _attempt(self, call, run, is_last):
         async with self._context.attempt_sender.open(call, run) as attempt:
-            # Nothing precedes the response, so the target may have started already.
+            # Nothing precedes the response, so the request may be running already.
             run.answer_started = True
             try:
                 head = await attempt.connection.head()
--- a/cowslipcourse/entry/silence.py
+++ b/cowslipcourse/entry/silence.py
@@ -15,7 +15,7 @@
 MAX_FIRST_EVENT_WAIT_S = 0.8
 """Longest wait for a first event while all streams of the group are silent and no
 request is queued there."""
-MAX_QUEUED_EVENT_WAIT_S = 3.0
+MAX_QUEUED_FIRST_EVENT_WAIT_S = 3.0
 """Longest wait for a first event where requests are queued at the group."""
 LOCAL_PAUSE_S = 0.12
 """Lateness of a check that is attributed to a pause of this process. Silence before it
@@ -91,7 +91,7 @@
             return MAX_EVENT_GAP_S
         entry = stream.attempt.entry
         is_queued = self._fleet.load(entry.id) > entry.slots
-        return MAX_QUEUED_EVENT_WAIT_S if is_queued else MAX_FIRST_EVENT_WAIT_S
+        return MAX_QUEUED_FIRST_EVENT_WAIT_S if is_queued else MAX_FIRST_EVENT_WAIT_S
 
     def _abort_stream(self, target, stream, silent_s, now):
         if self._fleet.suspect(target, now):
--- a/cowslipcourse/entry/streaming.py
+++ b/cowslipcourse/entry/streaming.py
@@ -27,7 +27,7 @@
     def __init__(self, call, responder):
         self.call = call
         self.responder = responder
-        self.position = StreamPosition(call.fields.last_event_id)
+        self.position = StreamPosition(call.caller_headers.last_event_id)
         self.first_event_s = None
         self.longest_pause_s = 0.0
         self.slot_wait_s = 0.0
@@ -150,7 +150,7 @@
         "streamed",
         request=call.id,
         route=call.route.name,
-        model=call.fields.model,
+        model=call.caller_headers.model,
         late=late_cause(call.route, times),
         place_s=round(progress.slot_wait_s, 3),
         target=entry.id,
