--- a/cowslipcourse/entry/attempts.py
+++ b/cowslipcourse/entry/attempts.py
@@ -39,8 +39,8 @@
         self.connection = None
         """:class:`~cowslipcourse.exchange.TargetConnection` that it was sent on."""
         self.answer_started = False
-        """Whether the response head has arrived, or the request may be running because the
-        target sends nothing before its response."""
+        """Whether the response head has arrived, or, for a single response, whether the
+        request was sent."""
         self.relayed_events = 0
         """Number of events that were relayed to the caller."""
         self.last_event_id = 0
@@ -77,7 +77,7 @@
         """
         loop = asyncio.get_running_loop()
         entry = run.entry
-        needs_new_connection = not call.route.may_repeat
+        needs_new_connection = not call.route.is_retryable
         key = _connection_key(entry)
         self._fleet.request_started(entry.id)
         connection = None
--- a/cowslipcourse/entry/daemon.py
+++ b/cowslipcourse/entry/daemon.py
@@ -8,7 +8,7 @@
 
 from cowslipcourse.adapters.log import get_logger
 from cowslipcourse.adapters.web import WebServer
-from cowslipcourse.admission import SMALLEST_SITE, SharedRetryBudget
+from cowslipcourse.admission import MIN_DAEMON_COUNT, SharedRetryBudget
 from cowslipcourse.entry.attempts import AttemptSender
 from cowslipcourse.entry.census import GroupCountMonitor
 from cowslipcourse.entry.coordinator import Coordinator
@@ -237,7 +237,7 @@
 
     def _count_daemons(self, now):
         known = self._registry.known_daemon_count(now) + 1
-        self._context.retry_budget.daemons = max(known, SMALLEST_SITE)
+        self._context.retry_budget.daemon_count = max(known, MIN_DAEMON_COUNT)
 
     def take_news(self, news):
         """Take in what a coordinator has decided about a group."""
--- a/cowslipcourse/entry/forwarding.py
+++ b/cowslipcourse/entry/forwarding.py
@@ -39,14 +39,14 @@
         )
         call = call._replace(waited_elsewhere_s=waited_elsewhere_s)
         service = self._context.choose_service(call.route)
-        self._context.retry_budget.request(service, loop.time())
+        self._context.retry_budget.record_request(service, loop.time())
         is_stream = call.route.kind is RequestKind.STREAMING
         forwarder = self._stream_forwarder if is_stream else self._unary_forwarder
         try:
             async with asyncio.timeout_at(call.deadline):
                 # Repeats of a request that crashes its targets arrive at any daemon.
-                # When each repeat was sent to two targets, two such requests ended 17 and
-                # 23 targets.
+                # When each repeat was sent to two targets, two such requests ended 17
+                # and 23 targets.
                 await self._context.quarantine.admit(call)
                 await forwarder.forward(call, service, responder)
         except TimeoutError as error:
--- a/cowslipcourse/entry/outcomes.py
+++ b/cowslipcourse/entry/outcomes.py
@@ -40,7 +40,7 @@
     """
     if not may_have_run(error):
         return True
-    return route.may_repeat and possible_runs < route.max_attempts
+    return route.is_retryable and possible_runs < route.max_attempts
 
 
 def final_error(possible_runs, cause=""):
--- a/cowslipcourse/entry/retrying.py
+++ b/cowslipcourse/entry/retrying.py
@@ -47,7 +47,7 @@
             _record_failure(context, call, run, error, loop.time())
             if not may_retry(call.route, possible_runs, error):
                 raise final_error(possible_runs, error.code) from error
-            if not context.retry_budget.take(service, loop.time()):
+            if not context.retry_budget.try_take(service, loop.time()):
                 raise final_error(possible_runs, LossCause.NO_RETRY_BUDGET) from error
             continue
         if run.succeeded:
