--- a/cowslipcourse/entry/silence.py
+++ b/cowslipcourse/entry/silence.py
@@ -103,5 +103,5 @@
                 begun=stream.has_events,
             )
             self._on_suspect()
-        error = TargetSilent(f"target {target} sent nothing for {silent_s:.2f} s")
+        error = TargetSilent(f"{target} sent nothing for {silent_s:.2f} s")
         stream.attempt.connection.abort(error)
