--- a/cowslipcourse/emulator/policies.py
+++ b/cowslipcourse/emulator/policies.py
@@ -26,12 +26,12 @@
 
 def _without_news():
     """Let daemons learn from the list alone."""
-    return _replaced(coordinator.Coordinator, "_note_opened", lambda *args: None)
+    return _replaced(coordinator.Coordinator, "_on_group_opened", lambda *args: None)
 
 
 def _without_endings():
     """Do not tell which groups have ended."""
-    return _replaced(coordinator, "_endings", lambda plan, groups: ())
+    return _replaced(coordinator, "_ended_group_updates", lambda plan, groups: ())
 
 
 def _without_revival():
