--- a/cowslipcourse/entry/daemon.py
+++ b/cowslipcourse/entry/daemon.py
@@ -243,11 +243,7 @@
 
     def apply_group_update(self, update):
         """Take in what a coordinator has decided about a group."""
-<<<<<<< HEAD
-        self._fleet.apply_group_update(news, asyncio.get_running_loop().time())
-=======
-        self._fleet.take_news(update, asyncio.get_running_loop().time())
->>>>>>> joined
+        self._fleet.apply_group_update(update, asyncio.get_running_loop().time())
 
     def broadcast_group_update(self, update):
         """Tell all daemons, this one first, what was decided about a group."""
