--- a/cowslipcourse/admission/budget.py
+++ b/cowslipcourse/admission/budget.py
@@ -1,4 +1,4 @@
-"""Retry budgets: repeats are a bounded fraction of requests."""
+"""Retry budgets: retries are a bounded fraction of requests."""
 
 from collections import deque
 
@@ -7,7 +7,7 @@
 MIN_DAEMON_COUNT = 8
 """Daemons that share a budget until it is known how many there are: the smallest sites
 of our users have that many."""
-SLACK_USED = 0.8
+USABLE_SLACK_FRACTION = 0.8
 """Part of the slack that is used: daemons may not know of each other for a second."""
 
 
@@ -41,10 +41,10 @@
 
 
 class SharedRetryBudget:
-    """This daemon's part of a budget for a sliding window, for each service.
+    """This daemon's slack_share of a budget for a sliding window, for each service.
 
     All daemons together may repeat ``ratio`` of a service's requests in a window and
-    ``slack`` more. Each counts its own requests and takes an equal part of the slack.
+    ``slack`` more. Each counts its own requests and takes an equal slack_share of the slack.
 
     :param settings: :class:`~cowslipcourse.entry.settings.RetrySettings`
     """
@@ -52,7 +52,7 @@
     def __init__(self, settings):
         self.settings = settings
         self._requests = {}
-        self._repeats = {}
+        self._retries = {}
         self.daemon_count = MIN_DAEMON_COUNT
 
     def record_request(self, service, now):
@@ -61,12 +61,12 @@
 
     def try_take(self, service, now):
         """Take one repeat from the budget and return whether it was there."""
-        repeats = self._recent(self._repeats, service, now)
+        retries = self._recent(self._retries, service, now)
         requests = self._recent(self._requests, service, now)
-        part = self.settings.slack * SLACK_USED / self.daemon_count
-        if len(repeats) + 1 > self.settings.ratio * len(requests) + part:
+        slack_share = self.settings.slack * USABLE_SLACK_FRACTION / self.daemon_count
+        if len(retries) + 1 > self.settings.ratio * len(requests) + slack_share:
             return False
-        repeats.append(now)
+        retries.append(now)
         return True
 
     def _recent(self, times_by_service, service, now):
--- a/cowslipcourse/admission/control.py
+++ b/cowslipcourse/admission/control.py
@@ -27,7 +27,7 @@
     Each is a multiple of what the targets can run at once.
 
     :param over_share: for workspaces beyond their share.
-    :param within_share: for workspaces within their share, by priority.
+    :param within_share: for workspaces is_within_share their share, by priority.
     :param jitter: fraction by which times to come back are spread.
     """
 
@@ -60,7 +60,7 @@
     """Decides at once whether a request is let in.
 
     Capacity that nobody else wants may be used by anybody. Once the targets are
-    full, only workspaces within their weighted share get in, and of those the
+    full, only workspaces is_within_share their weighted share get in, and of those the
     urgent requests longest.
 
     :param limits: :class:`AdmissionLimits`
@@ -86,22 +86,22 @@
             raise NoTargetAvailable("no group serves this model now", 2.0)
         if remaining_s is not None and view.wait_s > remaining_s:
             detail = f"the first token would take about {view.wait_s:.1f} s"
-            raise DeadlinePassed(detail, self._come_back_s(view, 0.0))
+            raise DeadlinePassed(detail, self._retry_after_s(view, 0.0))
         total = sum(view.in_flight.values()) + view.estimated_unreported
         own = view.in_flight.get(workspace, 0)
-        within = own < self._share(workspace, view)
-        if not within:
+        is_within_share = own < self._share(workspace, view)
+        if not is_within_share:
             if total >= self._limits.over_share * view.slots:
                 excess = total - self._limits.over_share * view.slots
                 raise WorkspaceOverShare(
                     "the workspace uses its share and the targets are full",
-                    self._come_back_s(view, excess),
+                    self._retry_after_s(view, excess),
                 )
             return
-        bound = self._limits.within_share[priority] * view.slots
-        if total >= bound:
+        limit = self._limits.within_share[priority] * view.slots
+        if total >= limit:
             raise NoTargetAvailable(
-                "the targets are full", self._come_back_s(view, total - bound)
+                "the targets are full", self._retry_after_s(view, total - limit)
             )
 
     def _share(self, workspace, view):
@@ -111,7 +111,7 @@
         weights = {name: view.weights.get(name, 1.0) for name in demands}
         return max_min_shares(view.slots, demands, weights)[workspace]
 
-    def _come_back_s(self, view, excess):
+    def _retry_after_s(self, view, excess):
         """Time until the excess has drained at the recent rate, spread."""
         per_s = view.slots / max(view.mean_answer_s, 0.05)
         drain_s = (excess + 1 + self._rng.random() * view.slots * 0.5) / per_s
--- a/cowslipcourse/admission/shares.py
+++ b/cowslipcourse/admission/shares.py
@@ -12,16 +12,16 @@
     :returns: share by workspace.
     """
     shares = {}
-    left = float(capacity)
-    open_demands = dict(demands)
-    while open_demands:
-        total = sum(weights[name] for name in open_demands)
-        level = left / total
-        small = [n for n, d in open_demands.items() if d <= level * weights[n]]
-        if not small:
-            shares.update({n: level * weights[n] for n in open_demands})
+    remaining = float(capacity)
+    unmet_demands = dict(demands)
+    while unmet_demands:
+        total = sum(weights[name] for name in unmet_demands)
+        level = remaining / total
+        satisfied = [n for n, d in unmet_demands.items() if d <= level * weights[n]]
+        if not satisfied:
+            shares.update({n: level * weights[n] for n in unmet_demands})
             break
-        for name in small:
-            shares[name] = open_demands.pop(name)
-            left -= shares[name]
+        for name in satisfied:
+            shares[name] = unmet_demands.pop(name)
+            remaining -= shares[name]
     return shares
--- a/cowslipcourse/groups/knowledge.py
+++ b/cowslipcourse/groups/knowledge.py
@@ -9,9 +9,9 @@
 
 __all__ = ["ObservedDomain", "ObservedEngine"]
 
-REPORT_LAG_S = 0.3
+MAX_REPORT_LAG_S = 0.3
 """Reports are as of some hundred ms ago; the platform declares 200."""
-_WAS_READY = (GroupState.READY, GroupState.OPEN, GroupState.CLOSING)
+_READY_STATES = (GroupState.READY, GroupState.OPEN, GroupState.CLOSING)
 
 
 class ObservedEngine:
@@ -31,7 +31,7 @@
         self.confirmed_membership = None
         self.staged = entry.staged
         self.order_count = None
-        self.reported_at = None
+        self.report_requested_at = None
         self.silent_since = None
         self.is_replaced = False
         self.pace = 1.0
@@ -45,10 +45,10 @@
         self.staging_model = None
         self.report_request_after = 0.0
         self.ungrouped_since = None
-        self._away_count = None
-        self._watched_from = 0.0
-        self._was_ready = set()
-        self._note(entry.membership)
+        self._ungrouped_order_count = None
+        self._evidence_since = 0.0
+        self._ready_places = set()
+        self._record_membership(entry.membership)
 
     @property
     def id(self):
@@ -95,28 +95,28 @@
             self.order_count = None
         self.entry = entry
         self.is_listed = True
-        self._see_staged(entry.staged)
+        self._update_staged(entry.staged)
         if not self._is_older(entry.membership):
             self.membership = entry.membership
-        self._note(entry.membership)
+        self._record_membership(entry.membership)
 
-    def update_from_report(self, report, asked_at):
+    def update_from_report(self, report, requested_at):
         """Take in a report of the same life.
 
-        :param asked_at: when it was asked for; evidence is as old as its request.
+        :param requested_at: when it was asked for; evidence is as old as its request.
         """
         if self.is_replaced:
             return
         self.order_count = report.order_count
         self.confirmed_membership = report.membership
-        self.reported_at = asked_at
+        self.report_requested_at = requested_at
         self.silent_since = None
         self.pace = report.pace
         if not self._is_older(report.membership):
             self.membership = report.membership
-        self._note_away(report, asked_at)
-        self._see_staged(report.staged)
-        self._note(report.membership)
+        self._update_ungrouped(report, requested_at)
+        self._update_staged(report.staged)
+        self._record_membership(report.membership)
 
     def next_incarnation(self, incarnation):
         """Return what is known of a later life of the engine: nothing but its address.
@@ -150,20 +150,23 @@
         What was known of it is out of date, and so are its reports for a moment.
         """
         self.order_count = None
-        self.report_request_after = now + REPORT_LAG_S
+        self.report_request_after = now + MAX_REPORT_LAG_S
 
     def require_evidence_since(self, now):
         """Take no report that was asked for before as evidence that it is away.
 
         Others may have joined it to a group since, and given that up again.
         """
-        self._watched_from = now
+        self._evidence_since = now
         self.ungrouped_since = None
 
     @property
     def needs_report(self):
         """Whether a report is wanted that is new enough to be evidence."""
-        if self.reported_at is None or self.reported_at < self._watched_from:
+        if (
+            self.report_requested_at is None
+            or self.report_requested_at < self._evidence_since
+        ):
             return True
         # It was in a group that no plan names, and has left it since.
         return self.membership is None and self.ungrouped_since is None
@@ -205,7 +208,7 @@
         """
         if self.ungrouped_since is None:
             return 0.0
-        return self.reported_at - self.ungrouped_since
+        return self.report_requested_at - self.ungrouped_since
 
     def was_ready(self, group):
         """Whether it was seen ready in a planned group with its present members.
@@ -214,7 +217,7 @@
         its address now, and be a member too.
         """
         rank = group.members.index(self.id)
-        return (group.name, group.epoch, rank) in self._was_ready
+        return (group.name, group.epoch, rank) in self._ready_places
 
     def is_joining(self, group):
         """Whether it was last seen on its way into a planned group."""
@@ -239,17 +242,20 @@
             return None
         return found.state
 
-    def _see_staged(self, staged):
+    def _update_staged(self, staged):
         self.staged = staged
         if self.staging_model in staged:
             self.staging_model = None
 
-    def _note_away(self, report, asked_at):
-        if report.membership is not None or asked_at < self._watched_from:
+    def _update_ungrouped(self, report, requested_at):
+        if report.membership is not None or requested_at < self._evidence_since:
             self.ungrouped_since = None
-        elif self.ungrouped_since is None or report.order_count != self._away_count:
-            self.ungrouped_since = asked_at
-            self._away_count = report.order_count
+        elif (
+            self.ungrouped_since is None
+            or report.order_count != self._ungrouped_order_count
+        ):
+            self.ungrouped_since = requested_at
+            self._ungrouped_order_count = report.order_count
 
     def _is_older(self, membership):
         """Whether the list or a report lags behind what is known already."""
@@ -258,12 +264,12 @@
             return False
         return membership.epoch < known.epoch
 
-    def _note(self, membership):
+    def _record_membership(self, membership):
         if membership is not None and membership.model:
             self.joined_model = membership.model
-        if membership is not None and membership.state in _WAS_READY:
+        if membership is not None and membership.state in _READY_STATES:
             place = membership.group, membership.epoch, membership.rank
-            self._was_ready.add(place)
+            self._ready_places.add(place)
             self._loaded_model = membership.model or self.joined_model
 
 
@@ -289,10 +295,10 @@
         elif entry.incarnation in (UNKNOWN_INCARNATION, known.incarnation):
             known.update_from_entry(entry._replace(incarnation=known.incarnation))
 
-    def update_from_report(self, engine_id, report, asked_at):
+    def update_from_report(self, engine_id, report, requested_at):
         """Take in a report, which may tell of another life than the list.
 
-        :param asked_at: when it was asked for.
+        :param requested_at: when it was asked for.
         """
         known = self.engines.get(engine_id)
         if known is None:
@@ -301,7 +307,7 @@
             known = known.next_incarnation(report.incarnation)
             self.engines[engine_id] = known
         if report.incarnation in (UNKNOWN_INCARNATION, known.incarnation):
-            known.update_from_report(report, asked_at)
+            known.update_from_report(report, requested_at)
 
     def update_from_plan(self, plan, now, is_own=False):
         """Note who serves in no group any more, and lives that the list has not told.
@@ -313,7 +319,7 @@
         :param is_own: whether this daemon wrote it in place of the one that it knew.
         """
         for group in plan.groups:
-            self._see_lives(group)
+            self._apply_planned_incarnations(group)
         for engine in self.engines.values():
             if self._is_released(plan, engine, is_own):
                 engine.require_evidence_since(now)
@@ -335,7 +341,7 @@
         before = known and known.group_of(engine.id, engine.incarnation)
         return before is not None and not before.is_retired
 
-    def _see_lives(self, group):
+    def _apply_planned_incarnations(self, group):
         for member in group.members:
             known = self.engines.get(member)
             meant = group.incarnation_of(member)
--- a/cowslipcourse/groups/loads.py
+++ b/cowslipcourse/groups/loads.py
@@ -4,10 +4,10 @@
 
 WINDOW_S = 5.0
 """Window in which the platform counts loads."""
-SHARE = 0.5
+SINGLE_COORDINATOR_SHARE = 0.5
 """Share of the permitted loads that a single coordinator begins: while another takes
 over, both may do so."""
-SHARED = 0.75
+TOTAL_COORDINATOR_SHARE = 0.75
 """Share that several coordinators begin together: while one takes over the domains of
 another, a part may be begun twice."""
 
@@ -16,7 +16,7 @@
     """Counts loads in a sliding window."""
 
     def __init__(self):
-        self._begun_at = []
+        self._started_at = []
 
     def try_acquire(self, loads_per_s, coordinators, now):
         """Take one load and return whether it may begin now.
@@ -25,9 +25,13 @@
         :param coordinators: number of daemons that begin loads.
         :param now: loop time.
         """
-        self._begun_at = [at for at in self._begun_at if now - at < WINDOW_S]
-        share = SHARE if coordinators < 2 else SHARED / coordinators
-        if len(self._begun_at) >= loads_per_s * WINDOW_S * share:
+        self._started_at = [at for at in self._started_at if now - at < WINDOW_S]
+        share = (
+            SINGLE_COORDINATOR_SHARE
+            if coordinators < 2
+            else TOTAL_COORDINATOR_SHARE / coordinators
+        )
+        if len(self._started_at) >= loads_per_s * WINDOW_S * share:
             return False
-        self._begun_at.append(now)
+        self._started_at.append(now)
         return True
--- a/cowslipcourse/groups/orders.py
+++ b/cowslipcourse/groups/orders.py
@@ -2,24 +2,24 @@
 
 from typing import NamedTuple
 
-from cowslipcourse.groups.knowledge import REPORT_LAG_S
+from cowslipcourse.groups.knowledge import MAX_REPORT_LAG_S
 from cowslipcourse.groups.practice import is_warming_up, is_warmup_group
 from cowslipcourse.groups.steps import Step, StepKind
 from cowslipcourse.ports import EngineOrder, GroupState, OrderOperation
 
 __all__ = ["is_present", "next_steps"]
 
-JOIN_AGAIN_S = 1.0
+JOIN_RETRY_S = 1.0
 """Time after which a join that shows no effect is looked into; a list lags less."""
-OPEN_AGAIN_S = 1.5
+OPEN_RETRY_S = 1.5
 """The same for an open order, which takes effect after the opening time."""
-ASK_AGAIN_S = 0.5
+REPORT_REQUEST_INTERVAL_S = 0.5
 """Interval at which engines are asked that still have to leave a group."""
-ASK_MARGIN_S = 0.02
+REPORT_REQUEST_MARGIN_S = 0.02
 """Asked that much after an engine may have been away for long enough."""
-HEAD_AWAY_S = REPORT_LAG_S
+HEAD_UNGROUPED_S = MAX_REPORT_LAG_S
 """Time for which a head's reports must say that it has left: they may be that old."""
-DRAIN_S = 2.5
+DRAIN_TIMEOUT_S = 2.5
 """Time for the requests of a group that is given up for another model; most streams
 end within two seconds, and the callers of that model have no group meanwhile."""
 STALL_MARGIN_S = 0.5
@@ -44,7 +44,7 @@
         elif all(is_present(group, member, engines) for member in group.members):
             steps += _form(group, engines, models, now)
     steps += _leave_unplanned_groups(plan, engines)
-    steps += _ask_for_evidence(plan, engines)
+    steps += _request_evidence(plan, engines)
     return [step for step in steps if now >= engines[step.engine].report_request_after]
 
 
@@ -67,7 +67,10 @@
     members = [engines[member] for member in group.members]
     busy = _serving_elsewhere(group, members, engines)
     if busy:
-        return [_order(e, OrderOperation.LEAVE, _Stray.of(found)) for e, found in busy]
+        return [
+            _order(e, OrderOperation.LEAVE, _UnplannedGroup.of(found))
+            for e, found in busy
+        ]
     waiting = [engine for engine in members if not engine.was_ready(group)]
     if waiting:
         steps = (_join(group, engine, models, now) for engine in waiting)
@@ -96,7 +99,7 @@
     }
     leaving = {engine.id for engine, _ in found}
     for engine in engines.values():
-        served = _served_one_of(engine, others)
+        served = _head_membership_in(engine, others)
         if served is not None and engine.id not in leaving:
             found.append((engine, served))
     return found
@@ -110,7 +113,7 @@
     )
 
 
-def _served_one_of(engine, groups):
+def _head_membership_in(engine, groups):
     """Return the membership by which a head serves one of some groups, or ``None``."""
     if not engine.is_live:
         return None
@@ -128,22 +131,24 @@
 def _join(group, engine, models, now):
     joined_at = engine.join_sent_at.get(group.epoch)
     if joined_at is not None:
-        due_at = joined_at + _join_s(group, engine, models)
-        asked_at = engine.reported_at or 0.0
-        if now < due_at or (asked_at > due_at and now - asked_at < JOIN_AGAIN_S):
+        due_at = joined_at + _expected_join_s(group, engine, models)
+        requested_at = engine.report_requested_at or 0.0
+        if now < due_at or (
+            requested_at > due_at and now - requested_at < JOIN_RETRY_S
+        ):
             return None
-        if asked_at <= due_at or now - asked_at >= JOIN_AGAIN_S:
-            if asked_at > joined_at and engine.state_in(group) is None:
+        if requested_at <= due_at or now - requested_at >= JOIN_RETRY_S:
+            if requested_at > joined_at and engine.state_in(group) is None:
                 return _order(engine, OrderOperation.JOIN, group)
             return Step(StepKind.ASK, engine.id)
     return _order(engine, OrderOperation.JOIN, group)
 
 
-def _join_s(group, engine, models):
+def _expected_join_s(group, engine, models):
     """Return the seconds after which a join should have led to ready."""
     model = models.get(group.model)
     if model is None:
-        return JOIN_AGAIN_S
+        return JOIN_RETRY_S
     return engine.expected_join_s.get(group.epoch, REJOIN_S)
 
 
@@ -152,7 +157,7 @@
     if state in (GroupState.OPEN, GroupState.CLOSING):
         return []
     opened_at = head.open_sent_at.get(group.epoch)
-    if opened_at is not None and now - opened_at < OPEN_AGAIN_S:
+    if opened_at is not None and now - opened_at < OPEN_RETRY_S:
         return []
     if state is GroupState.READY:
         return [_order(head, OrderOperation.OPEN, group)]
@@ -184,7 +189,9 @@
     if head is not None and head.silent_since is None:
         if group.successor and not _is_drained(group, head, now):
             return _drain(group, head, now)
-        return _leave(group, head, HEAD_AWAY_S, now) + _release(group, engines, now)
+        return _leave(group, head, HEAD_UNGROUPED_S, now) + _release(
+            group, engines, now
+        )
     ungrouped_s = stall_s + STALL_MARGIN_S
     steps = []
     for member in group.members:
@@ -210,7 +217,7 @@
 def _is_drained(group, head, now):
     """Whether a head has finished its requests, or had the time to."""
     closed_at = head.close_sent_at.get(group.epoch)
-    if closed_at is not None and now - closed_at >= DRAIN_S:
+    if closed_at is not None and now - closed_at >= DRAIN_TIMEOUT_S:
         return True
     return head.state_in(group) not in (GroupState.OPEN, GroupState.CLOSING)
 
@@ -222,7 +229,7 @@
         and group.epoch not in head.close_sent_at
     ):
         return [_order(head, OrderOperation.CLOSE, group)]
-    is_due = now - (head.reported_at or 0.0) >= ASK_AGAIN_S
+    is_due = now - (head.report_requested_at or 0.0) >= REPORT_REQUEST_INTERVAL_S
     return [Step(StepKind.ASK, head.id)] if is_due else []
 
 
@@ -231,9 +238,9 @@
     if engine.state_in(group) is not None:
         return [_order(engine, OrderOperation.LEAVE, group)]
     if engine.ungrouped_since is not None and engine.ungrouped_s <= ungrouped_s:
-        due_at = engine.ungrouped_since + ungrouped_s + ASK_MARGIN_S
+        due_at = engine.ungrouped_since + ungrouped_s + REPORT_REQUEST_MARGIN_S
     else:
-        due_at = (engine.reported_at or 0.0) + ASK_AGAIN_S
+        due_at = (engine.report_requested_at or 0.0) + REPORT_REQUEST_INTERVAL_S
     return [Step(StepKind.ASK, engine.id)] if now >= due_at else []
 
 
@@ -248,11 +255,11 @@
             continue
         if is_warming_up(engine):
             continue
-        steps.append(_order(engine, OrderOperation.LEAVE, _Stray.of(found)))
+        steps.append(_order(engine, OrderOperation.LEAVE, _UnplannedGroup.of(found)))
     return steps
 
 
-def _ask_for_evidence(plan, engines):
+def _request_evidence(plan, engines):
     """Ask engines that no plan holds and that may be free: only a report proves it."""
     return [
         Step(StepKind.ASK, engine.id)
@@ -263,7 +270,7 @@
     ]
 
 
-class _Stray(NamedTuple):
+class _UnplannedGroup(NamedTuple):
     """A group that an engine is in, whatever the plan says."""
 
     name: str
--- a/cowslipcourse/groups/practice.py
+++ b/cowslipcourse/groups/practice.py
@@ -12,7 +12,7 @@
 
 __all__ = ["is_warming_up", "is_warmup_group", "warmup_step"]
 
-_END = ".alone"
+_NAME_SUFFIX = ".alone"
 """End of the names of such groups; those of planned groups end with a number."""
 
 
@@ -21,13 +21,13 @@
 
     :param membership: :class:`~cowslipcourse.ports.GroupMembership` or ``None``.
     """
-    return membership is not None and membership.group.endswith(_END)
+    return membership is not None and membership.group.endswith(_NAME_SUFFIX)
 
 
 def is_warming_up(engine):
     """Whether an engine is on its way into a group of its own."""
-    found = engine.membership
-    return is_warmup_group(found) and found.state is GroupState.JOINING
+    membership = engine.membership
+    return is_warmup_group(membership) and membership.state is GroupState.JOINING
 
 
 def warmup_step(plan, engine, models):
@@ -49,7 +49,7 @@
     order = EngineOrder(
         OrderOperation.JOIN,
         engine.order_count,
-        group=f"{plan.domain}-{engine.id}{_END}",
+        group=f"{plan.domain}-{engine.id}{_NAME_SUFFIX}",
         epoch=plan.version,
         model=held[0],
         members=(engine.id,),
--- a/cowslipcourse/groups/revision.py
+++ b/cowslipcourse/groups/revision.py
@@ -6,13 +6,13 @@
 
 __all__ = ["revise_plan"]
 
-SWAP_GAIN_S = 2.0
+MIN_REPLACEMENT_GAIN_S = 2.0
 """A member that still loads is replaced by a free engine that holds the model only if
 the group serves this much earlier; joining again takes a few tenths of a second."""
 
 
 def revise_plan(
-    plan, engines, sizes, model_demands, shape, broken=frozenset(), changes=()
+    plan, engines, sizes, demands, assignment, broken=frozenset(), reassignments=()
 ):
     """Return the groups that a domain shall have, as a tuple.
 
@@ -24,25 +24,27 @@
     :param plan: present :class:`~cowslipcourse.groups.DomainPlan`
     :param engines: iterable of :class:`EngineView` of the domain.
     :param sizes: group size by model.
-    :param model_demands: iterable of :class:`ModelDemand`.
-    :param shape: :class:`~cowslipcourse.groups.DomainAssignment` of the domain.
+    :param demands: iterable of :class:`ModelDemand`.
+    :param assignment: :class:`~cowslipcourse.groups.DomainAssignment` of the domain.
     :param broken: names of groups that are whole but must be formed anew.
-    :param changes: iterable of :class:`~cowslipcourse.groups.Reassignment` of this
+    :param reassignments: iterable of :class:`~cowslipcourse.groups.Reassignment` of this
         domain.
     """
-    return _Revision(plan, engines, sizes, shape, broken).make(model_demands, changes)
+    return _Revision(plan, engines, sizes, assignment, broken).make(
+        demands, reassignments
+    )
 
 
 class _Revision:
-    def __init__(self, plan, engines, sizes, shape, broken):
-        self._shape = shape
+    def __init__(self, plan, engines, sizes, assignment, broken):
+        self._assignment = assignment
         self._domain = plan.domain
         self._epoch = plan.next_epoch
         self._broken = broken
         self._sizes = sizes
         self._views = {view.id: view for view in engines}
         self._groups = {group.name: group for group in plan.groups}
-        self._cold = []
+        self._cold_engines = []
         self._free = [
             view
             for view in self._views.values()
@@ -51,76 +53,78 @@
             and plan.group_of(view.id, view.incarnation) is None
         ]
 
-    def make(self, model_demands, changes):
-        self._begin(changes)
+    def make(self, demands, reassignments):
+        self._retire_reassigned(reassignments)
         self._drop_released()
         self._drop_unlisted()
-        self._leave_cold_engines()
+        self._set_aside_cold_engines()
         for group in self._incomplete():
             self._repair(group)
         self._reinstate_retired()
         self._replace_loading_members()
-        if self._shape.model is None:
-            self._give_up_one()
+        if self._assignment.model is None:
+            self._retire_one_incomplete()
         else:
-            self._give_up_all()
-        self._form(model_demands)
+            self._retire_all_incomplete()
+        self._form(demands)
         return tuple(self._groups.values())
 
     def _drop_released(self):
         """Drop retired groups whose members are all free or gone."""
-        released = [group for group in self._groups.values() if self._is_over(group)]
+        released = [
+            group for group in self._groups.values() if self._is_released(group)
+        ]
         for model in sorted({group.successor for group in released}):
             ended = [group for group in released if group.successor == model]
             freed = [v for group in ended for v in self._members(group)]
             freed = [view for view in freed if view and view.is_live]
-            if model and self._must_wait(model, len(freed)):
+            if model and self._awaits_more_engines(model, len(freed)):
                 continue
             for group in ended:
                 del self._groups[group.name]
-            self._free += self._succeed(model, freed) if model else freed
+            self._free += self._form_successors(model, freed) if model else freed
 
-    def _is_over(self, group):
+    def _is_released(self, group):
         views = self._members(group)
         return group.is_retired and all(view is None or view.is_free for view in views)
 
-    def _must_wait(self, model, number):
+    def _awaits_more_engines(self, model, number):
         """Whether engines of several groups make one of a successor, and not all left.
 
         :param model: the successor.
         :param number: engines that have left.
         """
         others = any(
-            group.successor == model and not self._is_over(group)
+            group.successor == model and not self._is_released(group)
             for group in self._groups.values()
         )
         return others and number < self._sizes.get(model, 0)
 
-    def _begin(self, changes):
+    def _retire_reassigned(self, reassignments):
         """Give up the groups whose engines shall serve another model."""
-        for change in changes:
-            for name in change.groups if change.is_warm else ():
+        for reassignment in reassignments:
+            for name in reassignment.groups if reassignment.is_warm else ():
                 group = self._groups.get(name)
                 if group is not None and not group.is_retired:
                     self._groups[name] = group._replace(
-                        is_retired=True, successor=change.model
+                        is_retired=True, successor=reassignment.model
                     )
 
-    def _succeed(self, model, freed):
+    def _form_successors(self, model, freed):
         """Form groups of a successor of those who hold it; return who is left."""
         warm = [view for view in freed if model in view.warm_models]
         size = self._sizes.get(model, 0)
         number = len(warm) // size if size else 0
         for each in range(number):
             members = tuple(view.id for view in warm[each * size : (each + 1) * size])
-            self._add(model, members)
+            self._add_group(model, members)
         used = warm[: number * size]
         return [view for view in freed if view not in used]
 
-    def _add(self, model, members):
+    def _add_group(self, model, members):
         name = self._new_name()
         self._groups[name] = PlannedGroup(name, model, self._epoch, members)
-        self._replan(self._groups[name], members)
+        self._set_members(self._groups[name], members)
 
     def _members(self, group):
         """Return the views of a group's members; ``None`` for a life that is over."""
@@ -143,20 +147,22 @@
             if not any(view is not None and view.is_listed for view in views):
                 del self._groups[group.name]
 
-    def _leave_cold_engines(self):
+    def _set_aside_cold_engines(self):
         """Use engines of a domain of one model only once they hold it.
 
         While one of its members loads, the others of a group could serve elsewhere.
         That does not matter before a first group holds the model: at the start loads
         are short, and without such a group nothing waits for spares.
         """
-        model = self._shape.model
-        if any(self._holds(group, model) for group in self._groups.values()):
-            self._cold = [view for view in self._free if model not in view.warm_models]
+        model = self._assignment.model
+        if any(self._is_warm(group, model) for group in self._groups.values()):
+            self._cold_engines = [
+                view for view in self._free if model not in view.warm_models
+            ]
             self._free = [view for view in self._free if model in view.warm_models]
 
-    def _holds(self, group, model):
-        """Whether all members of a group that is not given up hold a model."""
+    def _is_warm(self, group, model):
+        """Whether all members of a group that is not retired up hold a model."""
         views = self._members(group)
         return not group.is_retired and all(
             view is not None and model in view.warm_models for view in views
@@ -171,15 +177,15 @@
     def _is_incomplete(self, group):
         if group.epoch == self._epoch:
             return False
-        return group.name in self._broken or self._lacking(group) > 0
+        return group.name in self._broken or self._missing_count(group) > 0
 
-    def _lacking(self, group):
-        return self._size(group) - len(self._survivors(group))
+    def _missing_count(self, group):
+        return self._size(group) - len(self._live_members(group))
 
     def _size(self, group):
         return self._sizes.get(group.model, len(group.members))
 
-    def _survivors(self, group):
+    def _live_members(self, group):
         views = self._members(group)
         return [view.id for view in views if view is not None and view.is_live]
 
@@ -191,18 +197,20 @@
         )
 
     def _repair(self, group):
-        lacking = self._lacking(group)
-        if lacking > len(self._free):
+        missing = self._missing_count(group)
+        if missing > len(self._free):
             return
         warm = sum(group.model in view.warm_models for view in self._free)
-        if lacking > warm and self._is_still_serving(group):
+        if missing > warm and self._is_still_serving(group):
             # Loading from the weight store takes longer than the member stays.
             return
-        members = tuple(self._survivors(group)) + self._take(group.model, lacking)
-        self._replan(group, members)
+        members = tuple(self._live_members(group)) + self._take_free(
+            group.model, missing
+        )
+        self._set_members(group, members)
 
     def _reinstate_retired(self):
-        """Form given-up groups anew under their names, as far as engines are free.
+        """Form retired-up groups anew under their names, as far as engines are free.
 
         The survivors of a group whose head is silent are not free for others until the
         head must have broken, 4.5 s later. Under the group's own name they need not
@@ -213,14 +221,14 @@
             for group in self._groups.values()
             if group.is_retired and not group.successor
         ]
-        for group in sorted(retired, key=self._lacking):
+        for group in sorted(retired, key=self._missing_count):
             held = [view for view in self._members(group) if view and view.is_live]
             warm = sum(group.model in view.warm_models for view in self._free)
-            if held and 0 < self._lacking(group) <= warm:
+            if held and 0 < self._missing_count(group) <= warm:
                 self._groups[group.name] = group._replace(is_retired=False)
                 self._repair(self._groups[group.name])
 
-    def _replan(self, group, members):
+    def _set_members(self, group, members):
         """Give a group other members, and the epoch that goes with them."""
         self._groups[group.name] = group._replace(
             members=members,
@@ -231,7 +239,7 @@
     def _incarnations_of(self, members):
         return tuple(self._views[member].incarnation for member in members)
 
-    def _take(self, model, number):
+    def _take_free(self, model, number):
         """Take free engines, those that hold the model first."""
         self._free.sort(
             key=lambda view: (view.is_slow, model not in view.warm_models, view.id)
@@ -248,13 +256,13 @@
             if not self._views.keys() >= set(group.members):
                 continue
             for member in group.members:
-                self._swap(group, member)
+                self._replace_member(group, member)
 
-    def _swap(self, group, member):
+    def _replace_member(self, group, member):
         view = self._views.get(member)
         if view is None or not view.is_live:
             return
-        if view.ready_in_s < SWAP_GAIN_S and not view.is_slow:
+        if view.ready_in_s < MIN_REPLACEMENT_GAIN_S and not view.is_slow:
             return
         group = self._groups[group.name]
         # A member that has started again is free, and stands in the group's list still.
@@ -269,64 +277,68 @@
             return
         self._free.remove(warm[0])
         kept = tuple(each for each in group.members if each != member)
-        self._replan(group, (*kept, warm[0].id))
+        self._set_members(group, (*kept, warm[0].id))
 
-    def _beyond_repair(self):
+    def _unrepairable_groups(self):
         """Return the groups that lack members and do not serve."""
         return [g for g in self._incomplete() if not self._is_still_serving(g)]
 
-    def _give_up_all(self):
+    def _retire_all_incomplete(self):
         """Retire all groups that cannot be completed.
 
         It takes a while until their members are free, and the next loss is soon.
         """
-        for group in self._beyond_repair():
+        for group in self._unrepairable_groups():
             self._groups[group.name] = group._replace(is_retired=True)
 
-    def _give_up_one(self):
+    def _retire_one_incomplete(self):
         """Retire an incomplete group if its members would complete another one."""
-        broken = self._beyond_repair()
+        broken = self._unrepairable_groups()
         if len(broken) < 2:
             return
-        # The fewest survivors are given up; the rest may then be repaired.
-        given = min(broken, key=lambda g: len(self._survivors(g)))
-        helped = len(self._survivors(given)) + len(self._free)
+        # The fewest survivors are retired up; the rest may then be repaired.
+        retired = min(broken, key=lambda g: len(self._live_members(g)))
+        available = len(self._live_members(retired)) + len(self._free)
         for group in broken:
-            if group is not given and self._lacking(group) <= helped:
-                self._groups[given.name] = given._replace(is_retired=True)
+            if group is not retired and self._missing_count(group) <= available:
+                self._groups[retired.name] = retired._replace(is_retired=True)
                 return
 
-    def _form(self, model_demands):
+    def _form(self, demands):
         """Form a new group of what is free beyond the spares."""
-        pending = sum(self._lacking(group) for group in self._incomplete())
-        kept = max(self._shape.spares, pending)
-        own = [w for w in model_demands if self._shape.model in (None, w.model)]
-        for wish in sorted(own, key=lambda w: -w.urgency):
-            if len(self._free) - kept >= wish.size:
-                self._add(wish.model, self._take(wish.model, wish.size))
+        pending = sum(self._missing_count(group) for group in self._incomplete())
+        kept = max(self._assignment.spare_count, pending)
+        own = [w for w in demands if self._assignment.model in (None, w.model)]
+        for demand in sorted(own, key=lambda w: -w.urgency):
+            if len(self._free) - kept >= demand.size:
+                self._add_group(
+                    demand.model, self._take_free(demand.model, demand.size)
+                )
                 break
-        if self._shape.model is not None and not pending:
-            self._form_of_cold(model_demands)
+        if self._assignment.model is not None and not pending:
+            self._form_from_cold_engines(demands)
 
-    def _form_of_cold(self, model_demands):
+    def _form_from_cold_engines(self, demands):
         """Form groups of engines that hold another model than the domain serves.
 
         They would serve nobody for as long as they load that one. A model that is
         wanted less gets none of them: each group that loses a member would give its
         engines to it.
         """
-        urgencies = {wish.model: wish.urgency for wish in model_demands}
-        own = urgencies.get(self._shape.model, 0.0)
-        cold = [
-            v for v in self._free if self._shape.model not in v.warm_models
-        ] + self._cold
-        held = {model for view in cold for model in view.warm_models}
+        urgencies = {demand.model: demand.urgency for demand in demands}
+        own = urgencies.get(self._assignment.model, 0.0)
+        cold_engines = [
+            v for v in self._free if self._assignment.model not in v.warm_models
+        ] + self._cold_engines
+        held = {model for view in cold_engines for model in view.warm_models}
         for model in sorted(m for m in held if urgencies.get(m, 0.0) > own):
             size = self._sizes.get(model)
-            warm = [view for view in cold if model in view.warm_models]
+            warm = [view for view in cold_engines if model in view.warm_models]
             while size and len(warm) >= size:
-                self._add(model, tuple(view.id for view in warm[:size]))
-                cold = [view for view in cold if view not in warm[:size]]
+                self._add_group(model, tuple(view.id for view in warm[:size]))
+                cold_engines = [
+                    view for view in cold_engines if view not in warm[:size]
+                ]
                 warm = warm[size:]
 
     def _new_name(self):
--- a/cowslipcourse/groups/shape.py
+++ b/cowslipcourse/groups/shape.py
@@ -2,7 +2,7 @@
 
 A group is repaired at once only by an engine that holds its model; loading weights
 takes ten times as long. If all engines of a domain hold one model, the survivors of a
-group that cannot be completed are such spares for the other groups, and no engine has
+group that cannot be completed are such spare_count for the other groups, and no engine has
 to stand by from the start. So domains are divided among the models where there are
 enough.
 """
@@ -14,16 +14,16 @@
 
 __all__ = ["MIXED_ASSIGNMENT", "DomainAssignment", "assign_domain"]
 
-LEAST_DOMAINS = 2
+MIN_DOMAINS_PER_MODEL = 2
 """Domains that each model must have: one may go dark as a whole."""
-MIXED_SPARES = 2
+MIXED_DOMAIN_SPARES = 2
 """Engines kept free in a domain of several models, one that holds each model: about two
 are lost there in a day."""
-HALF_DOMAIN = 0.5
-"""Added to the number of domains in the divisor of Sainte-Lague's method."""
-SAME_PLACE = 0.7
-"""Factor on the claim of a model that has a domain in the same data centre already. It
-moves a domain only if claims are close: numbers by share come first."""
+SAINTE_LAGUE_OFFSET = 0.5
+"""Added to the domain_count of domains in the divisor of Sainte-Lague's method."""
+SAME_DATA_CENTRE_FACTOR = 0.7
+"""Factor on the quotient of a model that has a domain in the same data centre already. It
+moves a domain only if claims are close: counts by share come first."""
 
 
 class DomainAssignment(NamedTuple):
@@ -31,54 +31,56 @@
 
     :param model: the model that it serves, but for groups that have changed over or
         are formed of engines which hold another one; ``None`` for any.
-    :param spares: engines to be kept free for repairs.
+    :param spare_count: engines to be kept free for repairs.
     """
 
     model: str | None
-    spares: int
+    spare_count: int
 
 
-MIXED_ASSIGNMENT = DomainAssignment(None, MIXED_SPARES)
+MIXED_ASSIGNMENT = DomainAssignment(None, MIXED_DOMAIN_SPARES)
 
 
-def assign_domain(domain, plans, places, models, held=()):
+def assign_domain(domain, plans, data_centres, models, warm_models=()):
     """Return the :class:`DomainAssignment` of a domain.
 
     :param domain: name of the domain.
     :param plans: :class:`~cowslipcourse.groups.DomainPlan` by domain.
-    :param places: data centre by domain, of all domains that are known.
+    :param data_centres: data centre by domain, of all domains that are known.
     :param models: iterable of :class:`~cowslipcourse.routes.EngineModel`.
-    :param held: models that the domain's engines hold, once for each engine.
+    :param warm_models: models that the domain's engines hold, once for each engine.
     """
     total = sum(model.share for model in models)
     if total <= 0 or len(models) < 2:
         return MIXED_ASSIGNMENT
-    number = len(places)
-    if any(round(number * m.share / total) < LEAST_DOMAINS for m in models):
+    domain_count = len(data_centres)
+    if any(
+        round(domain_count * m.share / total) < MIN_DOMAINS_PER_MODEL for m in models
+    ):
         return MIXED_ASSIGNMENT
-    model = _most_served(plans.get(domain), models)
+    model = _most_served_model(plans.get(domain), models)
     if model is None:
-        model = _most_held(held, plans, models)
+        model = _most_warm_model(warm_models, plans, models)
     if model is None:
-        model = _assigned(domain, plans, places, models)
+        model = _apportioned_model(domain, plans, data_centres, models)
     return DomainAssignment(model, 0)
 
 
-def _most_served(plan, models):
+def _most_served_model(plan, models):
     """Return the model that most engines of a plan serve, ``None`` if none does."""
     engines = Counter()
     for group in () if plan is None else plan.groups:
         if not group.is_retired:
             engines[group.model] += len(group.members)
-    return _first(engines, models)
+    return _top_model(engines, models)
 
 
-def _most_held(held, plans, models):
+def _most_warm_model(warm_models, plans, models):
     """Return the model that most engines hold: a domain that was dark comes back so.
 
     ``None`` if another model is wanted more: hosts may hold what they stand by for.
     """
-    model = _first(Counter(held), models)
+    model = _top_model(Counter(warm_models), models)
     urgencies = {
         wish.model: wish.urgency for wish in model_demands(models, plans.values())
     }
@@ -86,44 +88,48 @@
     return model if is_wanted else None
 
 
-def _first(numbers, models):
-    known = [model for model in models if numbers[model.name]]
-    best = max(known, key=lambda m: (numbers[m.name], m.share, m.name), default=None)
+def _top_model(counts, models):
+    known = [model for model in models if counts[model.name]]
+    best = max(known, key=lambda m: (counts[m.name], m.share, m.name), default=None)
     return None if best is None else best.name
 
 
-def _served(plan):
+def _active_models(plan):
     """Return the models of a plan's active groups."""
     if plan is None:
         return set()
     return {group.model for group in plan.groups if not group.is_retired}
 
 
-def _assigned(domain, plans, places, models):
+def _apportioned_model(domain, plans, data_centres, models):
     """Return the model of a domain that serves none yet.
 
     All such domains are gone through in the order of their names, so that coordinators
     that begin at the same time divide them as one would.
     """
-    taken = {model.name: [] for model in models}
+    assigned_data_centres = {model.name: [] for model in models}
     for other, plan in plans.items():
-        for model in _served(plan):
-            if model in taken:
-                taken[model].append(places.get(other))
-    for other in sorted(places):
-        if _served(plans.get(other)):
+        for model in _active_models(plan):
+            if model in assigned_data_centres:
+                assigned_data_centres[model].append(data_centres.get(other))
+    for other in sorted(data_centres):
+        if _active_models(plans.get(other)):
             continue
-        model = _most_entitled(other, taken, places, models)
+        model = _highest_quotient(other, assigned_data_centres, data_centres, models)
         if other == domain:
             return model
-        taken[model].append(places[other])
+        assigned_data_centres[model].append(data_centres[other])
     raise ValueError(f"{domain} is not among the domains")
 
 
-def _most_entitled(domain, taken, places, models):
-    def claim(model):
-        divisor = len(taken[model.name]) + HALF_DOMAIN
-        factor = SAME_PLACE if places[domain] in taken[model.name] else 1.0
+def _highest_quotient(domain, assigned_data_centres, data_centres, models):
+    def quotient(model):
+        divisor = len(assigned_data_centres[model.name]) + SAINTE_LAGUE_OFFSET
+        factor = (
+            SAME_DATA_CENTRE_FACTOR
+            if data_centres[domain] in assigned_data_centres[model.name]
+            else 1.0
+        )
         return model.share / divisor * factor, model.name
 
-    return max(models, key=claim).name
+    return max(models, key=quotient).name
--- a/cowslipcourse/groups/situation.py
+++ b/cowslipcourse/groups/situation.py
@@ -1,6 +1,6 @@
-"""What follows from the knowledge of a domain for the revision of its plan."""
+"""What follows from the observed of a domain for the revision of its plan."""
 
-from cowslipcourse.groups.orders import HEAD_AWAY_S, STALL_MARGIN_S, is_present
+from cowslipcourse.groups.orders import HEAD_UNGROUPED_S, STALL_MARGIN_S, is_present
 from cowslipcourse.groups.practice import is_warmup_group
 from cowslipcourse.groups.views import EngineView, ModelDemand
 from cowslipcourse.ports import GroupState
@@ -14,32 +14,32 @@
     "spare_engines",
 ]
 
-HALF_GROUP = 0.5
+GROUP_COUNT_OFFSET = 0.5
 """Added to the number of groups, so that the first group of a model has an urgency."""
 
 
-def engine_views(plan, knowledge, stall_s, now):
+def engine_views(plan, observed, stall_s, now):
     """Return an :class:`~cowslipcourse.groups.EngineView` of each engine.
 
     :param plan: :class:`~cowslipcourse.groups.DomainPlan`
-    :param knowledge: :class:`~cowslipcourse.groups.ObservedDomain`
+    :param observed: :class:`~cowslipcourse.groups.ObservedDomain`
     :param stall_s: time after which a head that lacks a member is broken.
     :param now: loop time.
     """
     return [
-        _engine_view(plan, knowledge, engine, stall_s, now)
-        for engine in knowledge.engines.values()
+        _engine_view(plan, observed, engine, stall_s, now)
+        for engine in observed.engines.values()
     ]
 
 
-def _engine_view(plan, knowledge, engine, stall_s, now):
+def _engine_view(plan, observed, engine, stall_s, now):
     group = plan.group_of(engine.id, engine.incarnation)
     return EngineView(
         id=engine.id,
         incarnation=engine.incarnation,
         warm_models=engine.warm_models,
         is_live=engine.is_live,
-        is_free=is_free(plan, knowledge, engine, stall_s),
+        is_free=is_free(plan, observed, engine, stall_s),
         is_leaving=engine.is_leaving,
         ready_in_s=0.0 if group is None else engine.ready_in_s(group, now),
         pace=engine.pace,
@@ -47,7 +47,7 @@
     )
 
 
-def is_free(plan, knowledge, engine, stall_s):
+def is_free(plan, observed, engine, stall_s):
     """Whether an engine is in no group, or in one whose head cannot be serving.
 
     Only its own reports prove that it is in none, and only those that are newer than
@@ -65,48 +65,48 @@
         )
     if not group.is_retired:
         return False
-    head = knowledge.engines.get(group.head)
+    head = observed.engines.get(group.head)
     if head is not None and not group.has_member(head.id, head.incarnation):
         return True
     if head is not None and head.silent_since is None:
-        return head.ungrouped_s > HEAD_AWAY_S
-    is_away = engine.ungrouped_s > HEAD_AWAY_S or not engine.is_live
-    return is_away and _has_broken(group, knowledge, stall_s)
+        return head.ungrouped_s > HEAD_UNGROUPED_S
+    is_ungrouped = engine.ungrouped_s > HEAD_UNGROUPED_S or not engine.is_live
+    return is_ungrouped and _head_has_broken(group, observed, stall_s)
 
 
-def _has_broken(group, knowledge, stall_s):
+def _head_has_broken(group, observed, stall_s):
     """Whether a silent head must have broken, as a member left for long enough."""
-    engines = [knowledge.engines.get(member) for member in group.members]
+    engines = [observed.engines.get(member) for member in group.members]
     longest_s = max(engine.ungrouped_s for engine in engines if engine is not None)
     return longest_s > stall_s + STALL_MARGIN_S
 
 
-def broken_groups(plan, knowledge):
+def broken_groups(plan, observed):
     """Return the names of groups whose heads say that they are broken."""
     return frozenset(
         group.name
         for group in plan.groups
         if not group.is_retired
-        and group.head in knowledge.engines
-        and knowledge.engines[group.head].state_in(group) is GroupState.BROKEN
+        and group.head in observed.engines
+        and observed.engines[group.head].state_in(group) is GroupState.BROKEN
     )
 
 
-def spare_engines(plan, knowledge):
+def spare_engines(plan, observed):
     """Return the live engines that the plan holds in no group."""
     return [
         engine
-        for engine in knowledge.engines.values()
+        for engine in observed.engines.values()
         if engine.is_live and plan.group_of(engine.id, engine.incarnation) is None
     ]
 
 
-def models_awaiting_members(plan, knowledge):
+def models_awaiting_members(plan, observed):
     """Return the models of groups that lack a live member."""
     return {
         group.model
         for group in plan.groups
-        if not all(is_present(group, m, knowledge.engines) for m in group.members)
+        if not all(is_present(group, m, observed.engines) for m in group.members)
     }
 
 
@@ -125,6 +125,8 @@
             if group.model in counts and not group.is_retired:
                 counts[group.model] += 1
     return [
-        ModelDemand(m.name, m.size, m.share / m.size / (counts[m.name] + HALF_GROUP))
+        ModelDemand(
+            m.name, m.size, m.share / m.size / (counts[m.name] + GROUP_COUNT_OFFSET)
+        )
         for m in models
     ]
--- a/cowslipcourse/groups/staging.py
+++ b/cowslipcourse/groups/staging.py
@@ -1,10 +1,10 @@
-"""Which model a free engine shall hold on its host."""
+"""Which model a free_engines engine shall hold on its host."""
 
 __all__ = ["choose_staging"]
 
 
-def choose_staging(plan, free, models, waiting):
-    """Return ``{engine id: model name}`` for free engines that should load one.
+def choose_staging(plan, free_engines, models, awaited_models):
+    """Return ``{engine id: model name}`` for free_engines engines that should load one.
 
     A spare that holds the model repairs a group in the time of a warm load. A group
     that waits for a spare comes first. Then each model gets one spare, and the rest go
@@ -12,46 +12,58 @@
     replaced only if another spare holds it too.
 
     :param plan: :class:`~cowslipcourse.groups.DomainPlan`
-    :param free: :class:`~cowslipcourse.groups.ObservedEngine` of free live engines.
+    :param free_engines: :class:`~cowslipcourse.groups.ObservedEngine` of free_engines live engines.
     :param models: iterable of :class:`~cowslipcourse.routes.EngineModel`.
-    :param waiting: models of groups that wait for a spare that holds them.
+    :param awaited_models: models of groups that wait for a spare that holds them.
     """
-    at_risk = {model.name: model.share for model in models}
+    engines_at_risk = {model.name: model.share for model in models}
     for group in plan.groups:
-        if group.model in at_risk and not group.is_retired:
-            at_risk[group.model] += len(group.members)
-    held = {engine.id: _held(engine, at_risk) for engine in free}
-    covering = {name: list(held.values()).count(name) for name in at_risk}
+        if group.model in engines_at_risk and not group.is_retired:
+            engines_at_risk[group.model] += len(group.members)
+    staged_models = {
+        engine.id: _staged_model(engine, engines_at_risk) for engine in free_engines
+    }
+    spare_counts = {
+        name: list(staged_models.values()).count(name) for name in engines_at_risk
+    }
     chosen = {}
-    for engine in sorted(free, key=lambda e: (held[e.id] is not None, e.id)):
-        own = held[engine.id]
-        if engine.staging_model is not None or (own in covering and covering[own] < 2):
+    for engine in sorted(
+        free_engines, key=lambda e: (staged_models[e.id] is not None, e.id)
+    ):
+        current = staged_models[engine.id]
+        if engine.staging_model is not None or (
+            current in spare_counts and spare_counts[current] < 2
+        ):
             continue
-        model = _most_wanted(at_risk, covering, waiting)
-        if model is None or model == own or (own in covering and covering[model]):
+        model = _most_wanted_model(engines_at_risk, spare_counts, awaited_models)
+        if (
+            model is None
+            or model == current
+            or (current in spare_counts and spare_counts[model])
+        ):
             continue
-        if own in covering:
-            covering[own] -= 1
-        covering[model] += 1
+        if current in spare_counts:
+            spare_counts[current] -= 1
+        spare_counts[model] += 1
         chosen[engine.id] = model
     return chosen
 
 
-def _held(engine, models):
+def _staged_model(engine, models):
     """Return the model that an engine loads, or can join without a load."""
-    held = [
+    staged_models = [
         model for model in engine.warm_models if model in models
     ] or engine.warm_models
-    return engine.staging_model or (held[0] if held else None)
+    return engine.staging_model or (staged_models[0] if staged_models else None)
 
 
-def _most_wanted(at_risk, covering, waiting):
-    def gain(name):
-        uncovered = covering[name] == 0
+def _most_wanted_model(engines_at_risk, spare_counts, awaited_models):
+    def ranking(name):
+        uncovered = spare_counts[name] == 0
         return (
-            uncovered and name in waiting,
+            uncovered and name in awaited_models,
             uncovered,
-            at_risk[name] / (covering[name] + 1),
+            engines_at_risk[name] / (spare_counts[name] + 1),
         )
 
-    return max(at_risk, key=gain, default=None)
+    return max(engines_at_risk, key=ranking, default=None)
--- a/cowslipcourse/groups/standby.py
+++ b/cowslipcourse/groups/standby.py
@@ -1,7 +1,7 @@
-"""Which groups hold the weights of another model on their hosts; pure decisions.
+"""Which groups hold the weights of another model on their warm_count; pure decisions.
 
-A group changes over to a model that is short within seconds if its hosts hold the
-weights. So some groups hold those of each model that the loss of two domains would
+A group changes over to a model that is short within seconds if its warm_count hold the
+weights. So some groups hold those of other model that the loss of two domains would
 leave short.
 """
 
@@ -9,11 +9,11 @@
 from collections import Counter
 from typing import NamedTuple
 
-from cowslipcourse.groups.balance import LEAST_RATIO, group_counts
+from cowslipcourse.groups.balance import UNDERPROVISIONED_RATIO, group_counts
 
 __all__ = ["choose_standby"]
 
-LOST_DOMAINS = 2
+TOLERATED_DOMAIN_LOSSES = 2
 """Domains that may be lost together without leaving a model short for a load's time."""
 
 
@@ -22,33 +22,47 @@
 
     :param domain: name of the domain.
     :param groups: tuple of :class:`~cowslipcourse.groups.PlannedGroup`
-    :param held: members whose hosts hold the model already.
+    :param warm_count: members whose warm_count hold the model already.
     """
 
     domain: str
     groups: tuple
-    held: int
+    warm_count: int
 
 
-def choose_standby(plans, places, models, held):
-    """Return the model that the hosts of some groups shall hold, by group name.
+def choose_standby(plans, data_centres, models, count_warm_members):
+    """Return the model that the warm_count of some groups shall hold, by group name.
 
     :param plans: :class:`~cowslipcourse.groups.DomainPlan` by domain.
-    :param places: data centre by domain.
+    :param data_centres: data centre by domain.
     :param models: iterable of :class:`~cowslipcourse.routes.EngineModel`
-    :param held: see :func:`~cowslipcourse.groups.choose_reassignments`.
+    :param count_warm_members: see :func:`~cowslipcourse.groups.choose_reassignments`.
     """
     models = tuple(models)
     standby = {}
     for model in sorted(models, key=lambda model: model.name):
         lost = _largest_domains(plans, model.name)
-        left = {domain: plan for domain, plan in plans.items() if domain not in lost}
-        counts = group_counts(left.values(), models)
-        number = counts[model.name]
-        if not any(counts.values()) or not _is_short(number, counts, model, models):
+        remaining_plans = {
+            domain: plan for domain, plan in plans.items() if domain not in lost
+        }
+        counts = group_counts(remaining_plans.values(), models)
+        group_count = counts[model.name]
+        if not any(counts.values()) or not _is_underprovisioned(
+            group_count, counts, model, models
+        ):
             continue
-        wanted = math.ceil(_entitled(counts, model, models) * LEAST_RATIO)
-        _stand_by(standby, left, places, models, model, wanted - number, held)
+        missing = math.ceil(
+            _entitled_groups(counts, model, models) * UNDERPROVISIONED_RATIO
+        )
+        _assign_standby(
+            standby,
+            remaining_plans,
+            data_centres,
+            models,
+            model,
+            missing - group_count,
+            count_warm_members,
+        )
     return standby
 
 
@@ -59,50 +73,54 @@
         for domain, plan in plans.items()
     }
     ranked = sorted(numbers, key=lambda domain: (-numbers[domain], domain))
-    return {domain for domain in ranked[:LOST_DOMAINS] if numbers[domain]}
+    return {domain for domain in ranked[:TOLERATED_DOMAIN_LOSSES] if numbers[domain]}
 
 
-def _entitled(counts, model, models):
-    """Return the number of groups that a model's share entitles it to."""
-    engines = sum(counts[each.name] * each.size for each in models)
-    return model.share / sum(each.share for each in models) * engines / model.size
+def _entitled_groups(counts, model, models):
+    """Return the group_count of groups that a model's share entitles it to."""
+    engines = sum(counts[other.name] * other.size for other in models)
+    return model.share / sum(other.share for other in models) * engines / model.size
 
 
-def _is_short(number, counts, model, models):
-    return number < LEAST_RATIO * _entitled(counts, model, models)
+def _is_underprovisioned(group_count, counts, model, models):
+    return group_count < UNDERPROVISIONED_RATIO * _entitled_groups(
+        counts, model, models
+    )
 
 
-def _stand_by(standby, plans, places, models, model, wanted, held):
+def _assign_standby(
+    standby, plans, data_centres, models, model, missing, count_warm_members
+):
     """Let groups of other models stand by for some more groups of a model.
 
-    Those whose hosts hold it go first, then those of data centres with fewest, so that
+    Those whose warm_count hold it go first, then those of data centres with fewest, so that
     what stands by is not lost together.
     """
-    near = Counter()
-    while wanted > 0:
-        candidates = _candidates(standby, plans, models, model, held)
+    standby_counts = Counter()
+    while missing > 0:
+        candidates = _candidates(standby, plans, models, model, count_warm_members)
         if not candidates:
             return
         best = min(
             candidates,
             key=lambda candidate: (
-                -candidate.held,
-                near[places.get(candidate.domain)],
+                -candidate.warm_count,
+                standby_counts[data_centres.get(candidate.domain)],
                 candidate.domain,
                 candidate.groups[0].name,
             ),
         )
         standby.update((group.name, model.name) for group in best.groups)
-        near[places.get(best.domain)] += 1
-        wanted -= sum(len(group.members) for group in best.groups) // model.size
+        standby_counts[data_centres.get(best.domain)] += 1
+        missing -= sum(len(group.members) for group in best.groups) // model.size
 
 
-def _candidates(standby, plans, models, model, held):
-    """Return a :class:`_Candidate` for each group that could stand by.
+def _candidates(standby, plans, models, model, count_warm_members):
+    """Return a :class:`_Candidate` for other group that could stand by.
 
-    One that is smaller than those of the model needs others of its domain beside it.
+    One that is smaller than those of the model needs others of its domain companions it.
     """
-    sizes = {each.name: each.size for each in models}
+    sizes = {other.name: other.size for other in models}
     candidates = []
     for domain, plan in plans.items():
         free = [
@@ -114,10 +132,10 @@
             and group.name not in standby
         ]
         for group in free:
-            number = math.ceil(model.size / sizes[group.model])
-            beside = [g for g in free if g.model == group.model and g is not group]
-            if len(beside) >= number - 1:
-                groups = (group, *beside[: number - 1])
-                hosts = held(group, domain, model.name)
-                candidates.append(_Candidate(domain, groups, hosts))
+            group_count = math.ceil(model.size / sizes[group.model])
+            companions = [g for g in free if g.model == group.model and g is not group]
+            if len(companions) >= group_count - 1:
+                groups = (group, *companions[: group_count - 1])
+                warm_count = count_warm_members(group, domain, model.name)
+                candidates.append(_Candidate(domain, groups, warm_count))
     return candidates
--- a/cowslipcourse/placement/allocation.py
+++ b/cowslipcourse/placement/allocation.py
@@ -2,7 +2,7 @@
 
 Every controller works this out from the same list and configuration, so nothing
 has to be agreed: the worst that different views can do is form a group too many,
-which is then given up gracefully.
+which is then allocated up gracefully.
 """
 
 from typing import NamedTuple
@@ -28,29 +28,31 @@
 def allocate(demand):
     """Return the number of groups by domain.
 
-    Groups stay where they are; new ones go where most VMs are left over, which
+    Groups stay where they are; new ones go where most VMs are remaining over, which
     leaves spares beside as many groups as possible.
 
     :param demand: :class:`Demand`
     """
     size = demand.vms_per_group
-    room = {domain: vms // size for domain, vms in demand.candidates.items()}
-    given = dict.fromkeys(demand.candidates, 0)
-    left = demand.count
-    by_formed = sorted(given, key=lambda d: (-demand.formed.get(d, 0), d))
+    capacity = {domain: vms // size for domain, vms in demand.candidates.items()}
+    allocated = dict.fromkeys(demand.candidates, 0)
+    remaining = demand.count
+    by_formed = sorted(allocated, key=lambda d: (-demand.formed.get(d, 0), d))
     for domain in by_formed:
-        kept = min(demand.formed.get(domain, 0), room[domain], left)
-        given[domain] += kept
-        left -= kept
-    while left > 0:
-        open_domains = [domain for domain in given if given[domain] < room[domain]]
+        kept = min(demand.formed.get(domain, 0), capacity[domain], remaining)
+        allocated[domain] += kept
+        remaining -= kept
+    while remaining > 0:
+        open_domains = [
+            domain for domain in allocated if allocated[domain] < capacity[domain]
+        ]
         if not open_domains:
             break
 
         def vms_left(domain):
-            return demand.candidates[domain] - given[domain] * size
+            return demand.candidates[domain] - allocated[domain] * size
 
         best = min(open_domains, key=lambda domain: (-vms_left(domain), domain))
-        given[best] += 1
-        left -= 1
-    return given
+        allocated[best] += 1
+        remaining -= 1
+    return allocated
--- a/cowslipcourse/placement/loading.py
+++ b/cowslipcourse/placement/loading.py
@@ -9,16 +9,16 @@
     """A group that needs loads before it can serve.
 
     :param group: group id.
-    :param lacking: members that must load.
+    :param unloaded: members that must load.
     :param loaded: members that are loaded already.
-    :param blocked: whether a member is absent, so that loads alone do not help.
+    :param is_blocked: whether a member is absent, so that loads alone do not help.
     :param accelerators_per_vm: accelerators of one VM.
     """
 
     group: str
-    lacking: int
+    unloaded: int
     loaded: int
-    blocked: bool
+    is_blocked: bool
     accelerators_per_vm: int
 
 
@@ -32,9 +32,9 @@
     :param weights: :class:`~cowslipcourse.placement.Weights`
     """
 
-    def key(need):
-        accelerators = (need.lacking + need.loaded) * need.accelerators_per_vm
+    def sort_key(need):
+        accelerators = (need.unloaded + need.loaded) * need.accelerators_per_vm
         gain = weights.downtime + weights.stranded * accelerators
-        return (need.blocked, -gain / max(1, need.lacking), need.group)
+        return (need.is_blocked, -gain / max(1, need.unloaded), need.group)
 
-    return sorted(needs, key=key)
+    return sorted(needs, sort_key=sort_key)
--- a/cowslipcourse/placement/policies.py
+++ b/cowslipcourse/placement/policies.py
@@ -42,15 +42,15 @@
     spares = list(view.spares)
     decisions = []
     for group in view.broken:
-        wanted = [
+        absent = [
             n
             for n in group.absent
             if n in group.unrecoverable or not only_unrecoverable
         ]
-        if not wanted or len(spares) < len(wanted):
+        if not absent or len(spares) < len(absent):
             decisions.append(Wait(group.group))
             continue
-        decisions.append(Replace(group.group, {n: spares.pop(0) for n in wanted}))
+        decisions.append(Replace(group.group, {n: spares.pop(0) for n in absent}))
     return decisions
 
 
@@ -91,14 +91,14 @@
 
     def _by_gain(self, view):
         def gain_for_each_spare(group):
-            saved_s = self._wait_s(view, group) - view.load_s
-            return saved_s * self._down_rate(view, group) / len(group.absent)
+            saved_s = self._expected_wait_s(view, group) - view.load_s
+            return saved_s * self._waiting_cost_per_s(view, group) / len(group.absent)
 
         return sorted(
             view.broken, key=lambda group: (-gain_for_each_spare(group), group.group)
         )
 
-    def _wait_s(self, view, group):
+    def _expected_wait_s(self, view, group):
         longest = 0.0
         for name, absent_s in group.absent.items():
             if name in group.unrecoverable:
@@ -111,16 +111,16 @@
         if len(spares) < len(group.absent):
             merged = self._merge(view, group, spares, decisions)
             return merged or Wait(group.group)
-        worth_s = self._wait_s(view, group) * (1 - self._min_gain_fraction)
-        if worth_s <= view.load_s or self._soon_back(view, group, view.load_s):
+        worth_s = self._expected_wait_s(view, group) * (1 - self._min_gain_fraction)
+        if worth_s <= view.load_s or self._returns_soon(view, group, view.load_s):
             return Wait(group.group)
         return Replace(group.group, dict(zip(group.absent, spares, strict=False)))
 
-    def _down_rate(self, view, group):
+    def _waiting_cost_per_s(self, view, group):
         accelerators = len(group.healthy) * view.accelerators_per_vm
         return view.weights.downtime + view.weights.stranded * accelerators
 
-    def _soon_back(self, view, group, replace_s):
+    def _returns_soon(self, view, group, replace_s):
         """Whether a short wait is worth its while before a change is made.
 
         Waiting a moment costs that moment; it saves the change if the members come
@@ -133,22 +133,22 @@
 
     def _merge(self, view, group, spares, decisions):
         """Complete this group with the healthy members of one that must wait longer."""
-        wanted = list(group.absent)
-        own_wait_s = self._wait_s(view, group)
+        absent = list(group.absent)
+        own_wait_s = self._expected_wait_s(view, group)
         for donor in view.broken:
             if donor.group == group.group or donor.group in decisions:
                 continue
-            given = [*spares, *donor.healthy][: len(wanted)]
-            if len(given) < len(wanted) or len(donor.absent) < len(wanted):
+            given = [*spares, *donor.healthy][: len(absent)]
+            if len(given) < len(absent) or len(donor.absent) < len(absent):
                 continue
             saved_s = own_wait_s - view.load_s
             if saved_s <= self._min_gain_fraction * view.load_s:
                 continue
-            if self._soon_back(view, group, view.load_s):
+            if self._returns_soon(view, group, view.load_s):
                 continue
-            if self._soon_back(view, donor, view.load_s):
+            if self._returns_soon(view, donor, view.load_s):
                 continue
             return Replace(
-                group.group, dict(zip(wanted, given, strict=True)), donor.group
+                group.group, dict(zip(absent, given, strict=True)), donor.group
             )
         return None
--- a/cowslipcourse/routing/affinity.py
+++ b/cowslipcourse/routing/affinity.py
@@ -42,10 +42,10 @@
     def __init__(self, capacity=20_000, hint_ttl_s=300.0):
         self._capacity = capacity
         self._hint_ttl_s = hint_ttl_s
-        self._seen = OrderedDict()
+        self._targets_by_prefix = OrderedDict()
 
     def __len__(self):
-        return len(self._seen)
+        return len(self._targets_by_prefix)
 
     def add(self, target, hashes, now):
         """Note that a target has the prefixes.
@@ -55,19 +55,19 @@
         :param now: loop time.
         """
         for digest in hashes:
-            targets = self._seen.setdefault(digest, {})
+            targets = self._targets_by_prefix.setdefault(digest, {})
             targets[target] = now
-            self._seen.move_to_end(digest)
-        while len(self._seen) > self._capacity:
-            self._seen.popitem(last=False)
+            self._targets_by_prefix.move_to_end(digest)
+        while len(self._targets_by_prefix) > self._capacity:
+            self._targets_by_prefix.popitem(last=False)
 
     def remove(self, target, digest):
         """Note that a target does not have a prefix after all."""
-        self._seen.get(digest, {}).pop(target, None)
+        self._targets_by_prefix.get(digest, {}).pop(target, None)
 
     def remove_target(self, target):
         """Drop every hint about a target that starts with an empty cache."""
-        for targets in self._seen.values():
+        for targets in self._targets_by_prefix.values():
             targets.pop(target, None)
 
     def cached_tokens(self, hashes, now):
@@ -76,9 +76,9 @@
         :param hashes: hashes of the prompt, shortest prefix first.
         :param now: loop time.
         """
-        found = {}
+        cached = {}
         for index, digest in enumerate(hashes, start=1):
-            for target, at in self._seen.get(digest, {}).items():
+            for target, at in self._targets_by_prefix.get(digest, {}).items():
                 if now - at <= self._hint_ttl_s:
-                    found[target] = index * TOKENS_PER_BLOCK
-        return found
+                    cached[target] = index * TOKENS_PER_BLOCK
+        return cached
--- a/cowslipcourse/routing/policies.py
+++ b/cowslipcourse/routing/policies.py
@@ -87,9 +87,9 @@
 
     def expected_wait_s(self, view):
         """Return the expected seconds until the target's first token."""
-        return self._wait_s(view, self._occupied(view))
+        return self._wait_s(view, self._estimated_occupancy(view))
 
-    def _occupied(self, view):
+    def _estimated_occupancy(self, view):
         """What the gateways know of, and as much of the report as its age allows.
 
         The gateways' own counts are newer than a report, but do not hold requests of
@@ -97,11 +97,11 @@
         """
         counted = view.own_in_flight + view.peers_in_flight
         reported = view.load.running + view.load.waiting + view.own_unreported
-        trust = 0.5 ** (view.load_age_s / self._half_life_s)
-        return counted + trust * max(0, reported - counted)
+        report_weight = 0.5 ** (view.load_age_s / self._half_life_s)
+        return counted + report_weight * max(0, reported - counted)
 
     def _cost_s(self, view):
-        occupied = self._occupied(view)
+        occupied = self._estimated_occupancy(view)
         saved_s = view.prefix_tokens / PREFILL_TOKENS_PER_S
         return self._wait_s(view, occupied) + view.distance * DISTANCE_COST_S - saved_s
 
--- a/cowslipcourse/routing/stragglers.py
+++ b/cowslipcourse/routing/stragglers.py
@@ -11,7 +11,7 @@
 
     :param factor: multiple of its peers' median token time that is too slow.
     :param strikes: consecutive slow reports before it is taken out.
-    :param max_excluded_fraction: most of the targets that may be out at once.
+    :param max_excluded_fraction: max_excluded of the targets that may be out at once.
     :param retry_s: seconds until it is tried again; doubles each time.
     :param max_retry_s: bound of the doubling.
     """
@@ -51,11 +51,11 @@
         if len(known) < 3:
             return
         for name, token_s in known.items():
-            others = [s for other, s in known.items() if other != name]
-            slow = token_s > self._limits.factor * statistics.median(others)
-            self._judge(name, slow, now)
+            peer_token_s = [s for other, s in known.items() if other != name]
+            slow = token_s > self._limits.factor * statistics.median(peer_token_s)
+            self._record_observation(name, slow, now)
 
-    def _judge(self, name, slow, now):
+    def _record_observation(self, name, slow, now):
         suspect = self._suspects.get(name, _Suspect())
         if now < suspect.excluded_until:
             return
@@ -84,9 +84,11 @@
         :param views: list of :class:`~cowslipcourse.routing.TargetView`
         :param now: loop time.
         """
-        most = int(len(views) * self._limits.max_excluded_fraction)
+        max_excluded = int(len(views) * self._limits.max_excluded_fraction)
         names = {view.name for view in views}
         excluded = set(
-            [name for name in self.excluded_targets(now) if name in names][:most]
+            [name for name in self.excluded_targets(now) if name in names][
+                :max_excluded
+            ]
         )
         return [view for view in views if view.name not in excluded]
--- a/features/steps/shape_steps.py
+++ b/features/steps/shape_steps.py
@@ -89,7 +89,7 @@
 @then("every domain serves any model and keeps 2 spares")
 def step_mixed(context):
     assert set(context.shapes.values()) == {MIXED_ASSIGNMENT}
-    assert MIXED_ASSIGNMENT.spares == 2
+    assert MIXED_ASSIGNMENT.spare_count == 2
 
 
 @then("{domain} serves {model} alone")
--- a/features/support/coordinator_runs.py
+++ b/features/support/coordinator_runs.py
@@ -403,7 +403,7 @@
 
     def drop_dead(self):
         for group in list(self._groups.values()):
-            if group.is_retired or self._survivors(group):
+            if group.is_retired or self._live_members(group):
                 continue
             if not self._is_still_serving(group):
                 del self._groups[group.name]
--- a/measurements/placement.py
+++ b/measurements/placement.py
@@ -303,7 +303,7 @@
     downtime_s = stranded_s = 0.0
     for need in ordered:
         done_at = 0.0
-        for _ in range(need.lacking):
+        for _ in range(need.unloaded):
             start = heapq.heappop(free_at)
             heapq.heappush(free_at, start + LOAD_S)
             done_at = max(done_at, start + LOAD_S)
