--- a/cowslipcourse/admission/budget.py
+++ b/cowslipcourse/admission/budget.py
@@ -1,4 +1,4 @@
-"""Retry budgets: retries are a bounded fraction of requests."""
+"""Retry budgets: repeats are a bounded fraction of requests."""
 
 from collections import deque
 
@@ -41,10 +41,10 @@
 
 
 class SharedRetryBudget:
-    """This daemon's slack_share of a budget for a sliding window, for each service.
+    """This daemon's part of a budget for a sliding window, for each service.
 
     All daemons together may repeat ``ratio`` of a service's requests in a window and
-    ``slack`` more. Each counts its own requests and takes an equal slack_share of the slack.
+    ``slack`` more. Each counts its own requests and takes an equal part of the slack.
 
     :param settings: :class:`~cowslipcourse.entry.settings.RetrySettings`
     """
--- a/cowslipcourse/admission/control.py
+++ b/cowslipcourse/admission/control.py
@@ -27,7 +27,7 @@
     Each is a multiple of what the targets can run at once.
 
     :param over_share: for workspaces beyond their share.
-    :param within_share: for workspaces is_within_share their share, by priority.
+    :param within_share: for workspaces within their share, by priority.
     :param jitter: fraction by which times to come back are spread.
     """
 
@@ -60,7 +60,7 @@
     """Decides at once whether a request is let in.
 
     Capacity that nobody else wants may be used by anybody. Once the targets are
-    full, only workspaces is_within_share their weighted share get in, and of those the
+    full, only workspaces within their weighted share get in, and of those the
     urgent requests longest.
 
     :param limits: :class:`AdmissionLimits`
--- a/cowslipcourse/groups/balance.py
+++ b/cowslipcourse/groups/balance.py
@@ -1,8 +1,8 @@
 """How the groups of all domains are balanced among the models; pure decisions.
 
 A model whose domains are lost together has no group left, however many engines serve
-the others. Groups of the model that has most for its share then reassignment over to it, as
-many as bring it back to half of its share. A reassignment takes a few seconds if the warm_count
+the others. Groups of the model that has most for its share then change over to it, as
+many as bring it back to half of its share. A change takes a few seconds if the hosts
 of the group hold the weights already, and a load more if they do not.
 """
 
@@ -11,7 +11,7 @@
 from typing import NamedTuple
 
 __all__ = [
-    "UNDERPROVISIONED_RATIO",
+    "LEAST_RATIO",
     "Reassignment",
     "choose_reassignments",
     "group_counts",
@@ -20,9 +20,9 @@
 
 UNDERPROVISIONED_RATIO = 0.5
 """Groups of a model, over the groups that its share of the work entitles it to, from
-which it is not recipient_name: with half of them its requests still find room."""
+which it is not short: with half of them its requests still find room."""
 SUFFICIENT_RATIO = 0.8
-"""The same, up to which a model that was recipient_name is eligible: requests that wait for its
+"""The same, up to which a model that was short is helped: requests that wait for its
 first groups come on top of its usual load."""
 
 
@@ -32,7 +32,7 @@
     :param domain: name of the domain.
     :param groups: names of the groups, in one domain.
     :param model: model that their engines shall serve.
-    :param is_warm: whether the warm_count of enough of them hold it.
+    :param is_warm: whether the hosts of enough of them hold it.
     """
 
     domain: str
@@ -46,7 +46,7 @@
 
     :param domain: name of the domain.
     :param groups: tuple of :class:`~cowslipcourse.groups.PlannedGroup`
-    :param warm_count: members whose warm_count hold the model that is recipient_name.
+    :param warm_count: members whose hosts hold the model that is short.
     :param reassigned_count: groups that the domain gives already.
     """
 
@@ -59,10 +59,10 @@
 class _Exchange(NamedTuple):
     """Groups of one model for those of another.
 
-    :param donor: model whose groups are reassigned_count.
+    :param donor: model whose groups are given.
     :param recipient: model that gains.
-    :param donated_groups: groups that are reassigned_count.
-    :param gained_groups: groups that are gained_groups.
+    :param donated_groups: groups that are given.
+    :param gained_groups: groups that are gained.
     """
 
     donor: str
@@ -72,7 +72,7 @@
 
 
 def group_counts(plans, models):
-    """Return the donated_groups of groups by model, those that are to come included.
+    """Return the number of groups by model, those that are to come included.
 
     :param plans: iterable of :class:`~cowslipcourse.groups.DomainPlan`
     :param models: iterable of :class:`~cowslipcourse.routes.EngineModel`
@@ -104,9 +104,9 @@
 
 
 def underprovisioned_models(counts, models):
-    """Return the names of the models that are recipient_name, the shortest first.
+    """Return the names of the models that are short, the shortest first.
 
-    :param counts: donated_groups of groups by model.
+    :param counts: number of groups by model.
     :param models: iterable of :class:`~cowslipcourse.routes.EngineModel`
     """
     if not any(counts[model.name] for model in models):
@@ -119,9 +119,9 @@
 
 
 def choose_reassignments(plans, models, is_complete, count_warm_members):
-    """Return the :class:`Reassignment` list after which no model is recipient_name, if possible.
+    """Return the :class:`Reassignment` list after which no model is short, if possible.
 
-    Each reassignment takes groups of the model that has most for its share. The outcome
+    Each change takes groups of the model that has most for its share. The outcome
     depends on nothing but the arguments, so coordinators that know the same choose
     the same and each makes the changes of its own domains.
 
@@ -130,7 +130,7 @@
     :param is_complete: callable that takes a group and its domain and tells whether all
         members live.
     :param count_warm_members: callable that takes a group, its domain and a model, and returns the
-        donated_groups of members whose warm_count hold its weights.
+        number of members whose hosts hold its weights.
     """
     models = tuple(models)
     counts = group_counts(plans.values(), models)
@@ -148,7 +148,7 @@
 
 
 def _pending_successors(plans):
-    """Return the models to which groups reassignment over already."""
+    """Return the models to which groups change over already."""
     return {g.successor for plan in plans.values() for g in plan.groups if g.successor}
 
 
@@ -195,7 +195,7 @@
 
 
 def _is_improvement(exchange, counts, models):
-    """Whether the model that is recipient_name is better off, and the other one no worse."""
+    """Whether the model that is short is better off, and the other one no worse."""
     before = _provisioning_ratios(counts, models)
     if exchange.donor == exchange.recipient or exchange.donor not in before:
         return False
--- a/cowslipcourse/groups/revision.py
+++ b/cowslipcourse/groups/revision.py
@@ -162,7 +162,7 @@
             self._free = [view for view in self._free if model in view.warm_models]
 
     def _is_warm(self, group, model):
-        """Whether all members of a group that is not retired up hold a model."""
+        """Whether all members of a group that is not given up hold a model."""
         views = self._members(group)
         return not group.is_retired and all(
             view is not None and model in view.warm_models for view in views
@@ -210,7 +210,7 @@
         self._set_members(group, members)
 
     def _reinstate_retired(self):
-        """Form retired-up groups anew under their names, as far as engines are free.
+        """Form given-up groups anew under their names, as far as engines are free.
 
         The survivors of a group whose head is silent are not free for others until the
         head must have broken, 4.5 s later. Under the group's own name they need not
@@ -296,7 +296,7 @@
         broken = self._unrepairable_groups()
         if len(broken) < 2:
             return
-        # The fewest survivors are retired up; the rest may then be repaired.
+        # The fewest survivors are given up; the rest may then be repaired.
         retired = min(broken, key=lambda g: len(self._live_members(g)))
         available = len(self._live_members(retired)) + len(self._free)
         for group in broken:
--- a/cowslipcourse/groups/shape.py
+++ b/cowslipcourse/groups/shape.py
@@ -2,7 +2,7 @@
 
 A group is repaired at once only by an engine that holds its model; loading weights
 takes ten times as long. If all engines of a domain hold one model, the survivors of a
-group that cannot be completed are such spare_count for the other groups, and no engine has
+group that cannot be completed are such spares for the other groups, and no engine has
 to stand by from the start. So domains are divided among the models where there are
 enough.
 """
@@ -20,10 +20,10 @@
 """Engines kept free in a domain of several models, one that holds each model: about two
 are lost there in a day."""
 SAINTE_LAGUE_OFFSET = 0.5
-"""Added to the domain_count of domains in the divisor of Sainte-Lague's method."""
+"""Added to the number of domains in the divisor of Sainte-Lague's method."""
 SAME_DATA_CENTRE_FACTOR = 0.7
-"""Factor on the quotient of a model that has a domain in the same data centre already. It
-moves a domain only if claims are close: counts by share come first."""
+"""Factor on the claim of a model that has a domain in the same data centre already. It
+moves a domain only if claims are close: numbers by share come first."""
 
 
 class DomainAssignment(NamedTuple):
--- a/cowslipcourse/groups/situation.py
+++ b/cowslipcourse/groups/situation.py
@@ -1,4 +1,4 @@
-"""What follows from the observed of a domain for the revision of its plan."""
+"""What follows from the knowledge of a domain for the revision of its plan."""
 
 from cowslipcourse.groups.orders import HEAD_UNGROUPED_S, STALL_MARGIN_S, is_present
 from cowslipcourse.groups.practice import is_warmup_group
--- a/cowslipcourse/groups/staging.py
+++ b/cowslipcourse/groups/staging.py
@@ -1,10 +1,10 @@
-"""Which model a free_engines engine shall hold on its host."""
+"""Which model a free engine shall hold on its host."""
 
 __all__ = ["choose_staging"]
 
 
 def choose_staging(plan, free_engines, models, awaited_models):
-    """Return ``{engine id: model name}`` for free_engines engines that should load one.
+    """Return ``{engine id: model name}`` for free engines that should load one.
 
     A spare that holds the model repairs a group in the time of a warm load. A group
     that waits for a spare comes first. Then each model gets one spare, and the rest go
@@ -12,7 +12,7 @@
     replaced only if another spare holds it too.
 
     :param plan: :class:`~cowslipcourse.groups.DomainPlan`
-    :param free_engines: :class:`~cowslipcourse.groups.ObservedEngine` of free_engines live engines.
+    :param free_engines: :class:`~cowslipcourse.groups.ObservedEngine` of free live engines.
     :param models: iterable of :class:`~cowslipcourse.routes.EngineModel`.
     :param awaited_models: models of groups that wait for a spare that holds them.
     """
--- a/cowslipcourse/groups/standby.py
+++ b/cowslipcourse/groups/standby.py
@@ -1,7 +1,7 @@
-"""Which groups hold the weights of another model on their warm_count; pure decisions.
+"""Which groups hold the weights of another model on their hosts; pure decisions.
 
-A group changes over to a model that is short within seconds if its warm_count hold the
-weights. So some groups hold those of other model that the loss of two domains would
+A group changes over to a model that is short within seconds if its hosts hold the
+weights. So some groups hold those of each model that the loss of two domains would
 leave short.
 """
 
@@ -22,7 +22,7 @@
 
     :param domain: name of the domain.
     :param groups: tuple of :class:`~cowslipcourse.groups.PlannedGroup`
-    :param warm_count: members whose warm_count hold the model already.
+    :param warm_count: members whose hosts hold the model already.
     """
 
     domain: str
@@ -31,7 +31,7 @@
 
 
 def choose_standby(plans, data_centres, models, count_warm_members):
-    """Return the model that the warm_count of some groups shall hold, by group name.
+    """Return the model that the hosts of some groups shall hold, by group name.
 
     :param plans: :class:`~cowslipcourse.groups.DomainPlan` by domain.
     :param data_centres: data centre by domain.
@@ -77,7 +77,7 @@
 
 
 def _entitled_groups(counts, model, models):
-    """Return the group_count of groups that a model's share entitles it to."""
+    """Return the number of groups that a model's share entitles it to."""
     engines = sum(counts[other.name] * other.size for other in models)
     return model.share / sum(other.share for other in models) * engines / model.size
 
@@ -93,7 +93,7 @@
 ):
     """Let groups of other models stand by for some more groups of a model.
 
-    Those whose warm_count hold it go first, then those of data centres with fewest, so that
+    Those whose hosts hold it go first, then those of data centres with fewest, so that
     what stands by is not lost together.
     """
     standby_counts = Counter()
@@ -116,9 +116,9 @@
 
 
 def _candidates(standby, plans, models, model, count_warm_members):
-    """Return a :class:`_Candidate` for other group that could stand by.
+    """Return a :class:`_Candidate` for each group that could stand by.
 
-    One that is smaller than those of the model needs others of its domain companions it.
+    One that is smaller than those of the model needs others of its domain beside it.
     """
     sizes = {other.name: other.size for other in models}
     candidates = []
--- a/cowslipcourse/placement/allocation.py
+++ b/cowslipcourse/placement/allocation.py
@@ -2,7 +2,7 @@
 
 Every controller works this out from the same list and configuration, so nothing
 has to be agreed: the worst that different views can do is form a group too many,
-which is then allocated up gracefully.
+which is then given up gracefully.
 """
 
 from typing import NamedTuple
@@ -28,7 +28,7 @@
 def allocate(demand):
     """Return the number of groups by domain.
 
-    Groups stay where they are; new ones go where most VMs are remaining over, which
+    Groups stay where they are; new ones go where most VMs are left over, which
     leaves spares beside as many groups as possible.
 
     :param demand: :class:`Demand`
--- a/cowslipcourse/placement/loading.py
+++ b/cowslipcourse/placement/loading.py
@@ -32,9 +32,9 @@
     :param weights: :class:`~cowslipcourse.placement.Weights`
     """
 
-    def sort_key(need):
+    def key(need):
         accelerators = (need.unloaded + need.loaded) * need.accelerators_per_vm
         gain = weights.downtime + weights.stranded * accelerators
         return (need.is_blocked, -gain / max(1, need.unloaded), need.group)
 
-    return sorted(needs, sort_key=sort_key)
+    return sorted(needs, key=key)
--- a/cowslipcourse/routing/stragglers.py
+++ b/cowslipcourse/routing/stragglers.py
@@ -11,7 +11,7 @@
 
     :param factor: multiple of its peers' median token time that is too slow.
     :param strikes: consecutive slow reports before it is taken out.
-    :param max_excluded_fraction: max_excluded of the targets that may be out at once.
+    :param max_excluded_fraction: most of the targets that may be out at once.
     :param retry_s: seconds until it is tried again; doubles each time.
     :param max_retry_s: bound of the doubling.
     """
