--- a/cowslipcourse/admission/__init__.py
+++ b/cowslipcourse/admission/__init__.py
@@ -1,4 +1,4 @@
-"""Which requests are let in: shares, priorities, deadlines and retries."""
+"""Admission control: fair shares, priorities, deadlines and retry budgets."""
 
 from cowslipcourse.admission.budget import (
     MIN_DAEMON_COUNT,
--- a/cowslipcourse/admission/budget.py
+++ b/cowslipcourse/admission/budget.py
@@ -5,17 +5,18 @@
 __all__ = ["MIN_DAEMON_COUNT", "RetryBudget", "SharedRetryBudget"]
 
 MIN_DAEMON_COUNT = 8
-"""Daemons that share a budget until it is known how many there are: the smallest sites
-of our users have that many."""
+"""Lower bound of the daemons that share a budget, used until the number is known: the
+smallest sites have that many."""
 USABLE_SLACK_FRACTION = 0.8
-"""Part of the slack that is used: daemons may not know of each other for a second."""
+"""Fraction of the slack that is used: daemons may not know of each other for a
+second."""
 
 
 class RetryBudget:
-    """Allows a retry only while retries are few beside requests.
+    """Token bucket that limits retries to a ratio of requests.
 
     :param ratio: retries allowed for each request.
-    :param burst: retries that may be saved up.
+    :param burst: largest number of saved retries.
     """
 
     def __init__(self, ratio=0.1, burst=10.0):
@@ -29,11 +30,11 @@
         return self._tokens
 
     def record_request(self):
-        """Note a first attempt."""
+        """Record a first attempt."""
         self._tokens = min(self._burst, self._tokens + self._ratio)
 
     def try_take(self):
-        """Take one retry from the budget and return whether it was there."""
+        """Take one retry from the budget; return whether one was available."""
         if self._tokens < 1.0:
             return False
         self._tokens -= 1.0
@@ -41,10 +42,10 @@
 
 
 class SharedRetryBudget:
-    """This daemon's part of a budget for a sliding window, for each service.
+    """This daemon's part of a retry budget per service and sliding window.
 
-    All daemons together may repeat ``ratio`` of a service's requests in a window and
-    ``slack`` more. Each counts its own requests and takes an equal part of the slack.
+    All daemons together may retry ``ratio`` of a service's requests in a window, plus
+    ``slack``. Each counts its own requests and uses an equal part of the slack.
 
     :param settings: :class:`~cowslipcourse.entry.settings.RetrySettings`
     """
@@ -56,11 +57,11 @@
         self.daemon_count = MIN_DAEMON_COUNT
 
     def record_request(self, service, now):
-        """Note a first attempt at a service."""
+        """Record a first attempt at a service."""
         self._recent(self._requests, service, now).append(now)
 
     def try_take(self, service, now):
-        """Take one repeat from the budget and return whether it was there."""
+        """Take one retry from the budget; return whether one was available."""
         retries = self._recent(self._retries, service, now)
         requests = self._recent(self._requests, service, now)
         slack_share = self.settings.slack * USABLE_SLACK_FRACTION / self.daemon_count
--- a/cowslipcourse/admission/control.py
+++ b/cowslipcourse/admission/control.py
@@ -22,13 +22,13 @@
 
 
 class AdmissionLimits(NamedTuple):
-    """How full the targets may be before requests are refused.
+    """Load limits from which requests are refused.
 
-    Each is a multiple of what the targets can run at once.
+    Each is a multiple of the requests that the targets can run at once.
 
     :param over_share: for workspaces beyond their share.
     :param within_share: for workspaces within their share, by priority.
-    :param jitter: fraction by which times to come back are spread.
+    :param jitter: fraction of random spread of retry-after times.
     """
 
     over_share: float = 0.95
@@ -37,12 +37,12 @@
 
 
 class CapacityView(NamedTuple):
-    """What can run and what runs, for the targets that a request may use.
+    """Capacity and load of the targets that a request may use.
 
     :param slots: requests that the targets can run at once.
     :param in_flight: requests in flight by workspace, of all gateways.
     :param weights: share weight by workspace.
-    :param mean_answer_s: recent mean seconds of a whole answer.
+    :param mean_answer_s: recent mean seconds of a complete answer.
     :param wait_s: expected seconds to the first token at the best target.
     :param estimated_unreported: requests that the other gateways have probably admitted
         since their last reports; each is assumed to admit as many as this one.
@@ -57,14 +57,14 @@
 
 
 class AdmissionControl:
-    """Decides at once whether a request is let in.
+    """Decides immediately whether a request is admitted.
 
-    Capacity that nobody else wants may be used by anybody. Once the targets are
-    full, only workspaces within their weighted share get in, and of those the
-    urgent requests longest.
+    Unused capacity is open to every workspace. Once the targets are full, only requests
+    of workspaces within their weighted share are admitted, up to a limit that rises
+    with priority.
 
     :param limits: :class:`AdmissionLimits`
-    :param rng: :class:`random.Random` for the spread of times to come back.
+    :param rng: :class:`random.Random` for the spread of retry-after times.
     """
 
     def __init__(self, limits, rng):
@@ -78,7 +78,7 @@
         :param priority: :class:`Priority`
         :param remaining_s: seconds to the deadline, or ``None``.
         :param view: :class:`CapacityView`
-        :raises DeadlinePassed: the first token would come too late.
+        :raises DeadlinePassed: the first token would arrive after the deadline.
         :raises WorkspaceOverShare: full, and the workspace is beyond its share.
         :raises NoTargetAvailable: full.
         """
@@ -106,13 +106,13 @@
 
     def _share(self, workspace, view):
         demands = dict(view.in_flight)
-        # What the newcomer could want is not known, so it may want everything.
+        # The workspace's further demand is unknown, so it is taken as unbounded.
         demands[workspace] = float("inf")
         weights = {name: view.weights.get(name, 1.0) for name in demands}
         return max_min_shares(view.slots, demands, weights)[workspace]
 
     def _retry_after_s(self, view, excess):
-        """Time until the excess has drained at the recent rate, spread."""
+        """Return the seconds until the excess has drained, with random spread."""
         per_s = view.slots / max(view.mean_answer_s, 0.05)
         drain_s = (excess + 1 + self._rng.random() * view.slots * 0.5) / per_s
         spread = 1 + self._limits.jitter * self._rng.random()
--- a/cowslipcourse/admission/shares.py
+++ b/cowslipcourse/admission/shares.py
@@ -4,9 +4,9 @@
 
 
 def max_min_shares(capacity, demands, weights):
-    """Divide capacity so that nobody gets more than asked and the rest is fair.
+    """Divide capacity max-min fairly: no workspace gets more than its demand.
 
-    :param capacity: what there is to divide.
+    :param capacity: capacity to divide.
     :param demands: demand by workspace.
     :param weights: weight by workspace.
     :returns: share by workspace.
--- a/cowslipcourse/groups/balance.py
+++ b/cowslipcourse/groups/balance.py
@@ -1,9 +1,9 @@
-"""How the groups of all domains are balanced among the models; pure decisions.
+"""Balances the groups of all domains among the models; pure decisions.
 
 A model whose domains are lost together has no group left, however many engines serve
-the others. Groups of the model that has most for its share then change over to it, as
-many as bring it back to half of its share. A change takes a few seconds if the hosts
-of the group hold the weights already, and a load more if they do not.
+the others. Groups of the most overprovisioned model are then reassigned to it, as many
+as bring it back to half of its share. A reassignment takes a few seconds if the hosts
+of the group already store the weights; otherwise it takes a load in addition.
 """
 
 import math
@@ -11,7 +11,7 @@
 from typing import NamedTuple
 
 __all__ = [
-    "LEAST_RATIO",
+    "UNDERPROVISIONED_RATIO",
     "Reassignment",
     "choose_reassignments",
     "group_counts",
@@ -19,20 +19,20 @@
 ]
 
 UNDERPROVISIONED_RATIO = 0.5
-"""Groups of a model, over the groups that its share of the work entitles it to, from
-which it is not short: with half of them its requests still find room."""
+"""Ratio of a model's groups to its entitlement by share of the work, below which the
+model is underprovisioned: with half of them its requests still find capacity."""
 SUFFICIENT_RATIO = 0.8
-"""The same, up to which a model that was short is helped: requests that wait for its
+"""Ratio up to which an underprovisioned model gains groups: requests that queue for its
 first groups come on top of its usual load."""
 
 
 class Reassignment(NamedTuple):
-    """Groups of a domain that give their engines to another model.
+    """Groups of a domain whose engines are reassigned to another model.
 
     :param domain: name of the domain.
     :param groups: names of the groups, in one domain.
     :param model: model that their engines shall serve.
-    :param is_warm: whether the hosts of enough of them hold it.
+    :param is_warm: whether enough of their hosts store its weights.
     """
 
     domain: str
@@ -42,12 +42,12 @@
 
 
 class _Donor(NamedTuple):
-    """Groups that a domain could give.
+    """Groups that a domain could donate.
 
     :param domain: name of the domain.
     :param groups: tuple of :class:`~cowslipcourse.groups.PlannedGroup`
-    :param warm_count: members whose hosts hold the model that is short.
-    :param reassigned_count: groups that the domain gives already.
+    :param warm_count: members whose hosts store the recipient's weights.
+    :param reassigned_count: groups of the domain that are already reassigned.
     """
 
     domain: str
@@ -57,12 +57,12 @@
 
 
 class _Exchange(NamedTuple):
-    """Groups of one model for those of another.
+    """An exchange of groups between two models.
 
-    :param donor: model whose groups are given.
+    :param donor: model that loses groups.
     :param recipient: model that gains.
-    :param donated_groups: groups that are given.
-    :param gained_groups: groups that are gained.
+    :param donated_groups: number of groups of the donor.
+    :param gained_groups: number of groups that the recipient gains.
     """
 
     donor: str
@@ -72,7 +72,7 @@
 
 
 def group_counts(plans, models):
-    """Return the number of groups by model, those that are to come included.
+    """Return the number of groups by model, including pending successors.
 
     :param plans: iterable of :class:`~cowslipcourse.groups.DomainPlan`
     :param models: iterable of :class:`~cowslipcourse.routes.EngineModel`
@@ -93,7 +93,7 @@
 
 
 def _provisioning_ratios(counts, models):
-    """Return groups over those that its share entitles a model to, by model."""
+    """Return the ratio of actual to entitled groups by model."""
     engines = sum(counts[model.name] * model.size for model in models)
     total = sum(model.share for model in models)
     return {
@@ -104,7 +104,7 @@
 
 
 def underprovisioned_models(counts, models):
-    """Return the names of the models that are short, the shortest first.
+    """Return the names of underprovisioned models, lowest ratio first.
 
     :param counts: number of groups by model.
     :param models: iterable of :class:`~cowslipcourse.routes.EngineModel`
@@ -119,18 +119,18 @@
 
 
 def choose_reassignments(plans, models, is_complete, count_warm_members):
-    """Return the :class:`Reassignment` list after which no model is short, if possible.
+    """Return :class:`Reassignment` objects that leave no model underprovisioned.
 
-    Each change takes groups of the model that has most for its share. The outcome
-    depends on nothing but the arguments, so coordinators that know the same choose
-    the same and each makes the changes of its own domains.
+    Each takes groups of the model with the highest ratio; the list is incomplete if
+    no donor is left. The result depends only on the arguments, so coordinators with
+    the same view choose the same list, and each carries out that of its own domains.
 
     :param plans: :class:`~cowslipcourse.groups.DomainPlan` by domain.
     :param models: iterable of :class:`~cowslipcourse.routes.EngineModel`
-    :param is_complete: callable that takes a group and its domain and tells whether all
-        members live.
-    :param count_warm_members: callable that takes a group, its domain and a model, and returns the
-        number of members whose hosts hold its weights.
+    :param is_complete: predicate of a group and its domain: whether all members
+        are live.
+    :param count_warm_members: function of a group, its domain and a model that returns
+        the number of members whose hosts store the model's weights.
     """
     models = tuple(models)
     counts = group_counts(plans.values(), models)
@@ -148,12 +148,12 @@
 
 
 def _pending_successors(plans):
-    """Return the models to which groups change over already."""
+    """Return the models to which groups are already being reassigned."""
     return {g.successor for plan in plans.values() for g in plan.groups if g.successor}
 
 
 def _most_underprovisioned(counts, models, eligible):
-    """Return the model among some that lacks most, ``None`` if all have enough."""
+    """Return the eligible model with the lowest ratio; ``None`` if all suffice."""
     if not any(counts[model.name] for model in models):
         return None
     ratios = _provisioning_ratios(counts, models)
@@ -164,7 +164,7 @@
 def _best_reassignment(
     plans, models, counts, recipient_name, reassigned, is_complete, count_warm_members
 ):
-    """Return one :class:`Reassignment` and count it, or ``None`` if none helps."""
+    """Return the best :class:`Reassignment`, or ``None``; updates ``counts``."""
     recipient = next(model for model in models if model.name == recipient_name)
     ratios = _provisioning_ratios(counts, models)
     for donor in sorted(models, key=lambda m: (-ratios.get(m.name, 0.0), m.name)):
@@ -195,7 +195,7 @@
 
 
 def _is_improvement(exchange, counts, models):
-    """Whether the model that is short is better off, and the other one no worse."""
+    """Whether both models end above the recipient's present ratio."""
     before = _provisioning_ratios(counts, models)
     if exchange.donor == exchange.recipient or exchange.donor not in before:
         return False
@@ -208,7 +208,7 @@
 
 
 def _donors(plans, exchange, reassigned, is_complete, count_warm_members):
-    """Return the :class:`_Donor` of each domain that has groups to give."""
+    """Return a :class:`_Donor` for each domain with enough groups."""
     donors = []
     for domain, plan in plans.items():
         groups = [
--- a/cowslipcourse/groups/knowledge.py
+++ b/cowslipcourse/groups/knowledge.py
@@ -1,4 +1,4 @@
-"""What a coordinator knows of the engines of a fabric domain."""
+"""State of a fabric domain's engines as observed by a coordinator."""
 
 from cowslipcourse.ports import (
     UNKNOWN_INCARNATION,
@@ -10,12 +10,12 @@
 __all__ = ["ObservedDomain", "ObservedEngine"]
 
 MAX_REPORT_LAG_S = 0.3
-"""Reports are as of some hundred ms ago; the platform declares 200."""
+"""Age that a report may have; the platform declares 200 ms."""
 _READY_STATES = (GroupState.READY, GroupState.OPEN, GroupState.CLOSING)
 
 
 class ObservedEngine:
-    """What is known of one life of an engine.
+    """Observed state of one incarnation of an engine.
 
     ``membership`` is the newest one from the target list or a report.
     ``confirmed_membership`` is the membership at ``order_count`` accepted orders: an
@@ -57,7 +57,7 @@
 
     @property
     def incarnation(self):
-        """Life of the engine that is known."""
+        """Observed incarnation of the engine."""
         return self.entry.incarnation
 
     @property
@@ -71,7 +71,7 @@
     def warm_models(self):
         """Models that it can join without a load: on its host, or of its last group.
 
-        What is on the host is about to be replaced while another model is loaded.
+        While a model is being staged, it replaces what is on the host.
         """
         staged = self.staged if self.staging_model is None else ()
         loaded = self._loaded_model
@@ -81,16 +81,16 @@
 
     @property
     def is_leaving(self):
-        """Whether it still works but takes no new work."""
+        """Whether it still works but accepts no new work."""
         return self.is_listed and self.entry.is_leaving and self.silent_since is None
 
     def update_from_entry(self, entry):
-        """Take in a newer entry of the same life."""
+        """Apply a newer entry of the same incarnation."""
         if entry.address != self.entry.address:
             self.is_replaced = False
             self.silent_since = None
         if not self.is_listed:
-            # It was gone and has come back.
+            # It was removed from the list and has returned.
             self.silent_since = self.silent_since if self.is_replaced else None
             self.order_count = None
         self.entry = entry
@@ -101,9 +101,9 @@
         self._record_membership(entry.membership)
 
     def update_from_report(self, report, requested_at):
-        """Take in a report of the same life.
+        """Apply a report of the same incarnation.
 
-        :param requested_at: when it was asked for; evidence is as old as its request.
+        :param requested_at: loop time of the request; evidence is as old as that.
         """
         if self.is_replaced:
             return
@@ -119,9 +119,9 @@
         self._record_membership(report.membership)
 
     def next_incarnation(self, incarnation):
-        """Return what is known of a later life of the engine: nothing but its address.
+        """Return the state of a later incarnation: nothing but its address is known.
 
-        What its list entry says of its state stays until a newer entry comes.
+        The state in its list entry is kept until a newer entry arrives.
         """
         entry = self.entry._replace(incarnation=incarnation, membership=None)
         later = ObservedEngine(entry)
@@ -129,50 +129,50 @@
         return later
 
     def mark_silent(self, since):
-        """Note that it did not answer a question asked at a time."""
+        """Record that it did not answer a report request sent at ``since``."""
         self.order_count = None
         if self.silent_since is None:
             self.silent_since = since
 
     def mark_replaced(self, now):
-        """Note that another engine has its address: it has ended.
+        """Record that another engine has its address, so this one has ended.
 
-        Reports do not say whose they are, so what comes from there is no longer its.
-        An entry of it that is listed still, or again, is an old one.
+        Reports do not name their engine, so later ones from this address are not its.
+        An entry of it that is still listed, or listed again, is outdated.
         """
         self.is_replaced = True
         self.order_count = None
         self.silent_since = self.silent_since or now
 
     def mark_order_refused(self, now):
-        """Note that an order was refused as the order count differed.
+        """Record that an order was refused because the order count differed.
 
-        What was known of it is out of date, and so are its reports for a moment.
+        The observed state is outdated, and reports remain so for a moment.
         """
         self.order_count = None
         self.report_request_after = now + MAX_REPORT_LAG_S
 
     def require_evidence_since(self, now):
-        """Take no report that was asked for before as evidence that it is away.
+        """Accept only reports requested after ``now`` as evidence that it is ungrouped.
 
-        Others may have joined it to a group since, and given that up again.
+        Other coordinators may have joined it to a group and retired that since.
         """
         self._evidence_since = now
         self.ungrouped_since = None
 
     @property
     def needs_report(self):
-        """Whether a report is wanted that is new enough to be evidence."""
+        """Whether a report is needed that is recent enough to be evidence."""
         if (
             self.report_requested_at is None
             or self.report_requested_at < self._evidence_since
         ):
             return True
-        # It was in a group that no plan names, and has left it since.
+        # It has left a group that no plan names.
         return self.membership is None and self.ungrouped_since is None
 
     def apply_started_order(self, order):
-        """Note that an order began: what it does is known before a report says so.
+        """Apply the effect of a started order before a report shows it.
 
         :param order: :class:`~cowslipcourse.ports.EngineOrder`
         """
@@ -182,7 +182,7 @@
             self.confirmed_membership = GroupMembership(
                 order.group, order.epoch, rank, GroupState.JOINING, order.model
             )
-            # Whether what it was loading stays on its host, its reports will tell.
+            # Its reports will show whether the staged model stays on its host.
             self.staging_model = None
         elif (
             order.operation is OrderOperation.OPEN
@@ -201,26 +201,26 @@
 
     @property
     def ungrouped_s(self):
-        """Seconds for which reports say that it is in no group and took no order.
+        """Seconds for which reports show it in no group, with an unchanged order count.
 
-        Orders count up when they begin, so the same count proves that no late order
-        has brought it into a group between two reports.
+        Each started order increments the count, so an unchanged count proves that no
+        late order joined it to a group between two reports.
         """
         if self.ungrouped_since is None:
             return 0.0
         return self.report_requested_at - self.ungrouped_since
 
     def was_ready(self, group):
-        """Whether it was seen ready in a planned group with its present members.
+        """Whether it was seen ready in a planned group with its current members.
 
-        In its own place among them: a report may come from another engine that has
-        its address now, and be a member too.
+        Its own rank must match: a report may come from another member that now has its
+        address.
         """
         rank = group.members.index(self.id)
         return (group.name, group.epoch, rank) in self._ready_places
 
     def is_joining(self, group):
-        """Whether it was last seen on its way into a planned group."""
+        """Whether it was last seen joining a planned group."""
         found = self.membership
         return (
             found is not None
@@ -258,7 +258,8 @@
             self._ungrouped_order_count = report.order_count
 
     def _is_older(self, membership):
-        """Whether the list or a report lags behind what is known already."""
+        """Whether a membership from the list or a report is older than the known
+        one."""
         known = self.membership
         if known is None or membership is None or known.group != membership.group:
             return False
@@ -274,7 +275,7 @@
 
 
 class ObservedDomain:
-    """The engines of one domain."""
+    """Observed state of the engines of one domain."""
 
     def __init__(self):
         self.engines = {}
@@ -282,11 +283,11 @@
         self._plan = None
 
     def update_from_entry(self, entry):
-        """Take in an entry of the list.
+        """Apply an entry of the target list.
 
-        One of an earlier life than is known says nothing; one of a later life ends what
-        was known: order count, evidence, silence, pace, what the engine was told. One
-        that does not tell its life is of the life that is known.
+        An entry of an earlier incarnation is ignored; one of a later incarnation resets
+        order count, evidence, silence, pace and sent orders. An entry without an
+        incarnation is taken to be of the known one.
         """
         self.data_centre = entry.data_centre
         known = self.engines.get(entry.id)
@@ -296,9 +297,9 @@
             known.update_from_entry(entry._replace(incarnation=known.incarnation))
 
     def update_from_report(self, engine_id, report, requested_at):
-        """Take in a report, which may tell of another life than the list.
+        """Apply a report, whose incarnation may differ from the list's.
 
-        :param requested_at: when it was asked for.
+        :param requested_at: loop time of the request.
         """
         known = self.engines.get(engine_id)
         if known is None:
@@ -310,13 +311,13 @@
             known.update_from_report(report, requested_at)
 
     def update_from_plan(self, plan, now, is_own=False):
-        """Note who serves in no group any more, and lives that the list has not told.
+        """Apply a plan: released engines, and incarnations newer than the list's.
 
-        What proves that such an engine has left must be newer than that.
+        Evidence that a released engine has left must be newer than the plan.
 
         :param plan: :class:`~cowslipcourse.groups.DomainPlan` of the domain.
-        :param now: loop time at which the plan was known.
-        :param is_own: whether this daemon wrote it in place of the one that it knew.
+        :param now: loop time at which the plan was read.
+        :param is_own: whether this daemon wrote it to replace the known plan.
         """
         for group in plan.groups:
             self._apply_planned_incarnations(group)
@@ -326,7 +327,7 @@
         self._plan = plan
 
     def _is_released(self, plan, engine, is_own):
-        """Whether an engine serves in no group, and may have done so until now."""
+        """Whether an engine is no longer in an active group but may have been."""
         known = self._plan
         group = plan.group_of(engine.id, engine.incarnation)
         if known is not None and known.version == plan.version:
@@ -336,7 +337,7 @@
                 known is not None and group in known.groups
             )
         if not is_own:
-            # Whom the versions between held, unseen here, is not known.
+            # Members of intermediate versions, not seen here, are unknown.
             return True
         before = known and known.group_of(engine.id, engine.incarnation)
         return before is not None and not before.is_retired
@@ -349,15 +350,15 @@
                 self.engines[member] = known.next_incarnation(meant)
 
     def mark_unlisted(self, engine_id):
-        """Note that the list no longer holds an engine."""
+        """Record that an engine is no longer on the target list."""
         known = self.engines.get(engine_id)
         if known is not None:
             known.is_listed = False
 
     def remove_unlisted(self, keep):
-        """Drop engines that are not listed, but for those of which ``keep`` is true.
+        """Drop engines that are not listed, except those for which ``keep`` is true.
 
-        :returns: ids of what was dropped.
+        :returns: ids of the dropped engines.
         """
         dropped = [
             engine_id
--- a/cowslipcourse/groups/loads.py
+++ b/cowslipcourse/groups/loads.py
@@ -1,28 +1,28 @@
-"""Limit on the loads from the weight store that a coordinator begins."""
+"""Rate limit on the weight-store loads that a coordinator starts."""
 
 __all__ = ["LoadRateLimiter"]
 
 WINDOW_S = 5.0
 """Window in which the platform counts loads."""
 SINGLE_COORDINATOR_SHARE = 0.5
-"""Share of the permitted loads that a single coordinator begins: while another takes
-over, both may do so."""
+"""Share of the permitted loads that a single coordinator starts: during a takeover two
+coordinators may start loads."""
 TOTAL_COORDINATOR_SHARE = 0.75
-"""Share that several coordinators begin together: while one takes over the domains of
-another, a part may be begun twice."""
+"""Share that several coordinators start together: while one takes over the domains of
+another, some loads may be started twice."""
 
 
 class LoadRateLimiter:
-    """Counts loads in a sliding window."""
+    """Limits load starts in a sliding window."""
 
     def __init__(self):
         self._started_at = []
 
     def try_acquire(self, loads_per_s, coordinators, now):
-        """Take one load and return whether it may begin now.
+        """Acquire a permit for one load; return whether it may start now.
 
-        :param loads_per_s: loads that all daemons may begin in a second.
-        :param coordinators: number of daemons that begin loads.
+        :param loads_per_s: loads that all daemons together may start per second.
+        :param coordinators: number of daemons that start loads.
         :param now: loop time.
         """
         self._started_at = [at for at in self._started_at if now - at < WINDOW_S]
--- a/cowslipcourse/groups/orders.py
+++ b/cowslipcourse/groups/orders.py
@@ -1,4 +1,4 @@
-"""Which orders carry out a plan, given what is known of the engines."""
+"""Derives the orders that carry out a plan from the observed engines."""
 
 from typing import NamedTuple
 
@@ -10,22 +10,22 @@
 __all__ = ["is_present", "next_steps"]
 
 JOIN_RETRY_S = 1.0
-"""Time after which a join that shows no effect is looked into; a list lags less."""
+"""Time after which a join without visible effect is checked; the list lags less."""
 OPEN_RETRY_S = 1.5
 """The same for an open order, which takes effect after the opening time."""
 REPORT_REQUEST_INTERVAL_S = 0.5
-"""Interval at which engines are asked that still have to leave a group."""
+"""Interval of report requests to engines that still have to leave a group."""
 REPORT_REQUEST_MARGIN_S = 0.02
-"""Asked that much after an engine may have been away for long enough."""
+"""Delay of a report request after an engine can be ungrouped for long enough."""
 HEAD_UNGROUPED_S = MAX_REPORT_LAG_S
-"""Time for which a head's reports must say that it has left: they may be that old."""
+"""Time for which a head's reports must show it ungrouped: they may be that old."""
 DRAIN_TIMEOUT_S = 2.5
-"""Time for the requests of a group that is given up for another model; most streams
-end within two seconds, and the callers of that model have no group meanwhile."""
+"""Drain time of a group that is reassigned to another model; most streams end within
+two seconds, and callers of the other model have no group meanwhile."""
 STALL_MARGIN_S = 0.5
-"""More than the stall limit before a head counts as broken: clocks and reports lag."""
+"""Margin on the stall limit before a head counts as broken: clocks and reports lag."""
 REJOIN_S = 0.2
-"""Time of a join if the engine served that model last."""
+"""Duration of a join if the engine served that model last."""
 
 
 def next_steps(plan, engines, models, stall_s, now):
@@ -49,7 +49,7 @@
 
 
 def is_present(group, member, engines):
-    """Whether the life of a member that a group means can be given work.
+    """Whether the planned incarnation of a member can be given work.
 
     :param group: :class:`~cowslipcourse.groups.PlannedGroup`
     :param member: id of a member.
@@ -79,12 +79,12 @@
 
 
 def _serving_elsewhere(group, members, engines):
-    """Return who must leave another group first, each with its membership there.
+    """Return engines that must leave another group first, with their memberships.
 
-    They are the members that are in one by their order count, and heads of such groups
-    that serve. What was known when the plan was made may have been outdated: a
-    coordinator that had told a head to open joined it to another group 0.6 s later, as
-    another coordinator's plan said, and no report had said yet that it was open.
+    These are members with a confirmed membership in another group, and the serving
+    heads of such groups. The plan may rest on outdated observations: a coordinator that
+    had ordered a head to open joined it to another group 0.6 s later, as the plan of
+    another coordinator said, before any report showed that it was open.
     """
     found = [
         (engine, engine.confirmed_membership)
@@ -114,7 +114,7 @@
 
 
 def _head_membership_in(engine, groups):
-    """Return the membership by which a head serves one of some groups, or ``None``."""
+    """Return the membership as the serving head of one of ``groups``, or ``None``."""
     if not engine.is_live:
         return None
     for found in (engine.confirmed_membership, engine.membership):
@@ -145,7 +145,7 @@
 
 
 def _expected_join_s(group, engine, models):
-    """Return the seconds after which a join should have led to ready."""
+    """Return the seconds after which a joined engine should be ready."""
     model = models.get(group.model)
     if model is None:
         return JOIN_RETRY_S
@@ -165,7 +165,7 @@
 
 
 def _order(engine, operation, group):
-    """Return the order, or the question for the count that it must carry."""
+    """Return the order, or a report request if its order count is unknown."""
     if engine.order_count is None:
         return Step(StepKind.ASK, engine.id)
     is_join = operation is OrderOperation.JOIN
@@ -183,7 +183,7 @@
 def _retire(group, engines, stall_s, now):
     """Make the head leave, which frees the members.
 
-    If the head does not answer, the others leave: then it breaks by itself.
+    If the head does not answer, the other members leave, and it becomes broken.
     """
     head = engines.get(group.head)
     if head is not None and head.silent_since is None:
@@ -202,9 +202,9 @@
 
 
 def _release(group, engines, now):
-    """Make the others of a group leave that is to serve another model next.
+    """Make the other members leave a group that is reassigned to another model.
 
-    Its head has left by then, or is leaving; nothing is served that they could break.
+    Its head has left or is leaving, so nothing that they could interrupt is served.
     """
     head = engines[group.head]
     if not group.successor or head.state_in(group) is not None:
@@ -215,7 +215,7 @@
 
 
 def _is_drained(group, head, now):
-    """Whether a head has finished its requests, or had the time to."""
+    """Whether a head has finished its requests, or its drain time is over."""
     closed_at = head.close_sent_at.get(group.epoch)
     if closed_at is not None and now - closed_at >= DRAIN_TIMEOUT_S:
         return True
@@ -223,7 +223,7 @@
 
 
 def _drain(group, head, now):
-    """Let a head that serves finish what it has and take no more."""
+    """Let a serving head finish its requests and accept no more."""
     if (
         head.state_in(group) is GroupState.OPEN
         and group.epoch not in head.close_sent_at
@@ -234,7 +234,7 @@
 
 
 def _leave(group, engine, ungrouped_s, now):
-    """Make an engine leave a group, and ask it when it may have been away for long."""
+    """Make an engine leave a group, then request a report once it may prove that."""
     if engine.state_in(group) is not None:
         return [_order(engine, OrderOperation.LEAVE, group)]
     if engine.ungrouped_since is not None and engine.ungrouped_s <= ungrouped_s:
@@ -245,7 +245,7 @@
 
 
 def _leave_unplanned_groups(plan, engines):
-    """Make engines leave groups that no plan holds them in."""
+    """Make engines leave groups in which no plan has them."""
     steps = []
     for engine in engines.values():
         found = engine.membership
@@ -260,7 +260,7 @@
 
 
 def _request_evidence(plan, engines):
-    """Ask engines that no plan holds and that may be free: only a report proves it."""
+    """Request reports of unplanned engines: only a report proves that they are free."""
     return [
         Step(StepKind.ASK, engine.id)
         for engine in engines.values()
@@ -271,7 +271,7 @@
 
 
 class _UnplannedGroup(NamedTuple):
-    """A group that an engine is in, whatever the plan says."""
+    """A group that an engine is in but that the plan does not give it."""
 
     name: str
     epoch: int
--- a/cowslipcourse/groups/plan.py
+++ b/cowslipcourse/groups/plan.py
@@ -1,7 +1,7 @@
-"""The plan of a fabric domain, kept as one row of the store.
+"""The plan of a fabric domain, stored as one row.
 
-An engine belongs to one domain and a domain has one row, so replacing the row under the
-condition of its version is enough to keep an engine out of two groups.
+An engine belongs to one domain and a domain has one row, so a conditional replacement
+of the row by version is enough to keep an engine out of two groups.
 """
 
 from typing import Annotated, NamedTuple
@@ -20,19 +20,19 @@
 
 
 class PlannedGroup(NamedTuple):
-    """A group as planned.
+    """A planned group.
 
-    :param name: never used for another group.
+    :param name: unique; never reused for another group.
     :param model: model that it serves.
     :param epoch: one more than the point of the row that was replaced to give it
         these members. Only one transaction replaces a row, so it is unique.
     :param members: ids of the engines, the head first.
-    :param is_retired: whether it is given up; its members are free once its head
-        cannot be serving.
-    :param incarnations: lives of the members that are meant, in their order. An engine
-        that has started again since knows nothing of the group and is no member.
-    :param successor: model that its engines shall serve once they are free, if it is
-        given up for that; empty otherwise.
+    :param is_retired: whether it is to end; its members are free once its head cannot
+        be serving.
+    :param incarnations: planned incarnations of the members, in their order. An engine
+        that has restarted since knows nothing of the group and is no member.
+    :param successor: model that its engines are reassigned to once they are free; empty
+        if none.
     """
 
     name: _Name
@@ -54,7 +54,7 @@
         return lives.get(engine, UNKNOWN_INCARNATION)
 
     def has_member(self, engine, incarnation):
-        """Whether a life of an engine is a member.
+        """Whether an incarnation of an engine is a member.
 
         :param engine: id of the engine.
         :param incarnation: life that is asked about.
@@ -69,8 +69,8 @@
     :param domain: name of the domain.
     :param version: point of the row; 0 if there is none.
     :param groups: tuple of :class:`PlannedGroup`.
-    :param decided_at: the next epoch of the plan that these groups took the place of. A
-        row that is written again, after the store has lost it, keeps it.
+    :param decided_at: next epoch of the plan that these groups replaced. A row that is
+        rewritten after the store has lost it keeps this value.
     :param absent_at_version: point at which the store had no row; 0 if it has one.
     """
 
@@ -82,11 +82,11 @@
 
     @property
     def next_epoch(self):
-        """Epoch of the groups in whatever takes the place of this plan."""
+        """Epoch of new or changed groups in the plan that replaces this one."""
         return max(self.version, self.absent_at_version) + 1
 
     def group_of(self, engine, incarnation):
-        """Return the :class:`PlannedGroup` that holds a life of an engine, or ``None``.
+        """Return the :class:`PlannedGroup` of an engine's incarnation, or ``None``.
 
         :param engine: id of the engine.
         :param incarnation: life that is asked about.
@@ -97,7 +97,7 @@
         return None
 
     def contains_engine(self, engine):
-        """Whether any life of an engine is in a group."""
+        """Whether any incarnation of an engine is in a group."""
         return any(engine in group.members for group in self.groups)
 
 
@@ -109,7 +109,7 @@
     decided_at: Annotated[int, msgspec.Meta(ge=0)]
 
 
-# A daemon of an earlier release writes the groups alone.
+# Earlier releases write the groups without ``decided_at``.
 _decoder = msgspec.json.Decoder(_Row | _Groups)
 
 
@@ -133,5 +133,7 @@
     groups = row.groups
     lives = [(m, group.incarnation_of(m)) for group in groups for m in group.members]
     if len(set(lives)) != len(lives):
-        raise MalformedAnswer(f"unreadable plan of {domain}: an engine stands twice")
+        raise MalformedAnswer(
+            f"unreadable plan of {domain}: an engine is planned twice"
+        )
     return DomainPlan(domain, version, groups, row.decided_at)
--- a/cowslipcourse/groups/practice.py
+++ b/cowslipcourse/groups/practice.py
@@ -1,10 +1,10 @@
-"""Joins that spares practise, so that the next one takes a fraction of a second.
+"""Warm-up joins of spares, which shorten their next join to a fraction of a second.
 
-An engine joins in 0.2 s if its last group since its start had the same model, else it
-loads the weights from its host first, which takes 1 to 2 s. A spare that has joined a
-group of its own once repairs another one that much sooner. Such a group has one
-member, which is its head and is never opened, so it holds up nothing: the engine may
-be joined out of it at any time.
+An engine joins in 0.2 s if its last group since its start had the same model; otherwise
+it first loads the weights from its host, which takes 1 to 2 s. A spare that has joined
+a
+single-member group repairs another group sooner by that time. The spare is the head of
+its warm-up group, which is never opened, so it can join another group at any time.
 """
 
 from cowslipcourse.groups.steps import Step, StepKind
@@ -13,11 +13,11 @@
 __all__ = ["is_warming_up", "is_warmup_group", "warmup_step"]
 
 _NAME_SUFFIX = ".alone"
-"""End of the names of such groups; those of planned groups end with a number."""
+"""Suffix of names of warm-up groups; names of planned groups end with a number."""
 
 
 def is_warmup_group(membership):
-    """Whether an engine is in a group of its own.
+    """Whether an engine is in a warm-up group.
 
     :param membership: :class:`~cowslipcourse.ports.GroupMembership` or ``None``.
     """
@@ -25,13 +25,13 @@
 
 
 def is_warming_up(engine):
-    """Whether an engine is on its way into a group of its own."""
+    """Whether an engine is joining a warm-up group."""
     membership = engine.membership
     return is_warmup_group(membership) and membership.state is GroupState.JOINING
 
 
 def warmup_step(plan, engine, models):
-    """Return the step that lets a spare practise, or ``None`` if it need not.
+    """Return the step that warms up a spare, or ``None`` if it needs none.
 
     :param plan: :class:`~cowslipcourse.groups.DomainPlan`
     :param engine: :class:`~cowslipcourse.groups.ObservedEngine` of a spare.
@@ -45,7 +45,7 @@
         return None
     if engine.order_count is None:
         return Step(StepKind.ASK, engine.id)
-    # The epoch is lower than that of any group that is planned later.
+    # This epoch is lower than that of any group planned later.
     order = EngineOrder(
         OrderOperation.JOIN,
         engine.order_count,
--- a/cowslipcourse/groups/revision.py
+++ b/cowslipcourse/groups/revision.py
@@ -1,4 +1,4 @@
-"""Which groups a fabric domain shall have: repair, forming and giving up."""
+"""Revises the plan of a fabric domain: repairs, forms and retires groups."""
 
 import itertools
 
@@ -7,28 +7,28 @@
 __all__ = ["revise_plan"]
 
 MIN_REPLACEMENT_GAIN_S = 2.0
-"""A member that still loads is replaced by a free engine that holds the model only if
-the group serves this much earlier; joining again takes a few tenths of a second."""
+"""A loading member is replaced by a warm free engine only if the group serves this much
+earlier; a rejoin takes a few tenths of a second."""
 
 
 def revise_plan(
     plan, engines, sizes, demands, assignment, broken=frozenset(), reassignments=()
 ):
-    """Return the groups that a domain shall have, as a tuple.
+    """Return the revised tuple of groups of a domain.
 
-    Repairs come first: what a group has formed already is kept. Groups that cannot
-    be completed give their members to one that can; in a domain of one model they do
-    so at once, as any other group can use them. New groups are formed from engines
-    beyond the spares.
+    Repairs come first and keep the members that a group has. Groups that cannot be
+    completed release their members to one that can; in a domain of one model they do
+    so at once, since every other group can use them. New groups are formed from
+    engines beyond the reserved spares.
 
-    :param plan: present :class:`~cowslipcourse.groups.DomainPlan`
+    :param plan: current :class:`~cowslipcourse.groups.DomainPlan`
     :param engines: iterable of :class:`EngineView` of the domain.
     :param sizes: group size by model.
     :param demands: iterable of :class:`ModelDemand`.
     :param assignment: :class:`~cowslipcourse.groups.DomainAssignment` of the domain.
-    :param broken: names of groups that are whole but must be formed anew.
-    :param reassignments: iterable of :class:`~cowslipcourse.groups.Reassignment` of this
-        domain.
+    :param broken: names of groups that are complete but must be formed again.
+    :param reassignments: iterable of
+        :class:`~cowslipcourse.groups.Reassignment` of this domain.
     """
     return _Revision(plan, engines, sizes, assignment, broken).make(
         demands, reassignments
@@ -70,7 +70,7 @@
         return tuple(self._groups.values())
 
     def _drop_released(self):
-        """Drop retired groups whose members are all free or gone."""
+        """Drop retired groups whose members are all free or no longer exist."""
         released = [
             group for group in self._groups.values() if self._is_released(group)
         ]
@@ -89,10 +89,10 @@
         return group.is_retired and all(view is None or view.is_free for view in views)
 
     def _awaits_more_engines(self, model, number):
-        """Whether engines of several groups make one of a successor, and not all left.
+        """Whether a successor needs engines of groups that are not yet released.
 
-        :param model: the successor.
-        :param number: engines that have left.
+        :param model: successor model.
+        :param number: engines that are already released.
         """
         others = any(
             group.successor == model and not self._is_released(group)
@@ -101,7 +101,7 @@
         return others and number < self._sizes.get(model, 0)
 
     def _retire_reassigned(self, reassignments):
-        """Give up the groups whose engines shall serve another model."""
+        """Retire the groups whose engines are reassigned to another model."""
         for reassignment in reassignments:
             for name in reassignment.groups if reassignment.is_warm else ():
                 group = self._groups.get(name)
@@ -111,7 +111,7 @@
                     )
 
     def _form_successors(self, model, freed):
-        """Form groups of a successor of those who hold it; return who is left."""
+        """Form successor groups of the warm engines; return the remaining ones."""
         warm = [view for view in freed if model in view.warm_models]
         size = self._sizes.get(model, 0)
         number = len(warm) // size if size else 0
@@ -127,7 +127,7 @@
         self._set_members(self._groups[name], members)
 
     def _members(self, group):
-        """Return the views of a group's members; ``None`` for a life that is over."""
+        """Return the members' views; ``None`` for an incarnation that has ended."""
         views = [self._views.get(member) for member in group.members]
         return [
             view if view and group.has_member(view.id, view.incarnation) else None
@@ -135,12 +135,12 @@
         ]
 
     def _drop_unlisted(self):
-        """Drop groups whose members the platform lists no longer.
+        """Drop groups none of whose members is on the target list.
 
-        That a member does not answer is no reason: it may be this daemon that does not
-        hear. A group whose members were all silent to an overloaded coordinator served
-        on while another one joined its engines elsewhere. A member that comes back
-        after its entry went is a stray, and is freed before it is used.
+        A member's silence is no reason: the fault may be on this daemon's side. A group
+        whose members were all silent to an overloaded coordinator kept serving while
+        another coordinator joined its engines to other groups. A member that returns
+        after its entry was removed leaves its unplanned group before it is used.
         """
         for group in list(self._groups.values()):
             views = self._members(group)
@@ -148,11 +148,11 @@
                 del self._groups[group.name]
 
     def _set_aside_cold_engines(self):
-        """Use engines of a domain of one model only once they hold it.
+        """Use only warm engines in a domain of one model.
 
-        While one of its members loads, the others of a group could serve elsewhere.
-        That does not matter before a first group holds the model: at the start loads
-        are short, and without such a group nothing waits for spares.
+        While one member loads, the other members of its group could serve in another
+        one. Before the first warm group exists this does not matter: loads are short at
+        the start, and no group waits for spares.
         """
         model = self._assignment.model
         if any(self._is_warm(group, model) for group in self._groups.values()):
@@ -162,14 +162,14 @@
             self._free = [view for view in self._free if model in view.warm_models]
 
     def _is_warm(self, group, model):
-        """Whether all members of a group that is not given up hold a model."""
+        """Whether all members of an active group are warm for a model."""
         views = self._members(group)
         return not group.is_retired and all(
             view is not None and model in view.warm_models for view in views
         )
 
     def _incomplete(self):
-        """Return active groups that lack members, the largest first."""
+        """Return active groups that lack members, largest first."""
         found = [g for g in self._groups.values() if not g.is_retired]
         found = [g for g in found if self._is_incomplete(g)]
         return sorted(found, key=lambda g: -self._size(g))
@@ -190,7 +190,7 @@
         return [view.id for view in views if view is not None and view.is_live]
 
     def _is_still_serving(self, group):
-        """Whether the group serves until a member that is leaving has left."""
+        """Whether the group can serve until a leaving member has left."""
         views = self._members(group)
         return group.name not in self._broken and all(
             view is not None and (view.is_live or view.is_leaving) for view in views
@@ -202,7 +202,7 @@
             return
         warm = sum(group.model in view.warm_models for view in self._free)
         if missing > warm and self._is_still_serving(group):
-            # Loading from the weight store takes longer than the member stays.
+            # A load from the weight store takes longer than the member stays.
             return
         members = tuple(self._live_members(group)) + self._take_free(
             group.model, missing
@@ -210,11 +210,11 @@
         self._set_members(group, members)
 
     def _reinstate_retired(self):
-        """Form given-up groups anew under their names, as far as engines are free.
+        """Reactivate retired groups that free engines can complete.
 
-        The survivors of a group whose head is silent are not free for others until the
-        head must have broken, 4.5 s later. Under the group's own name they need not
-        wait: that is a repair like any other.
+        The live members of a group with a silent head are not free for other groups
+        until the head must have become broken, 4.5 s later. Within their own group they
+        need not wait: that is an ordinary repair.
         """
         retired = [
             group
@@ -229,7 +229,7 @@
                 self._repair(self._groups[group.name])
 
     def _set_members(self, group, members):
-        """Give a group other members, and the epoch that goes with them."""
+        """Set a group's members, with the new epoch and their incarnations."""
         self._groups[group.name] = group._replace(
             members=members,
             epoch=self._epoch,
@@ -240,7 +240,7 @@
         return tuple(self._views[member].incarnation for member in members)
 
     def _take_free(self, model, number):
-        """Take free engines, those that hold the model first."""
+        """Take free engines, warm ones first among those that are not slow."""
         self._free.sort(
             key=lambda view: (view.is_slow, model not in view.warm_models, view.id)
         )
@@ -248,11 +248,11 @@
         return tuple(view.id for view in taken)
 
     def _replace_loading_members(self):
-        """Replace members that load for long, or are slow, by better free engines."""
+        """Replace slow members and those with a long load by better free engines."""
         for group in list(self._groups.values()):
             if group.is_retired or group.epoch == self._epoch:
                 continue
-            # Of a member that the list has never told of, no life is known to be meant.
+            # The incarnation of a member that was never listed is unknown.
             if not self._views.keys() >= set(group.members):
                 continue
             for member in group.members:
@@ -265,7 +265,7 @@
         if view.ready_in_s < MIN_REPLACEMENT_GAIN_S and not view.is_slow:
             return
         group = self._groups[group.name]
-        # A member that has started again is free, and stands in the group's list still.
+        # A restarted member is free, and is still in the group's member list.
         warm = [
             free
             for free in self._free
@@ -280,13 +280,13 @@
         self._set_members(group, (*kept, warm[0].id))
 
     def _unrepairable_groups(self):
-        """Return the groups that lack members and do not serve."""
+        """Return the groups that lack members and cannot serve."""
         return [g for g in self._incomplete() if not self._is_still_serving(g)]
 
     def _retire_all_incomplete(self):
         """Retire all groups that cannot be completed.
 
-        It takes a while until their members are free, and the next loss is soon.
+        Their members take a while to become free, and the next loss may be soon.
         """
         for group in self._unrepairable_groups():
             self._groups[group.name] = group._replace(is_retired=True)
@@ -296,7 +296,7 @@
         broken = self._unrepairable_groups()
         if len(broken) < 2:
             return
-        # The fewest survivors are given up; the rest may then be repaired.
+        # Retire the group with the fewest live members; another can be repaired then.
         retired = min(broken, key=lambda g: len(self._live_members(g)))
         available = len(self._live_members(retired)) + len(self._free)
         for group in broken:
@@ -305,7 +305,7 @@
                 return
 
     def _form(self, demands):
-        """Form a new group of what is free beyond the spares."""
+        """Form a new group of free engines beyond the spares."""
         pending = sum(self._missing_count(group) for group in self._incomplete())
         kept = max(self._assignment.spare_count, pending)
         own = [w for w in demands if self._assignment.model in (None, w.model)]
@@ -319,10 +319,10 @@
             self._form_from_cold_engines(demands)
 
     def _form_from_cold_engines(self, demands):
-        """Form groups of engines that hold another model than the domain serves.
+        """Form groups of engines that are warm for another model than the domain's.
 
-        They would serve nobody for as long as they load that one. A model that is
-        wanted less gets none of them: each group that loses a member would give its
+        They would be idle while they load the domain's model. A model in lower demand
+        gets none of them: otherwise each group that loses a member would pass its
         engines to it.
         """
         urgencies = {demand.model: demand.urgency for demand in demands}
@@ -342,8 +342,9 @@
                 warm = warm[size:]
 
     def _new_name(self):
-        # The version that is replaced makes it unique in the domain, with a number for
-        # each further group of the same revision.
+        # The replaced version makes the name unique in the domain; further groups of
+        # the
+        # same revision get a number.
         first = f"{self._domain}-{self._epoch}"
         names = itertools.chain((first,), (f"{first}-{n}" for n in itertools.count(2)))
         return next(name for name in names if name not in self._groups)
--- a/cowslipcourse/groups/shape.py
+++ b/cowslipcourse/groups/shape.py
@@ -1,10 +1,9 @@
-"""Which models a fabric domain serves; pure decisions.
+"""Assigns fabric domains to models; pure decisions.
 
-A group is repaired at once only by an engine that holds its model; loading weights
-takes ten times as long. If all engines of a domain hold one model, the survivors of a
-group that cannot be completed are such spares for the other groups, and no engine has
-to stand by from the start. So domains are divided among the models where there are
-enough.
+Only an engine that already has the weights repairs a group at once; loading them takes
+ten times as long. If all engines of a domain have the same model, the survivors of a
+group that cannot be completed are warm spares for the other groups, and no engine needs
+to be reserved. Domains are therefore divided among the models where there are enough.
 """
 
 from collections import Counter
@@ -15,23 +14,24 @@
 __all__ = ["MIXED_ASSIGNMENT", "DomainAssignment", "assign_domain"]
 
 MIN_DOMAINS_PER_MODEL = 2
-"""Domains that each model must have: one may go dark as a whole."""
+"""Domains that each model must have: one may fail as a whole."""
 MIXED_DOMAIN_SPARES = 2
-"""Engines kept free in a domain of several models, one that holds each model: about two
-are lost there in a day."""
+"""Engines kept free in a domain that serves several models, one warm for each: about
+two are lost there a day."""
 SAINTE_LAGUE_OFFSET = 0.5
-"""Added to the number of domains in the divisor of Sainte-Lague's method."""
+"""Added to the number of domains in the divisor of the
+Sainte-Lague method."""
 SAME_DATA_CENTRE_FACTOR = 0.7
-"""Factor on the claim of a model that has a domain in the same data centre already. It
-moves a domain only if claims are close: numbers by share come first."""
+"""Factor on the quotient of a model that already has a domain in the same data centre.
+It decides only between close quotients: proportionality comes first."""
 
 
 class DomainAssignment(NamedTuple):
-    """What a domain shall be used for.
+    """The model that a domain serves, and its reserve.
 
-    :param model: the model that it serves, but for groups that have changed over or
-        are formed of engines which hold another one; ``None`` for any.
-    :param spare_count: engines to be kept free for repairs.
+    :param model: model that the domain serves, apart from reassigned groups and groups
+        of engines that are warm for another model; ``None`` for any.
+    :param spare_count: number of engines kept free for repairs.
     """
 
     model: str | None
@@ -46,9 +46,10 @@
 
     :param domain: name of the domain.
     :param plans: :class:`~cowslipcourse.groups.DomainPlan` by domain.
-    :param data_centres: data centre by domain, of all domains that are known.
+    :param data_centres: data centre by domain, for all known domains.
     :param models: iterable of :class:`~cowslipcourse.routes.EngineModel`.
-    :param warm_models: models that the domain's engines hold, once for each engine.
+    :param warm_models: models that the domain's engines can join without a load, with
+        one item for each engine and model.
     """
     total = sum(model.share for model in models)
     if total <= 0 or len(models) < 2:
@@ -67,7 +68,7 @@
 
 
 def _most_served_model(plan, models):
-    """Return the model that most engines of a plan serve, ``None`` if none does."""
+    """Return the model that most engines of a plan serve, or ``None``."""
     engines = Counter()
     for group in () if plan is None else plan.groups:
         if not group.is_retired:
@@ -76,9 +77,10 @@
 
 
 def _most_warm_model(warm_models, plans, models):
-    """Return the model that most engines hold: a domain that was dark comes back so.
+    """Return the model that most engines are warm for, as after an outage.
 
-    ``None`` if another model is wanted more: hosts may hold what they stand by for.
+    ``None`` if another model has a higher demand: hosts may store a model only
+    because they stand by for it.
     """
     model = _top_model(Counter(warm_models), models)
     urgencies = {
@@ -102,10 +104,10 @@
 
 
 def _apportioned_model(domain, plans, data_centres, models):
-    """Return the model of a domain that serves none yet.
+    """Return the model of a domain that has no groups yet.
 
-    All such domains are gone through in the order of their names, so that coordinators
-    that begin at the same time divide them as one would.
+    All such domains are assigned in the order of their names, so that coordinators
+    that start at the same time arrive at the same division.
     """
     assigned_data_centres = {model.name: [] for model in models}
     for other, plan in plans.items():
--- a/cowslipcourse/groups/situation.py
+++ b/cowslipcourse/groups/situation.py
@@ -1,4 +1,4 @@
-"""What follows from the knowledge of a domain for the revision of its plan."""
+"""Derives the inputs of plan revision from the observed domain."""
 
 from cowslipcourse.groups.orders import HEAD_UNGROUPED_S, STALL_MARGIN_S, is_present
 from cowslipcourse.groups.practice import is_warmup_group
@@ -15,7 +15,7 @@
 ]
 
 GROUP_COUNT_OFFSET = 0.5
-"""Added to the number of groups, so that the first group of a model has an urgency."""
+"""Added to the group count, so that a model without groups has a finite urgency."""
 
 
 def engine_views(plan, observed, stall_s, now):
@@ -50,13 +50,13 @@
 def is_free(plan, observed, engine, stall_s):
     """Whether an engine is in no group, or in one whose head cannot be serving.
 
-    Only its own reports prove that it is in none, and only those that are newer than
-    the last plan that may have held it: the list is up to a second late, and later
-    where the daemon is overloaded.
+    Only its own reports prove that it is in none, and only those newer than the last
+    plan that may have included it: the list lags by up to a second, and by more where
+    the daemon is overloaded.
 
-    An engine that does not answer counts as free of a group that has ended: if it comes
-    back it leaves the group before it is used. A head that has started again has left:
-    it knows nothing of the group.
+    A silent engine counts as free of a group that has ended: if it returns, it leaves
+    the group before it is used. A restarted head has left: it knows nothing of the
+    group.
     """
     group = plan.group_of(engine.id, engine.incarnation)
     if group is None:
@@ -75,14 +75,14 @@
 
 
 def _head_has_broken(group, observed, stall_s):
-    """Whether a silent head must have broken, as a member left for long enough."""
+    """Whether a silent head must be broken because a member left long enough ago."""
     engines = [observed.engines.get(member) for member in group.members]
     longest_s = max(engine.ungrouped_s for engine in engines if engine is not None)
     return longest_s > stall_s + STALL_MARGIN_S
 
 
 def broken_groups(plan, observed):
-    """Return the names of groups whose heads say that they are broken."""
+    """Return the names of groups whose heads report that they are broken."""
     return frozenset(
         group.name
         for group in plan.groups
@@ -93,7 +93,7 @@
 
 
 def spare_engines(plan, observed):
-    """Return the live engines that the plan holds in no group."""
+    """Return the live engines that the plan has in no group."""
     return [
         engine
         for engine in observed.engines.values()
@@ -113,8 +113,7 @@
 def model_demands(models, plans):
     """Return a :class:`~cowslipcourse.groups.ModelDemand` for each model.
 
-    A model is wanted more the larger its share of the work is for each group that it
-    has in all domains.
+    The urgency grows with the model's share of the work per group in all domains.
 
     :param models: iterable of :class:`~cowslipcourse.routes.EngineModel`.
     :param plans: iterable of :class:`~cowslipcourse.groups.DomainPlan`.
--- a/cowslipcourse/groups/staging.py
+++ b/cowslipcourse/groups/staging.py
@@ -1,20 +1,21 @@
-"""Which model a free engine shall hold on its host."""
+"""Chooses the model that a free engine stages on its host."""
 
 __all__ = ["choose_staging"]
 
 
 def choose_staging(plan, free_engines, models, awaited_models):
-    """Return ``{engine id: model name}`` for free engines that should load one.
+    """Return ``{engine id: model name}`` for free engines that should stage one.
 
-    A spare that holds the model repairs a group in the time of a warm load. A group
-    that waits for a spare comes first. Then each model gets one spare, and the rest go
-    to the models with more engines at risk in the domain. What an engine holds is
-    replaced only if another spare holds it too.
+    A spare that has staged the model repairs a group in the time of a warm load.
+    Groups that wait for such a spare come first. Then each model gets one spare, and
+    the rest go to the models with the most engines at risk for each spare. A staged
+    model is replaced only if another spare has it too.
 
     :param plan: :class:`~cowslipcourse.groups.DomainPlan`
-    :param free_engines: :class:`~cowslipcourse.groups.ObservedEngine` of free live engines.
+    :param free_engines: :class:`~cowslipcourse.groups.ObservedEngine` of free live
+        engines.
     :param models: iterable of :class:`~cowslipcourse.routes.EngineModel`.
-    :param awaited_models: models of groups that wait for a spare that holds them.
+    :param awaited_models: models of groups that wait for a warm spare.
     """
     engines_at_risk = {model.name: model.share for model in models}
     for group in plan.groups:
@@ -50,7 +51,7 @@
 
 
 def _staged_model(engine, models):
-    """Return the model that an engine loads, or can join without a load."""
+    """Return the model that an engine is staging, or can join without a load."""
     staged_models = [
         model for model in engine.warm_models if model in models
     ] or engine.warm_models
--- a/cowslipcourse/groups/standby.py
+++ b/cowslipcourse/groups/standby.py
@@ -1,8 +1,8 @@
-"""Which groups hold the weights of another model on their hosts; pure decisions.
+"""Chooses groups whose hosts store a second model's weights; pure decisions.
 
-A group changes over to a model that is short within seconds if its hosts hold the
-weights. So some groups hold those of each model that the loss of two domains would
-leave short.
+A group is reassigned to an underprovisioned model within seconds if its hosts already
+store the weights. Enough groups therefore store those of each model that the loss of
+two domains would leave underprovisioned.
 """
 
 import math
@@ -14,15 +14,16 @@
 __all__ = ["choose_standby"]
 
 TOLERATED_DOMAIN_LOSSES = 2
-"""Domains that may be lost together without leaving a model short for a load's time."""
+"""Domains that may be lost together without leaving a model underprovisioned for the
+duration of a load."""
 
 
 class _Candidate(NamedTuple):
-    """Groups of a domain that could stand by together.
+    """Groups of a domain that could stand by for a model together.
 
     :param domain: name of the domain.
     :param groups: tuple of :class:`~cowslipcourse.groups.PlannedGroup`
-    :param warm_count: members whose hosts hold the model already.
+    :param warm_count: members whose hosts already store the model.
     """
 
     domain: str
@@ -31,7 +32,7 @@
 
 
 def choose_standby(plans, data_centres, models, count_warm_members):
-    """Return the model that the hosts of some groups shall hold, by group name.
+    """Return the model whose weights hosts shall store, by group name.
 
     :param plans: :class:`~cowslipcourse.groups.DomainPlan` by domain.
     :param data_centres: data centre by domain.
@@ -67,7 +68,7 @@
 
 
 def _largest_domains(plans, model):
-    """Return the names of the domains whose loss costs a model most."""
+    """Return the names of the domains whose loss costs a model most groups."""
     numbers = {
         domain: sum(g.model == model and not g.is_retired for g in plan.groups)
         for domain, plan in plans.items()
@@ -91,10 +92,10 @@
 def _assign_standby(
     standby, plans, data_centres, models, model, missing, count_warm_members
 ):
-    """Let groups of other models stand by for some more groups of a model.
+    """Assign groups of other models as standby for a model's missing groups.
 
-    Those whose hosts hold it go first, then those of data centres with fewest, so that
-    what stands by is not lost together.
+    Groups whose hosts already store it come first, then those of the data centres
+    with the fewest standby groups, so that standby groups are not lost together.
     """
     standby_counts = Counter()
     while missing > 0:
@@ -118,7 +119,7 @@
 def _candidates(standby, plans, models, model, count_warm_members):
     """Return a :class:`_Candidate` for each group that could stand by.
 
-    One that is smaller than those of the model needs others of its domain beside it.
+    A group that is smaller than the model's needs companions of its domain.
     """
     sizes = {other.name: other.size for other in models}
     candidates = []
--- a/cowslipcourse/groups/steps.py
+++ b/cowslipcourse/groups/steps.py
@@ -1,4 +1,4 @@
-"""What to do with an engine next."""
+"""Steps that the coordinator takes with an engine."""
 
 from enum import StrEnum
 from typing import NamedTuple
@@ -9,16 +9,16 @@
 
 
 class StepKind(StrEnum):
-    """What to do with an engine next."""
+    """Kind of a step."""
 
     ASK = "ask"
     ORDER = "order"
 
 
 class Step(NamedTuple):
-    """Something to be done now.
+    """An action to take now.
 
-    :param kind: ask for a report, or give the order.
+    :param kind: request a report, or send the order.
     :param engine: id of the engine.
     :param order: :class:`~cowslipcourse.ports.EngineOrder`, or ``None``.
     """
--- a/cowslipcourse/groups/views.py
+++ b/cowslipcourse/groups/views.py
@@ -1,27 +1,27 @@
-"""What the revision of a plan knows of engines and of what is wanted."""
+"""Inputs of plan revision: views of engines and demand for models."""
 
 from typing import NamedTuple
 
 __all__ = ["SLOW_PACE_FACTOR", "EngineView", "ModelDemand"]
 
 SLOW_PACE_FACTOR = 2.0
-"""Pace from which a member is replaced: at twice its times a group's pauses reach what
-callers bear, and joining again costs two seconds."""
+"""Time factor from which a member is replaced: at twice its nominal times, a group's
+pauses between events reach the limit of callers, while a rejoin costs two seconds."""
 
 
 class EngineView(NamedTuple):
-    """An engine as the revision of a plan sees it.
+    """An engine as seen by plan revision.
 
     :param id: id of the engine.
-    :param warm_models: models that it can join without a load.
+    :param warm_models: models that it can join without loading weights from the store.
     :param is_live: whether it can be given work.
     :param is_free: whether it is in no group, or in one that cannot be serving.
-    :param is_leaving: whether it still does its work but will leave.
+    :param is_leaving: whether it still works but is about to leave.
     :param ready_in_s: expected seconds until it is ready in its planned group.
-    :param pace: factor on its times, as it last said; a group runs at its slowest
-        member's.
-    :param incarnation: life of the engine.
-    :param is_listed: whether the platform lists it.
+    :param pace: factor on its nominal times, as last reported; a group runs at the pace
+        of its slowest member.
+    :param incarnation: incarnation of the engine.
+    :param is_listed: whether it is on the platform's target list.
     """
 
     id: str
@@ -36,16 +36,16 @@
 
     @property
     def is_slow(self):
-        """Whether it would slow a group down too much."""
+        """Whether its pace requires its replacement."""
         return self.pace >= SLOW_PACE_FACTOR
 
 
 class ModelDemand(NamedTuple):
-    """A model that further groups are wanted of.
+    """Demand for further groups of a model.
 
     :param model: model name.
-    :param size: engines of a group.
-    :param urgency: larger is wanted more.
+    :param size: engines per group.
+    :param urgency: demand per group; the highest is served first.
     """
 
     model: str
--- a/cowslipcourse/placement/__init__.py
+++ b/cowslipcourse/placement/__init__.py
@@ -1,4 +1,4 @@
-"""Which VMs form a group, and what to do when one is missing."""
+"""Placement of groups on VMs and repair policies for broken groups."""
 
 from cowslipcourse.placement.absence import AbsenceKind, AbsenceModel
 from cowslipcourse.placement.allocation import Demand, allocate
--- a/cowslipcourse/placement/absence.py
+++ b/cowslipcourse/placement/absence.py
@@ -1,8 +1,8 @@
-"""How long an absent VM is likely to stay away.
+"""Model of how long an absent VM is likely to stay absent.
 
 Absences are a mixture: short pauses, after which the weights are still loaded,
-restarts, after which they are not, and failures. The longer a VM has been away,
-the less likely it is that it only paused.
+restarts, after which they are not, and failures. The longer a VM has been absent, the
+less likely it is a pause.
 """
 
 import math
@@ -82,4 +82,4 @@
         AbsenceKind(share=0.12, mean_s=14_400.0, keeps_weights=False),
     )
 )
-"""Used until a site has measured its own; restarts to failures are as 98 to 31."""
+"""Default until a site has measured its own; restarts to failures are as 98 to 31."""
--- a/cowslipcourse/placement/allocation.py
+++ b/cowslipcourse/placement/allocation.py
@@ -1,8 +1,8 @@
-"""How many groups of a declaration each fabric domain forms.
+"""Allocation of a declaration's groups to fabric domains.
 
-Every controller works this out from the same list and configuration, so nothing
-has to be agreed: the worst that different views can do is form a group too many,
-which is then given up gracefully.
+Every controller computes it from the same list and configuration, so no agreement is
+needed: at worst, different views form an excess group, which is then retired
+gracefully.
 """
 
 from typing import NamedTuple
@@ -11,12 +11,12 @@
 
 
 class Demand(NamedTuple):
-    """What one declaration wants of the domains.
+    """Groups that one declaration requires, and what the domains offer.
 
-    :param count: groups wanted in all.
+    :param count: total number of groups required.
     :param vms_per_group: VMs of each.
     :param candidates: number of candidate VMs by domain.
-    :param formed: groups formed now by domain.
+    :param formed: groups currently formed, by domain.
     """
 
     count: int
@@ -28,7 +28,7 @@
 def allocate(demand):
     """Return the number of groups by domain.
 
-    Groups stay where they are; new ones go where most VMs are left over, which
+    Existing groups keep their domains; new ones go where most VMs are left over, which
     leaves spares beside as many groups as possible.
 
     :param demand: :class:`Demand`
--- a/cowslipcourse/placement/loading.py
+++ b/cowslipcourse/placement/loading.py
@@ -1,4 +1,4 @@
-"""In which order members load when the weight store cannot serve all at once."""
+"""Order of loads when the weight store cannot serve all members at once."""
 
 from typing import NamedTuple
 
@@ -9,8 +9,8 @@
     """A group that needs loads before it can serve.
 
     :param group: group id.
-    :param unloaded: members that must load.
-    :param loaded: members that are loaded already.
+    :param unloaded: number of members that must load.
+    :param loaded: number of members that are already loaded.
     :param is_blocked: whether a member is absent, so that loads alone do not help.
     :param accelerators_per_vm: accelerators of one VM.
     """
@@ -23,7 +23,7 @@
 
 
 def load_order(needs, weights):
-    """Return groups in the order in which their loads save most for each load.
+    """Return the groups in descending order of cost saved per load.
 
     Loading the members that a group lacks ends its downtime and frees its healthy
     accelerators, so its gain is what both cost, divided by the loads it takes.
--- a/cowslipcourse/placement/policies.py
+++ b/cowslipcourse/placement/policies.py
@@ -55,18 +55,18 @@
 
 
 class CostPolicy:
-    """Takes the way of least expected cost under the site's two weights.
+    """Minimises the expected cost under the site's two weights.
 
-    A group that waits costs its downtime and strands its healthy members until the
-    absent ones are back and loaded. A group that takes spares costs the same while
-    they load. Spares go first to the group that gains most by them under the weights.
-    Two broken groups without spares can be made into one whole group.
+    A waiting group costs its downtime and strands its healthy members until the absent
+    ones are back and loaded. A group that takes spares costs the same while they load.
+    Spares go first to the group with the largest gain under the weights. Two broken
+    groups without spares can be merged into one complete group.
 
-    That a spare out of a whole free block strands the rest of that block is left out:
-    so does waiting, with the broken group's own members, and for as long.
+    That a spare from a complete free block strands the rest of that block is not
+    counted: waiting strands the broken group's own members for as long.
 
     :param absences: :class:`~cowslipcourse.placement.AbsenceModel`
-    :param min_gain_fraction: fraction of the cost of waiting that a change must save.
+    :param min_gain_fraction: fraction of the waiting cost that a replacement must save.
     """
 
     def __init__(self, absences=DEFAULT_ABSENCES, min_gain_fraction=0.1):
@@ -74,7 +74,7 @@
         self._min_gain_fraction = min_gain_fraction
 
     def repair(self, view):
-        """Decide for each broken group, most gain first."""
+        """Decide for each broken group, largest gain first."""
         spares = list(view.spares)
         decisions = {}
         for group in self._by_gain(view):
@@ -121,10 +121,10 @@
         return view.weights.downtime + view.weights.stranded * accelerators
 
     def _returns_soon(self, view, group, replace_s):
-        """Whether a short wait is worth its while before a change is made.
+        """Whether members return soon enough for a short wait before a replacement.
 
-        Waiting a moment costs that moment; it saves the change if the members come
-        back with their weights just then.
+        A short wait costs its duration; it saves the replacement if the members return
+        with their weights in that time.
         """
         if group.unrecoverable:
             return False
@@ -132,7 +132,7 @@
         return rate * replace_s > 1.0
 
     def _merge(self, view, group, spares, decisions):
-        """Complete this group with the healthy members of one that must wait longer."""
+        """Complete this group with the healthy members of another broken group."""
         absent = list(group.absent)
         own_wait_s = self._expected_wait_s(view, group)
         for donor in view.broken:
--- a/cowslipcourse/placement/views.py
+++ b/cowslipcourse/placement/views.py
@@ -1,4 +1,4 @@
-"""What repair decisions see and what they answer."""
+"""Inputs and results of repair decisions."""
 
 from typing import NamedTuple
 
@@ -6,7 +6,7 @@
 
 
 class Weights(NamedTuple):
-    """What the site weighs against each other.
+    """Cost weights of a site.
 
     :param downtime: cost of one group not serving for a second.
     :param stranded: cost of one healthy accelerator unusable for a second.
@@ -22,7 +22,7 @@
     :param group: group id.
     :param members: all its VM names.
     :param absent: seconds of absence by name of absent member.
-    :param unrecoverable: absent members that will not come back with this incarnation.
+    :param unrecoverable: absent members that will not return with this incarnation.
     """
 
     group: str
@@ -37,13 +37,13 @@
 
 
 class RepairView(NamedTuple):
-    """Broken groups of one declaration in one fabric domain, and what is free.
+    """Broken groups of one declaration in one fabric domain, and free VMs.
 
     :param broken: broken groups.
     :param spares: names of free healthy VMs.
     :param vms_per_group: size of a group.
     :param accelerators_per_vm: accelerators of one VM.
-    :param load_s: seconds to load a member now, the queue included.
+    :param load_s: current seconds to load a member, including the queue.
     :param weights: :class:`Weights`
     """
 
@@ -66,7 +66,7 @@
 
     :param group: group id.
     :param replacements: new VM name by absent member.
-    :param donor: broken group to be dissolved that gives the VMs, or empty.
+    :param donor: broken group to be dissolved for its VMs, or empty.
     """
 
     group: str
--- a/cowslipcourse/routes/services.py
+++ b/cowslipcourse/routes/services.py
@@ -1,4 +1,4 @@
-"""Services that requests are routed to, and what is declared of their engines."""
+"""Services that requests are routed to, and declared properties of their engines."""
 
 from typing import NamedTuple
 
--- a/cowslipcourse/routes/table.py
+++ b/cowslipcourse/routes/table.py
@@ -1,4 +1,4 @@
-"""One version of the configuration, prepared for looking up requests."""
+"""Lookup table of routes, services and keys of one configuration version."""
 
 from enum import StrEnum
 from typing import NamedTuple
@@ -9,7 +9,7 @@
 
 
 class RequestKind(StrEnum):
-    """What may be done again with a request."""
+    """Retry semantics of a route's requests."""
 
     IDEMPOTENT = "idempotent"
     NON_IDEMPOTENT = "non_idempotent"
@@ -25,12 +25,12 @@
     :param kind: see :class:`RequestKind`.
     :param services: ``(service name, weight)`` pairs.
     :param timeout_s: longest time that a request may be kept waiting.
-    :param objective_s: time within which an answer is on time.
+    :param objective_s: longest time of an answer that meets the objective.
     :param priority: 0 is the most urgent.
     :param max_attempts: most targets that one request may be sent to.
     :param is_public: whether no key is needed.
-    :param is_resumable: whether a stream may go on at another target.
-    :param pause_limit_s: longest pause between events that is on time.
+    :param is_resumable: whether a stream may be resumed at another target.
+    :param pause_limit_s: longest pause between events that meets the objective.
     """
 
     name: str
@@ -73,7 +73,7 @@
     """A customer.
 
     :param name: workspace name.
-    :param priority: goes before the route's priority, if given.
+    :param priority: overrides the route's priority, if given.
     """
 
     name: str
--- a/cowslipcourse/routing/__init__.py
+++ b/cowslipcourse/routing/__init__.py
@@ -1,4 +1,4 @@
-"""Which group or service takes a request."""
+"""Routing policies: choice of the target of a request."""
 
 from cowslipcourse.routing.affinity import PrefixMap, prefix_hashes
 from cowslipcourse.routing.policies import (
--- a/cowslipcourse/routing/affinity.py
+++ b/cowslipcourse/routing/affinity.py
@@ -1,7 +1,7 @@
-"""Where a prompt's beginning is probably cached.
+"""Prefix-cache affinity: which targets probably have a prompt's prefix cached.
 
-Cache events come late and some never come, so entries are hints: they age out,
-and an engine's answer corrects them.
+Cache events arrive late or not at all, so entries are hints: they expire, and an
+engine's answer corrects them.
 """
 
 from collections import OrderedDict
@@ -33,10 +33,10 @@
 
 
 class PrefixMap:
-    """Remembers which targets have seen which prefixes.
+    """Maps prefixes to the targets that probably have them cached.
 
-    :param capacity: most prefixes remembered; the least recently used go first.
-    :param hint_ttl_s: seconds after which a hint is no longer believed.
+    :param capacity: most prefixes kept; the least recently used are evicted first.
+    :param hint_ttl_s: seconds after which a hint expires.
     """
 
     def __init__(self, capacity=20_000, hint_ttl_s=300.0):
@@ -48,7 +48,7 @@
         return len(self._targets_by_prefix)
 
     def add(self, target, hashes, now):
-        """Note that a target has the prefixes.
+        """Record that a target has cached the prefixes.
 
         :param target: group id.
         :param hashes: iterable of prefix hashes.
@@ -62,11 +62,11 @@
             self._targets_by_prefix.popitem(last=False)
 
     def remove(self, target, digest):
-        """Note that a target does not have a prefix after all."""
+        """Record that a target does not have a prefix cached."""
         self._targets_by_prefix.get(digest, {}).pop(target, None)
 
     def remove_target(self, target):
-        """Drop every hint about a target that starts with an empty cache."""
+        """Drop every hint for a target whose cache is empty after a start."""
         for targets in self._targets_by_prefix.values():
             targets.pop(target, None)
 
--- a/cowslipcourse/routing/policies.py
+++ b/cowslipcourse/routing/policies.py
@@ -40,7 +40,7 @@
 
 
 class RoundRobin:
-    """Baseline: one after another."""
+    """Baseline: targets in turn."""
 
     def __init__(self):
         self._counter = itertools.count()
@@ -68,7 +68,7 @@
     sampled ones, one of which may be chosen for its cached prefix, does not.
 
     :param sample: number of targets sampled.
-    :param half_life_s: age at which a report counts for half.
+    :param half_life_s: age at which a report has half its weight.
     """
 
     def __init__(self, sample=3, half_life_s=1.0):
@@ -90,10 +90,10 @@
         return self._wait_s(view, self._estimated_occupancy(view))
 
     def _estimated_occupancy(self, view):
-        """What the gateways know of, and as much of the report as its age allows.
+        """Return the gateways' request count, corrected by the age-weighted report.
 
-        The gateways' own counts are newer than a report, but do not hold requests of
-        gateways that are not heard.
+        The gateways' counts are newer than a report, but lack the requests of gateways
+        that cannot be reached.
         """
         counted = view.own_in_flight + view.peers_in_flight
         reported = view.load.running + view.load.waiting + view.own_unreported
--- a/cowslipcourse/routing/stragglers.py
+++ b/cowslipcourse/routing/stragglers.py
@@ -1,4 +1,4 @@
-"""Take slow targets out of the choice, carefully."""
+"""Excludes slow targets from routing, up to a bounded fraction."""
 
 import statistics
 from typing import NamedTuple
@@ -10,10 +10,10 @@
     """When a target counts as a straggler.
 
     :param factor: multiple of its peers' median token time that is too slow.
-    :param strikes: consecutive slow reports before it is taken out.
-    :param max_excluded_fraction: most of the targets that may be out at once.
+    :param strikes: consecutive slow reports before it is excluded.
+    :param max_excluded_fraction: largest fraction of targets excluded at once.
     :param retry_s: seconds until it is tried again; doubles each time.
-    :param max_retry_s: bound of the doubling.
+    :param max_retry_s: upper bound of the doubling.
     """
 
     factor: float = 1.8
@@ -30,7 +30,7 @@
 
 
 class StragglerFilter:
-    """Keeps strikes against targets and filters views.
+    """Counts slow reports of targets and filters their views.
 
     :param limits: :class:`StragglerLimits`
     """
@@ -40,7 +40,7 @@
         self._suspects = {}
 
     def observe(self, token_s_by_target, now):
-        """Compare targets with their peers.
+        """Compare each target's token time with the median of its peers.
 
         :param token_s_by_target: recent seconds per token; zero means unknown.
         :param now: loop time.
@@ -72,14 +72,14 @@
         self._suspects[name] = _Suspect(0, now + retry_s, retry_s)
 
     def excluded_targets(self, now):
-        """Return the names of targets that are out, longest out first."""
+        """Return the names of excluded targets, latest end of exclusion first."""
         names = [
             n for n, suspect in self._suspects.items() if now < suspect.excluded_until
         ]
         return sorted(names, key=lambda name: -self._suspects[name].excluded_until)
 
     def without_stragglers(self, views, now):
-        """Return the views without stragglers, never below the floor.
+        """Return the views without stragglers, excluding a bounded fraction.
 
         :param views: list of :class:`~cowslipcourse.routing.TargetView`
         :param now: loop time.
--- a/cowslipcourse/routing/views.py
+++ b/cowslipcourse/routing/views.py
@@ -1,4 +1,4 @@
-"""What routing knows of a target."""
+"""Inputs of routing: target views and requests in flight."""
 
 from collections import deque
 from typing import NamedTuple
@@ -14,11 +14,11 @@
     :param name: group id or VM name.
     :param load: the target's own report.
     :param load_age_s: age of the report.
-    :param own_in_flight: requests of this gateway that it has now.
+    :param own_in_flight: requests of this gateway in flight there.
     :param own_unreported: those of them that the report cannot contain yet.
-    :param peers_in_flight: requests of the other gateways, as they last said.
+    :param peers_in_flight: requests of the other gateways, as last reported.
     :param distance: 0 same data centre, 1 same region, and so on.
-    :param prefix_tokens: prompt tokens that it probably has cached.
+    :param prefix_tokens: prompt tokens that are probably cached there.
     """
 
     name: str
@@ -38,12 +38,12 @@
         self._started = {}
 
     def start(self, target, now):
-        """Note that a request was sent and return its start time."""
+        """Record that a request was sent; return its start time."""
         self._started.setdefault(target, deque()).append(now)
         return now
 
     def finish(self, target, started_at):
-        """Note that a request ended."""
+        """Record that a request ended."""
         times = self._started[target]
         times.remove(started_at)
         if not times:
