--- a/cowslipcourse/entry/daemon.py
+++ b/cowslipcourse/entry/daemon.py
@@ -249,7 +249,7 @@
 
     def apply_group_update(self, update):
         """Apply a coordinator's :class:`~cowslipcourse.peers.GroupUpdate`."""
-        self._fleet.take_news(update, asyncio.get_running_loop().time())
+        self._fleet.apply_group_update(update, asyncio.get_running_loop().time())
 
     def broadcast_group_update(self, update):
         """Apply a group update here, then send it to all other daemons."""
--- a/cowslipcourse/routing/policies.py
+++ b/cowslipcourse/routing/policies.py
@@ -40,7 +40,7 @@
 
 
 class RoundRobin:
-    """Baseline: one after another."""
+    """Baseline: targets in turn."""
 
     def __init__(self):
         self._counter = itertools.count()
@@ -68,7 +68,7 @@
     sampled ones, one of which may be chosen for its cached prefix, does not.
 
     :param sample: number of targets sampled.
-    :param half_life_s: age at which a report counts for half.
+    :param half_life_s: age at which a report has half its weight.
     """
 
     def __init__(self, sample=3, half_life_s=1.0):
@@ -87,21 +87,21 @@
 
     def expected_wait_s(self, view):
         """Return the expected seconds until the target's first token."""
-        return self._wait_s(view, self._occupied(view))
+        return self._wait_s(view, self._estimated_occupancy(view))
 
-    def _occupied(self, view):
-        """What the gateways know of, and as much of the report as its age allows.
+    def _estimated_occupancy(self, view):
+        """Return the gateways' request count, corrected by the age-weighted report.
 
-        The gateways' own counts are newer than a report, but do not hold requests of
-        gateways that are not heard.
+        The gateways' counts are newer than a report, but lack the requests of gateways
+        that cannot be reached.
         """
         counted = view.own_in_flight + view.peers_in_flight
         reported = view.load.running + view.load.waiting + view.own_unreported
-        trust = 0.5 ** (view.load_age_s / self._half_life_s)
-        return counted + trust * max(0, reported - counted)
+        report_weight = 0.5 ** (view.load_age_s / self._half_life_s)
+        return counted + report_weight * max(0, reported - counted)
 
     def _cost_s(self, view):
-        occupied = self._occupied(view)
+        occupied = self._estimated_occupancy(view)
         saved_s = view.prefix_tokens / PREFILL_TOKENS_PER_S
         return self._wait_s(view, occupied) + view.distance * DISTANCE_COST_S - saved_s
 
