--- a/cowslipcourse/emulator/connections.py
+++ b/cowslipcourse/emulator/connections.py
@@ -179,7 +179,7 @@
             self._heads.crashing.note_arrival(call.fingerprint, self._name)
         waited_s = call.waited_s(asyncio.get_running_loop().time())
         connection = _EmulatedConnection(ResponseHead(200, ()))
-        passed = last_event_id or call.fields.last_event_id or 0
+        passed = last_event_id or call.caller_headers.last_event_id or 0
         connection.request = BatchedRequest(
             call.size.prompt_tokens + passed * call.size.event_tokens,
             passed + 1,
--- a/cowslipcourse/entry/own_links.py
+++ b/cowslipcourse/entry/own_links.py
@@ -52,9 +52,9 @@
             return
         if len(silent) <= MAX_SILENT_SHARE * len(listed):
             return
-        if now - self._engine_client.last_answer_at <= ANSWER_VALIDITY_S:
+        if now - self._engine_client.last_report_at <= ANSWER_VALIDITY_S:
             return
-        if self._engine_client.last_answer_at >= self._probed_at:
+        if self._engine_client.last_report_at >= self._probed_at:
             self._probed_at = now
             for engine in self._probe_candidates(owned_domains):
                 self._engine_client.request_report(engine)
@@ -84,8 +84,8 @@
         return candidates[:: max(1, len(candidates) // PROBE_COUNT)][:PROBE_COUNT]
 
 
-def _clear_silence(silent):
+def _clear_silence(engines):
     """Clear the silence of engines, except of those that were replaced."""
-    for engine in silent:
+    for engine in engines:
         if not engine.is_replaced:
             engine.silent_since = None
--- a/cowslipcourse/groups/knowledge.py
+++ b/cowslipcourse/groups/knowledge.py
@@ -1,4 +1,4 @@
-"""What a coordinator knows of the engines of a fabric domain."""
+"""State of a fabric domain's engines as observed by a coordinator."""
 
 from cowslipcourse.ports import (
     UNKNOWN_INCARNATION,
@@ -9,13 +9,13 @@
 
 __all__ = ["ObservedDomain", "ObservedEngine"]
 
-REPORT_LAG_S = 0.3
-"""Reports are as of some hundred ms ago; the platform declares 200."""
-_WAS_READY = (GroupState.READY, GroupState.OPEN, GroupState.CLOSING)
+MAX_REPORT_LAG_S = 0.3
+"""Age that a report may have; the platform declares 200 ms."""
+_READY_STATES = (GroupState.READY, GroupState.OPEN, GroupState.CLOSING)
 
 
 class ObservedEngine:
-    """What is known of one life of an engine.
+    """Observed state of one incarnation of an engine.
 
     ``membership`` is the newest one from the target list or a report.
     ``confirmed_membership`` is the membership at ``order_count`` accepted orders: an
@@ -31,7 +31,7 @@
         self.confirmed_membership = None
         self.staged = entry.staged
         self.order_count = None
-        self.reported_at = None
+        self.report_requested_at = None
         self.silent_since = None
         self.is_replaced = False
         self.pace = 1.0
@@ -45,10 +45,10 @@
         self.staging_model = None
         self.report_request_after = 0.0
         self.ungrouped_since = None
-        self._away_count = None
-        self._watched_from = 0.0
-        self._was_ready = set()
-        self._note(entry.membership)
+        self._ungrouped_order_count = None
+        self._evidence_since = 0.0
+        self._ready_places = set()
+        self._record_membership(entry.membership)
 
     @property
     def id(self):
@@ -57,7 +57,7 @@
 
     @property
     def incarnation(self):
-        """Life of the engine that is known."""
+        """Observed incarnation of the engine."""
         return self.entry.incarnation
 
     @property
@@ -71,7 +71,7 @@
     def warm_models(self):
         """Models that it can join without a load: on its host, or of its last group.
 
-        What is on the host is about to be replaced while another model is loaded.
+        While a model is being staged, it replaces what is on the host.
         """
         staged = self.staged if self.staging_model is None else ()
         loaded = self._loaded_model
@@ -81,47 +81,47 @@
 
     @property
     def is_leaving(self):
-        """Whether it still works but takes no new work."""
+        """Whether it still works but accepts no new work."""
         return self.is_listed and self.entry.is_leaving and self.silent_since is None
 
     def update_from_entry(self, entry):
-        """Take in a newer entry of the same life."""
+        """Apply a newer entry of the same incarnation."""
         if entry.address != self.entry.address:
             self.is_replaced = False
             self.silent_since = None
         if not self.is_listed:
-            # It was gone and has come back.
+            # It was removed from the list and has returned.
             self.silent_since = self.silent_since if self.is_replaced else None
             self.order_count = None
         self.entry = entry
         self.is_listed = True
-        self._see_staged(entry.staged)
+        self._update_staged(entry.staged)
         if not self._is_older(entry.membership):
             self.membership = entry.membership
-        self._note(entry.membership)
+        self._record_membership(entry.membership)
 
-    def update_from_report(self, report, asked_at):
-        """Take in a report of the same life.
+    def update_from_report(self, report, requested_at):
+        """Apply a report of the same incarnation.
 
-        :param asked_at: when it was asked for; evidence is as old as its request.
+        :param requested_at: loop time of the request; evidence is as old as that.
         """
         if self.is_replaced:
             return
         self.order_count = report.order_count
         self.confirmed_membership = report.membership
-        self.reported_at = asked_at
+        self.report_requested_at = requested_at
         self.silent_since = None
         self.pace = report.pace
         if not self._is_older(report.membership):
             self.membership = report.membership
-        self._note_away(report, asked_at)
-        self._see_staged(report.staged)
-        self._note(report.membership)
+        self._update_ungrouped(report, requested_at)
+        self._update_staged(report.staged)
+        self._record_membership(report.membership)
 
     def next_incarnation(self, incarnation):
-        """Return what is known of a later life of the engine: nothing but its address.
+        """Return the state of a later incarnation: nothing but its address is known.
 
-        What its list entry says of its state stays until a newer entry comes.
+        The state in its list entry is kept until a newer entry arrives.
         """
         entry = self.entry._replace(incarnation=incarnation, membership=None)
         later = ObservedEngine(entry)
@@ -129,47 +129,50 @@
         return later
 
     def mark_silent(self, since):
-        """Note that it did not answer a question asked at a time."""
+        """Record that it did not answer a report request sent at ``since``."""
         self.order_count = None
         if self.silent_since is None:
             self.silent_since = since
 
     def mark_replaced(self, now):
-        """Note that another engine has its address: it has ended.
+        """Record that another engine has its address, so this one has ended.
 
-        Reports do not say whose they are, so what comes from there is no longer its.
-        An entry of it that is listed still, or again, is an old one.
+        Reports do not name their engine, so later ones from this address are not its.
+        An entry of it that is still listed, or listed again, is outdated.
         """
         self.is_replaced = True
         self.order_count = None
         self.silent_since = self.silent_since or now
 
     def mark_order_refused(self, now):
-        """Note that an order was refused as the order count differed.
+        """Record that an order was refused because the order count differed.
 
-        What was known of it is out of date, and so are its reports for a moment.
+        The observed state is outdated, and reports remain so for a moment.
         """
         self.order_count = None
-        self.report_request_after = now + REPORT_LAG_S
+        self.report_request_after = now + MAX_REPORT_LAG_S
 
     def require_evidence_since(self, now):
-        """Take no report that was asked for before as evidence that it is away.
+        """Accept only reports requested after ``now`` as evidence that it is ungrouped.
 
-        Others may have joined it to a group since, and given that up again.
+        Other coordinators may have joined it to a group and retired that since.
         """
-        self._watched_from = now
+        self._evidence_since = now
         self.ungrouped_since = None
 
     @property
     def needs_report(self):
-        """Whether a report is wanted that is new enough to be evidence."""
-        if self.reported_at is None or self.reported_at < self._watched_from:
+        """Whether a report is needed that is recent enough to be evidence."""
+        if (
+            self.report_requested_at is None
+            or self.report_requested_at < self._evidence_since
+        ):
             return True
-        # It was in a group that no plan names, and has left it since.
+        # It has left a group that no plan names.
         return self.membership is None and self.ungrouped_since is None
 
     def apply_started_order(self, order):
-        """Note that an order began: what it does is known before a report says so.
+        """Apply the effect of a started order before a report shows it.
 
         :param order: :class:`~cowslipcourse.ports.EngineOrder`
         """
@@ -179,7 +182,7 @@
             self.confirmed_membership = GroupMembership(
                 order.group, order.epoch, rank, GroupState.JOINING, order.model
             )
-            # Whether what it was loading stays on its host, its reports will tell.
+            # Its reports will show whether the staged model stays on its host.
             self.staging_model = None
         elif (
             order.operation is OrderOperation.OPEN
@@ -198,26 +201,26 @@
 
     @property
     def ungrouped_s(self):
-        """Seconds for which reports say that it is in no group and took no order.
+        """Seconds for which reports show it in no group, with an unchanged order count.
 
-        Orders count up when they begin, so the same count proves that no late order
-        has brought it into a group between two reports.
+        Each started order increments the count, so an unchanged count proves that no
+        late order joined it to a group between two reports.
         """
         if self.ungrouped_since is None:
             return 0.0
-        return self.reported_at - self.ungrouped_since
+        return self.report_requested_at - self.ungrouped_since
 
     def was_ready(self, group):
-        """Whether it was seen ready in a planned group with its present members.
+        """Whether it was seen ready in a planned group with its current members.
 
-        In its own place among them: a report may come from another engine that has
-        its address now, and be a member too.
+        Its own rank must match: a report may come from another member that now has its
+        address.
         """
         rank = group.members.index(self.id)
-        return (group.name, group.epoch, rank) in self._was_ready
+        return (group.name, group.epoch, rank) in self._ready_places
 
     def is_joining(self, group):
-        """Whether it was last seen on its way into a planned group."""
+        """Whether it was last seen joining a planned group."""
         found = self.membership
         return (
             found is not None
@@ -239,36 +242,40 @@
             return None
         return found.state
 
-    def _see_staged(self, staged):
+    def _update_staged(self, staged):
         self.staged = staged
         if self.staging_model in staged:
             self.staging_model = None
 
-    def _note_away(self, report, asked_at):
-        if report.membership is not None or asked_at < self._watched_from:
+    def _update_ungrouped(self, report, requested_at):
+        if report.membership is not None or requested_at < self._evidence_since:
             self.ungrouped_since = None
-        elif self.ungrouped_since is None or report.order_count != self._away_count:
-            self.ungrouped_since = asked_at
-            self._away_count = report.order_count
+        elif (
+            self.ungrouped_since is None
+            or report.order_count != self._ungrouped_order_count
+        ):
+            self.ungrouped_since = requested_at
+            self._ungrouped_order_count = report.order_count
 
     def _is_older(self, membership):
-        """Whether the list or a report lags behind what is known already."""
+        """Whether a membership from the list or a report is older than the known
+        one."""
         known = self.membership
         if known is None or membership is None or known.group != membership.group:
             return False
         return membership.epoch < known.epoch
 
-    def _note(self, membership):
+    def _record_membership(self, membership):
         if membership is not None and membership.model:
             self.joined_model = membership.model
-        if membership is not None and membership.state in _WAS_READY:
+        if membership is not None and membership.state in _READY_STATES:
             place = membership.group, membership.epoch, membership.rank
-            self._was_ready.add(place)
+            self._ready_places.add(place)
             self._loaded_model = membership.model or self.joined_model
 
 
 class ObservedDomain:
-    """The engines of one domain."""
+    """Observed state of the engines of one domain."""
 
     def __init__(self):
         self.engines = {}
@@ -276,11 +283,11 @@
         self._plan = None
 
     def update_from_entry(self, entry):
-        """Take in an entry of the list.
+        """Apply an entry of the target list.
 
-        One of an earlier life than is known says nothing; one of a later life ends what
-        was known: order count, evidence, silence, pace, what the engine was told. One
-        that does not tell its life is of the life that is known.
+        An entry of an earlier incarnation is ignored; one of a later incarnation resets
+        order count, evidence, silence, pace and sent orders. An entry without an
+        incarnation is taken to be of the known one.
         """
         self.data_centre = entry.data_centre
         known = self.engines.get(entry.id)
@@ -289,10 +296,10 @@
         elif entry.incarnation in (UNKNOWN_INCARNATION, known.incarnation):
             known.update_from_entry(entry._replace(incarnation=known.incarnation))
 
-    def update_from_report(self, engine_id, report, asked_at):
-        """Take in a report, which may tell of another life than the list.
+    def update_from_report(self, engine_id, report, requested_at):
+        """Apply a report, whose incarnation may differ from the list's.
 
-        :param asked_at: when it was asked for.
+        :param requested_at: loop time of the request.
         """
         known = self.engines.get(engine_id)
         if known is None:
@@ -301,26 +308,26 @@
             known = known.next_incarnation(report.incarnation)
             self.engines[engine_id] = known
         if report.incarnation in (UNKNOWN_INCARNATION, known.incarnation):
-            known.update_from_report(report, asked_at)
+            known.update_from_report(report, requested_at)
 
     def update_from_plan(self, plan, now, is_own=False):
-        """Note who serves in no group any more, and lives that the list has not told.
+        """Apply a plan: released engines, and incarnations newer than the list's.
 
-        What proves that such an engine has left must be newer than that.
+        Evidence that a released engine has left must be newer than the plan.
 
         :param plan: :class:`~cowslipcourse.groups.DomainPlan` of the domain.
-        :param now: loop time at which the plan was known.
-        :param is_own: whether this daemon wrote it in place of the one that it knew.
+        :param now: loop time at which the plan was read.
+        :param is_own: whether this daemon wrote it to replace the known plan.
         """
         for group in plan.groups:
-            self._see_lives(group)
+            self._apply_planned_incarnations(group)
         for engine in self.engines.values():
             if self._is_released(plan, engine, is_own):
                 engine.require_evidence_since(now)
         self._plan = plan
 
     def _is_released(self, plan, engine, is_own):
-        """Whether an engine serves in no group, and may have done so until now."""
+        """Whether an engine is no longer in an active group but may have been."""
         known = self._plan
         group = plan.group_of(engine.id, engine.incarnation)
         if known is not None and known.version == plan.version:
@@ -330,12 +337,12 @@
                 known is not None and group in known.groups
             )
         if not is_own:
-            # Whom the versions between held, unseen here, is not known.
+            # Members of intermediate versions, not seen here, are unknown.
             return True
         before = known and known.group_of(engine.id, engine.incarnation)
         return before is not None and not before.is_retired
 
-    def _see_lives(self, group):
+    def _apply_planned_incarnations(self, group):
         for member in group.members:
             known = self.engines.get(member)
             meant = group.incarnation_of(member)
@@ -343,15 +350,15 @@
                 self.engines[member] = known.next_incarnation(meant)
 
     def mark_unlisted(self, engine_id):
-        """Note that the list no longer holds an engine."""
+        """Record that an engine is no longer on the target list."""
         known = self.engines.get(engine_id)
         if known is not None:
             known.is_listed = False
 
     def remove_unlisted(self, keep):
-        """Drop engines that are not listed, but for those of which ``keep`` is true.
+        """Drop engines that are not listed, except those for which ``keep`` is true.
 
-        :returns: ids of what was dropped.
+        :returns: ids of the dropped engines.
         """
         dropped = [
             engine_id
--- a/cowslipcourse/placement/policies.py
+++ b/cowslipcourse/placement/policies.py
@@ -42,31 +42,31 @@
     spares = list(view.spares)
     decisions = []
     for group in view.broken:
-        wanted = [
+        absent = [
             n
             for n in group.absent
             if n in group.unrecoverable or not only_unrecoverable
         ]
-        if not wanted or len(spares) < len(wanted):
+        if not absent or len(spares) < len(absent):
             decisions.append(Wait(group.group))
             continue
-        decisions.append(Replace(group.group, {n: spares.pop(0) for n in wanted}))
+        decisions.append(Replace(group.group, {n: spares.pop(0) for n in absent}))
     return decisions
 
 
 class CostPolicy:
-    """Takes the way of least expected cost under the site's two weights.
+    """Minimises the expected cost under the site's two weights.
 
-    A group that waits costs its downtime and strands its healthy members until the
-    absent ones are back and loaded. A group that takes spares costs the same while
-    they load. Spares go first to the group that gains most by them under the weights.
-    Two broken groups without spares can be made into one whole group.
+    A waiting group costs its downtime and strands its healthy members until the absent
+    ones are back and loaded. A group that takes spares costs the same while they load.
+    Spares go first to the group with the largest gain under the weights. Two broken
+    groups without spares can be merged into one complete group.
 
-    That a spare out of a whole free block strands the rest of that block is left out:
-    so does waiting, with the broken group's own members, and for as long.
+    That a spare from a complete free block strands the rest of that block is not
+    counted: waiting strands the broken group's own members for as long.
 
     :param absences: :class:`~cowslipcourse.placement.AbsenceModel`
-    :param min_gain_fraction: fraction of the cost of waiting that a change must save.
+    :param min_gain_fraction: fraction of the waiting cost that a replacement must save.
     """
 
     def __init__(self, absences=DEFAULT_ABSENCES, min_gain_fraction=0.1):
@@ -74,7 +74,7 @@
         self._min_gain_fraction = min_gain_fraction
 
     def repair(self, view):
-        """Decide for each broken group, most gain first."""
+        """Decide for each broken group, largest gain first."""
         spares = list(view.spares)
         decisions = {}
         for group in self._by_gain(view):
@@ -91,14 +91,14 @@
 
     def _by_gain(self, view):
         def gain_for_each_spare(group):
-            saved_s = self._wait_s(view, group) - view.load_s
-            return saved_s * self._down_rate(view, group) / len(group.absent)
+            saved_s = self._expected_wait_s(view, group) - view.load_s
+            return saved_s * self._waiting_cost_per_s(view, group) / len(group.absent)
 
         return sorted(
             view.broken, key=lambda group: (-gain_for_each_spare(group), group.group)
         )
 
-    def _wait_s(self, view, group):
+    def _expected_wait_s(self, view, group):
         longest = 0.0
         for name, absent_s in group.absent.items():
             if name in group.unrecoverable:
@@ -111,20 +111,20 @@
         if len(spares) < len(group.absent):
             merged = self._merge(view, group, spares, decisions)
             return merged or Wait(group.group)
-        worth_s = self._wait_s(view, group) * (1 - self._min_gain_fraction)
-        if worth_s <= view.load_s or self._soon_back(view, group, view.load_s):
+        worth_s = self._expected_wait_s(view, group) * (1 - self._min_gain_fraction)
+        if worth_s <= view.load_s or self._returns_soon(view, group, view.load_s):
             return Wait(group.group)
         return Replace(group.group, dict(zip(group.absent, spares, strict=False)))
 
-    def _down_rate(self, view, group):
+    def _waiting_cost_per_s(self, view, group):
         accelerators = len(group.healthy) * view.accelerators_per_vm
         return view.weights.downtime + view.weights.stranded * accelerators
 
-    def _soon_back(self, view, group, replace_s):
-        """Whether a short wait is worth its while before a change is made.
+    def _returns_soon(self, view, group, replace_s):
+        """Whether members return soon enough for a short wait before a replacement.
 
-        Waiting a moment costs that moment; it saves the change if the members come
-        back with their weights just then.
+        A short wait costs its duration; it saves the replacement if the members return
+        with their weights in that time.
         """
         if group.unrecoverable:
             return False
@@ -132,23 +132,23 @@
         return rate * replace_s > 1.0
 
     def _merge(self, view, group, spares, decisions):
-        """Complete this group with the healthy members of one that must wait longer."""
-        wanted = list(group.absent)
-        own_wait_s = self._wait_s(view, group)
+        """Complete this group with the healthy members of another broken group."""
+        absent = list(group.absent)
+        own_wait_s = self._expected_wait_s(view, group)
         for donor in view.broken:
             if donor.group == group.group or donor.group in decisions:
                 continue
-            given = [*spares, *donor.healthy][: len(wanted)]
-            if len(given) < len(wanted) or len(donor.absent) < len(wanted):
+            given = [*spares, *donor.healthy][: len(absent)]
+            if len(given) < len(absent) or len(donor.absent) < len(absent):
                 continue
             saved_s = own_wait_s - view.load_s
             if saved_s <= self._min_gain_fraction * view.load_s:
                 continue
-            if self._soon_back(view, group, view.load_s):
+            if self._returns_soon(view, group, view.load_s):
                 continue
-            if self._soon_back(view, donor, view.load_s):
+            if self._returns_soon(view, donor, view.load_s):
                 continue
             return Replace(
-                group.group, dict(zip(wanted, given, strict=True)), donor.group
+                group.group, dict(zip(absent, given, strict=True)), donor.group
             )
         return None
