--- a/cowslipcourse/platform/store.py
+++ b/cowslipcourse/platform/store.py
@@ -45,7 +45,7 @@
 
 class _WireRow(msgspec.Struct, frozen=True):
     key: str
-    # Base64 in JSON; absent for a deleted row.
+    # Base64 in JSON; empty for a deleted row.
     value: bytes | None = None
     # Version of the transaction that wrote the row; at the top level of a response,
     # the newest version of the store.
--- a/cowslipcourse/ports/rows.py
+++ b/cowslipcourse/ports/rows.py
@@ -37,7 +37,7 @@
 
 
 class RowChanges(NamedTuple):
-    """Changed rows and the version up to which they are complete.
+    """Rows and the version up to which they are complete.
 
     :param rows: tuple of :class:`StoredRow`.
     :param version: pass it to the next call to get later changes.
