--- a/cowslipcourse/admission/budget.py
+++ b/cowslipcourse/admission/budget.py
@@ -1,4 +1,4 @@
-"""Retry budgets: repeats are a bounded fraction of requests."""
+"""Retry budgets: retries are a bounded fraction of requests."""
 
 from collections import deque
 
--- a/cowslipcourse/admission/control.py
+++ b/cowslipcourse/admission/control.py
@@ -87,21 +87,22 @@
         if remaining_s is not None and view.wait_s > remaining_s:
             detail = f"the first token would take about {view.wait_s:.1f} s"
             raise DeadlinePassed(detail, self._retry_after_s(view, 0.0))
-        total = sum(view.in_flight.values()) + view.estimated_unreported
-        own = view.in_flight.get(workspace, 0)
-        is_within_share = own < self._share(workspace, view)
+        total_in_flight = sum(view.in_flight.values()) + view.estimated_unreported
+        own_in_flight = view.in_flight.get(workspace, 0)
+        is_within_share = own_in_flight < self._share(workspace, view)
         if not is_within_share:
-            if total >= self._limits.over_share * view.slots:
-                excess = total - self._limits.over_share * view.slots
+            if total_in_flight >= self._limits.over_share * view.slots:
+                excess = total_in_flight - self._limits.over_share * view.slots
                 raise WorkspaceOverShare(
                     "the workspace uses its share and the targets are full",
                     self._retry_after_s(view, excess),
                 )
             return
         limit = self._limits.within_share[priority] * view.slots
-        if total >= limit:
+        if total_in_flight >= limit:
             raise NoTargetAvailable(
-                "the targets are full", self._retry_after_s(view, total - limit)
+                "the targets are full",
+                self._retry_after_s(view, total_in_flight - limit),
             )
 
     def _share(self, workspace, view):
--- a/cowslipcourse/admission/shares.py
+++ b/cowslipcourse/admission/shares.py
@@ -15,11 +15,13 @@
     remaining = float(capacity)
     unmet_demands = dict(demands)
     while unmet_demands:
-        total = sum(weights[name] for name in unmet_demands)
-        level = remaining / total
-        satisfied = [n for n, d in unmet_demands.items() if d <= level * weights[n]]
+        total_weight = sum(weights[name] for name in unmet_demands)
+        unit_share = remaining / total_weight
+        satisfied = [
+            n for n, d in unmet_demands.items() if d <= unit_share * weights[n]
+        ]
         if not satisfied:
-            shares.update({n: level * weights[n] for n in unmet_demands})
+            shares.update({n: unit_share * weights[n] for n in unmet_demands})
             break
         for name in satisfied:
             shares[name] = unmet_demands.pop(name)
--- a/cowslipcourse/groups/balance.py
+++ b/cowslipcourse/groups/balance.py
@@ -136,9 +136,15 @@
     counts = group_counts(plans.values(), models)
     eligible = {*underprovisioned_models(counts, models), *_pending_successors(plans)}
     chosen, reassigned = [], set()
-    while lacking := _most_underprovisioned(counts, models, eligible):
+    while recipient := _most_underprovisioned(counts, models, eligible):
         reassignment = _best_reassignment(
-            plans, models, counts, lacking, reassigned, is_complete, count_warm_members
+            plans,
+            models,
+            counts,
+            recipient,
+            reassigned,
+            is_complete,
+            count_warm_members,
         )
         if reassignment is None:
             break
@@ -157,8 +163,8 @@
     if not any(counts[model.name] for model in models):
         return None
     ratios = _provisioning_ratios(counts, models)
-    lacking = [n for n in eligible if n in ratios and ratios[n] < SUFFICIENT_RATIO]
-    return min(lacking, key=lambda name: (ratios[name], name), default=None)
+    candidates = [n for n in eligible if n in ratios and ratios[n] < SUFFICIENT_RATIO]
+    return min(candidates, key=lambda name: (ratios[name], name), default=None)
 
 
 def _best_reassignment(
--- a/cowslipcourse/groups/knowledge.py
+++ b/cowslipcourse/groups/knowledge.py
@@ -47,7 +47,7 @@
         self.ungrouped_since = None
         self._ungrouped_order_count = None
         self._evidence_since = 0.0
-        self._ready_places = set()
+        self._ready_memberships = set()
         self._record_membership(entry.membership)
 
     @property
@@ -124,9 +124,9 @@
         The state in its list entry is kept until a newer entry arrives.
         """
         entry = self.entry._replace(incarnation=incarnation, membership=None)
-        later = ObservedEngine(entry)
-        later.is_listed = self.is_listed
-        return later
+        successor = ObservedEngine(entry)
+        successor.is_listed = self.is_listed
+        return successor
 
     def mark_silent(self, since):
         """Record that it did not answer a report request sent at ``since``."""
@@ -217,30 +217,33 @@
         address.
         """
         rank = group.members.index(self.id)
-        return (group.name, group.epoch, rank) in self._ready_places
+        return (group.name, group.epoch, rank) in self._ready_memberships
 
     def is_joining(self, group):
         """Whether it was last seen joining a planned group."""
-        found = self.membership
+        membership = self.membership
         return (
-            found is not None
-            and (found.group, found.epoch) == (group.name, group.epoch)
-            and found.state is GroupState.JOINING
+            membership is not None
+            and (membership.group, membership.epoch) == (group.name, group.epoch)
+            and membership.state is GroupState.JOINING
         )
 
     def ready_in_s(self, group, now):
         """Return the expected seconds until it is ready in a planned group."""
-        joined_at = self.join_sent_at.get(group.epoch)
-        if joined_at is None or self.was_ready(group):
+        join_sent_at = self.join_sent_at.get(group.epoch)
+        if join_sent_at is None or self.was_ready(group):
             return 0.0
-        return max(0.0, joined_at + self.expected_join_s.get(group.epoch, 0.0) - now)
+        return max(0.0, join_sent_at + self.expected_join_s.get(group.epoch, 0.0) - now)
 
     def state_in(self, group):
         """Return its last seen state in a planned group, or ``None``."""
-        found = self.membership
-        if found is None or (found.group, found.epoch) != (group.name, group.epoch):
+        membership = self.membership
+        if membership is None or (membership.group, membership.epoch) != (
+            group.name,
+            group.epoch,
+        ):
             return None
-        return found.state
+        return membership.state
 
     def _update_staged(self, staged):
         self.staged = staged
@@ -258,8 +261,7 @@
             self._ungrouped_order_count = report.order_count
 
     def _is_older(self, membership):
-        """Whether a membership from the list or a report is older than the known
-        one."""
+        """Whether a membership is older than the known one of the same group."""
         known = self.membership
         if known is None or membership is None or known.group != membership.group:
             return False
@@ -269,8 +271,8 @@
         if membership is not None and membership.model:
             self.joined_model = membership.model
         if membership is not None and membership.state in _READY_STATES:
-            place = membership.group, membership.epoch, membership.rank
-            self._ready_places.add(place)
+            ready_membership = membership.group, membership.epoch, membership.rank
+            self._ready_memberships.add(ready_membership)
             self._loaded_model = membership.model or self.joined_model
 
 
@@ -339,15 +341,15 @@
         if not is_own:
             # Members of intermediate versions, not seen here, are unknown.
             return True
-        before = known and known.group_of(engine.id, engine.incarnation)
-        return before is not None and not before.is_retired
+        previous_group = known and known.group_of(engine.id, engine.incarnation)
+        return previous_group is not None and not previous_group.is_retired
 
     def _apply_planned_incarnations(self, group):
         for member in group.members:
             known = self.engines.get(member)
-            meant = group.incarnation_of(member)
-            if known is not None and known.incarnation < meant:
-                self.engines[member] = known.next_incarnation(meant)
+            planned_incarnation = group.incarnation_of(member)
+            if known is not None and known.incarnation < planned_incarnation:
+                self.engines[member] = known.next_incarnation(planned_incarnation)
 
     def mark_unlisted(self, engine_id):
         """Record that an engine is no longer on the target list."""
--- a/cowslipcourse/groups/orders.py
+++ b/cowslipcourse/groups/orders.py
@@ -65,11 +65,11 @@
 
 def _form(group, engines, models, now):
     members = [engines[member] for member in group.members]
-    busy = _serving_elsewhere(group, members, engines)
-    if busy:
+    must_leave = _serving_elsewhere(group, members, engines)
+    if must_leave:
         return [
             _order(e, OrderOperation.LEAVE, _UnplannedGroup.of(found))
-            for e, found in busy
+            for e, found in must_leave
         ]
     waiting = [engine for engine in members if not engine.was_ready(group)]
     if waiting:
@@ -129,16 +129,16 @@
 
 
 def _join(group, engine, models, now):
-    joined_at = engine.join_sent_at.get(group.epoch)
-    if joined_at is not None:
-        due_at = joined_at + _expected_join_s(group, engine, models)
+    join_sent_at = engine.join_sent_at.get(group.epoch)
+    if join_sent_at is not None:
+        due_at = join_sent_at + _expected_join_s(group, engine, models)
         requested_at = engine.report_requested_at or 0.0
         if now < due_at or (
             requested_at > due_at and now - requested_at < JOIN_RETRY_S
         ):
             return None
         if requested_at <= due_at or now - requested_at >= JOIN_RETRY_S:
-            if requested_at > joined_at and engine.state_in(group) is None:
+            if requested_at > join_sent_at and engine.state_in(group) is None:
                 return _order(engine, OrderOperation.JOIN, group)
             return Step(StepKind.ASK, engine.id)
     return _order(engine, OrderOperation.JOIN, group)
@@ -156,8 +156,8 @@
     state = head.state_in(group)
     if state in (GroupState.OPEN, GroupState.CLOSING):
         return []
-    opened_at = head.open_sent_at.get(group.epoch)
-    if opened_at is not None and now - opened_at < OPEN_RETRY_S:
+    open_sent_at = head.open_sent_at.get(group.epoch)
+    if open_sent_at is not None and now - open_sent_at < OPEN_RETRY_S:
         return []
     if state is GroupState.READY:
         return [_order(head, OrderOperation.OPEN, group)]
@@ -216,8 +216,8 @@
 
 def _is_drained(group, head, now):
     """Whether a head has finished its requests, or its drain time is over."""
-    closed_at = head.close_sent_at.get(group.epoch)
-    if closed_at is not None and now - closed_at >= DRAIN_TIMEOUT_S:
+    close_sent_at = head.close_sent_at.get(group.epoch)
+    if close_sent_at is not None and now - close_sent_at >= DRAIN_TIMEOUT_S:
         return True
     return head.state_in(group) not in (GroupState.OPEN, GroupState.CLOSING)
 
@@ -234,7 +234,7 @@
 
 
 def _leave(group, engine, ungrouped_s, now):
-    """Make an engine leave a group, then request a report once it may prove that."""
+    """Make an engine leave a group, or request the report that may prove it left."""
     if engine.state_in(group) is not None:
         return [_order(engine, OrderOperation.LEAVE, group)]
     if engine.ungrouped_since is not None and engine.ungrouped_s <= ungrouped_s:
@@ -271,7 +271,7 @@
 
 
 class _UnplannedGroup(NamedTuple):
-    """A group that an engine is in but that the plan does not give it."""
+    """A group that an engine is in although it is not planned there."""
 
     name: str
     epoch: int
--- a/cowslipcourse/groups/plan.py
+++ b/cowslipcourse/groups/plan.py
@@ -24,7 +24,7 @@
 
     :param name: unique; never reused for another group.
     :param model: model that it serves.
-    :param epoch: one more than the point of the row that was replaced to give it
+    :param epoch: one more than the version of the row that was replaced to give it
         these members. Only one transaction replaces a row, so it is unique.
     :param members: ids of the engines, the head first.
     :param is_retired: whether it is to end; its members are free once its head cannot
@@ -50,28 +50,29 @@
 
     def incarnation_of(self, engine):
         """Return a member's incarnation, or ``UNKNOWN_INCARNATION`` for any."""
-        lives = dict(zip(self.members, self.incarnations, strict=False))
-        return lives.get(engine, UNKNOWN_INCARNATION)
+        incarnations = dict(zip(self.members, self.incarnations, strict=False))
+        return incarnations.get(engine, UNKNOWN_INCARNATION)
 
     def has_member(self, engine, incarnation):
         """Whether an incarnation of an engine is a member.
 
         :param engine: id of the engine.
-        :param incarnation: life that is asked about.
+        :param incarnation: incarnation to look up.
         """
-        meant = self.incarnation_of(engine)
-        return engine in self.members and meant in (UNKNOWN_INCARNATION, incarnation)
+        planned = self.incarnation_of(engine)
+        return engine in self.members and planned in (UNKNOWN_INCARNATION, incarnation)
 
 
 class DomainPlan(NamedTuple):
     """All groups of a fabric domain.
 
     :param domain: name of the domain.
-    :param version: point of the row; 0 if there is none.
+    :param version: store version of the row; 0 if there is none.
     :param groups: tuple of :class:`PlannedGroup`.
     :param decided_at: next epoch of the plan that these groups replaced. A row that is
         rewritten after the store has lost it keeps this value.
-    :param absent_at_version: point at which the store had no row; 0 if it has one.
+    :param absent_at_version: store version at which there was no row; 0 if
+        there is one.
     """
 
     domain: str
@@ -89,7 +90,7 @@
         """Return the :class:`PlannedGroup` of an engine's incarnation, or ``None``.
 
         :param engine: id of the engine.
-        :param incarnation: life that is asked about.
+        :param incarnation: incarnation to look up.
         """
         for group in self.groups:
             if group.has_member(engine, incarnation):
@@ -131,8 +132,8 @@
     if not isinstance(row, _Row):
         row = _Row(row, 0)
     groups = row.groups
-    lives = [(m, group.incarnation_of(m)) for group in groups for m in group.members]
-    if len(set(lives)) != len(lives):
+    planned = [(m, group.incarnation_of(m)) for group in groups for m in group.members]
+    if len(set(planned)) != len(planned):
         raise MalformedAnswer(
             f"unreadable plan of {domain}: an engine is planned twice"
         )
--- a/cowslipcourse/groups/practice.py
+++ b/cowslipcourse/groups/practice.py
@@ -2,9 +2,8 @@
 
 An engine joins in 0.2 s if its last group since its start had the same model; otherwise
 it first loads the weights from its host, which takes 1 to 2 s. A spare that has joined
-a
-single-member group repairs another group sooner by that time. The spare is the head of
-its warm-up group, which is never opened, so it can join another group at any time.
+a single-member group repairs another group sooner by that time. The spare is the head
+of its warm-up group, which is never opened, so it can join another group at any time.
 """
 
 from cowslipcourse.groups.steps import Step, StepKind
@@ -37,9 +36,9 @@
     :param engine: :class:`~cowslipcourse.groups.ObservedEngine` of a spare.
     :param models: names of the models that the domain serves.
     """
-    held = [model for model in engine.staged if model in models]
+    staged_models = [model for model in engine.staged if model in models]
     is_idle = engine.membership is None and engine.staging_model is None
-    if not held or not is_idle or engine.joined_model in held:
+    if not staged_models or not is_idle or engine.joined_model in staged_models:
         return None
     if not plan.version:
         return None
@@ -51,7 +50,7 @@
         engine.order_count,
         group=f"{plan.domain}-{engine.id}{_NAME_SUFFIX}",
         epoch=plan.version,
-        model=held[0],
+        model=staged_models[0],
         members=(engine.id,),
     )
     return Step(StepKind.ORDER, engine.id, order)
--- a/cowslipcourse/groups/revision.py
+++ b/cowslipcourse/groups/revision.py
@@ -36,6 +36,8 @@
 
 
 class _Revision:
+    """One revision of a plan: the groups and the free engines so far."""
+
     def __init__(self, plan, engines, sizes, assignment, broken):
         self._assignment = assignment
         self._domain = plan.domain
@@ -115,8 +117,8 @@
         warm = [view for view in freed if model in view.warm_models]
         size = self._sizes.get(model, 0)
         number = len(warm) // size if size else 0
-        for each in range(number):
-            members = tuple(view.id for view in warm[each * size : (each + 1) * size])
+        for index in range(number):
+            members = tuple(view.id for view in warm[index * size : (index + 1) * size])
             self._add_group(model, members)
         used = warm[: number * size]
         return [view for view in freed if view not in used]
@@ -222,9 +224,9 @@
             if group.is_retired and not group.successor
         ]
         for group in sorted(retired, key=self._missing_count):
-            held = [view for view in self._members(group) if view and view.is_live]
+            live = [view for view in self._members(group) if view and view.is_live]
             warm = sum(group.model in view.warm_models for view in self._free)
-            if held and 0 < self._missing_count(group) <= warm:
+            if live and 0 < self._missing_count(group) <= warm:
                 self._groups[group.name] = group._replace(is_retired=False)
                 self._repair(self._groups[group.name])
 
@@ -307,10 +309,10 @@
     def _form(self, demands):
         """Form a new group of free engines beyond the spares."""
         pending = sum(self._missing_count(group) for group in self._incomplete())
-        kept = max(self._assignment.spare_count, pending)
-        own = [w for w in demands if self._assignment.model in (None, w.model)]
-        for demand in sorted(own, key=lambda w: -w.urgency):
-            if len(self._free) - kept >= demand.size:
+        reserved = max(self._assignment.spare_count, pending)
+        eligible = [d for d in demands if self._assignment.model in (None, d.model)]
+        for demand in sorted(eligible, key=lambda d: -d.urgency):
+            if len(self._free) - reserved >= demand.size:
                 self._add_group(
                     demand.model, self._take_free(demand.model, demand.size)
                 )
@@ -326,12 +328,14 @@
         engines to it.
         """
         urgencies = {demand.model: demand.urgency for demand in demands}
-        own = urgencies.get(self._assignment.model, 0.0)
+        own_urgency = urgencies.get(self._assignment.model, 0.0)
         cold_engines = [
             v for v in self._free if self._assignment.model not in v.warm_models
         ] + self._cold_engines
-        held = {model for view in cold_engines for model in view.warm_models}
-        for model in sorted(m for m in held if urgencies.get(m, 0.0) > own):
+        warm_models = {model for view in cold_engines for model in view.warm_models}
+        for model in sorted(
+            m for m in warm_models if urgencies.get(m, 0.0) > own_urgency
+        ):
             size = self._sizes.get(model)
             warm = [view for view in cold_engines if model in view.warm_models]
             while size and len(warm) >= size:
@@ -343,8 +347,7 @@
 
     def _new_name(self):
         # The replaced version makes the name unique in the domain; further groups of
-        # the
-        # same revision get a number.
+        # the same revision get a number.
         first = f"{self._domain}-{self._epoch}"
         names = itertools.chain((first,), (f"{first}-{n}" for n in itertools.count(2)))
         return next(name for name in names if name not in self._groups)
--- a/cowslipcourse/groups/shape.py
+++ b/cowslipcourse/groups/shape.py
@@ -19,8 +19,7 @@
 """Engines kept free in a domain that serves several models, one warm for each: about
 two are lost there a day."""
 SAINTE_LAGUE_OFFSET = 0.5
-"""Added to the number of domains in the divisor of the
-Sainte-Lague method."""
+"""Added to the number of domains in the divisor of the Sainte-Lague method."""
 SAME_DATA_CENTRE_FACTOR = 0.7
 """Factor on the quotient of a model that already has a domain in the same data centre.
 It decides only between close quotients: proportionality comes first."""
@@ -84,10 +83,10 @@
     """
     model = _top_model(Counter(warm_models), models)
     urgencies = {
-        wish.model: wish.urgency for wish in model_demands(models, plans.values())
+        demand.model: demand.urgency for demand in model_demands(models, plans.values())
     }
-    is_wanted = model is not None and urgencies[model] >= max(urgencies.values())
-    return model if is_wanted else None
+    is_top_demand = model is not None and urgencies[model] >= max(urgencies.values())
+    return model if is_top_demand else None
 
 
 def _top_model(counts, models):
--- a/cowslipcourse/groups/standby.py
+++ b/cowslipcourse/groups/standby.py
@@ -42,9 +42,9 @@
     models = tuple(models)
     standby = {}
     for model in sorted(models, key=lambda model: model.name):
-        lost = _largest_domains(plans, model.name)
+        lost_domains = _largest_domains(plans, model.name)
         remaining_plans = {
-            domain: plan for domain, plan in plans.items() if domain not in lost
+            domain: plan for domain, plan in plans.items() if domain not in lost_domains
         }
         counts = group_counts(remaining_plans.values(), models)
         group_count = counts[model.name]
@@ -69,12 +69,19 @@
 
 def _largest_domains(plans, model):
     """Return the names of the domains whose loss costs a model most groups."""
-    numbers = {
+    group_counts_by_domain = {
         domain: sum(g.model == model and not g.is_retired for g in plan.groups)
         for domain, plan in plans.items()
     }
-    ranked = sorted(numbers, key=lambda domain: (-numbers[domain], domain))
-    return {domain for domain in ranked[:TOLERATED_DOMAIN_LOSSES] if numbers[domain]}
+    ranked = sorted(
+        group_counts_by_domain,
+        key=lambda domain: (-group_counts_by_domain[domain], domain),
+    )
+    return {
+        domain
+        for domain in ranked[:TOLERATED_DOMAIN_LOSSES]
+        if group_counts_by_domain[domain]
+    }
 
 
 def _entitled_groups(counts, model, models):
--- a/cowslipcourse/placement/policies.py
+++ b/cowslipcourse/placement/policies.py
@@ -23,10 +23,10 @@
 
 
 class WaitAlways:
-    """Baseline: wait until every member has come back."""
+    """Baseline: wait until every member has returned."""
 
     def repair(self, view):
-        """Wait, unless a member can never come back and a spare is free."""
+        """Wait, unless a member can never return and a spare is free."""
         return _first_fit(view, only_unrecoverable=True)
 
 
@@ -42,15 +42,15 @@
     spares = list(view.spares)
     decisions = []
     for group in view.broken:
-        absent = [
+        to_replace = [
             n
             for n in group.absent
             if n in group.unrecoverable or not only_unrecoverable
         ]
-        if not absent or len(spares) < len(absent):
+        if not to_replace or len(spares) < len(to_replace):
             decisions.append(Wait(group.group))
             continue
-        decisions.append(Replace(group.group, {n: spares.pop(0) for n in absent}))
+        decisions.append(Replace(group.group, {n: spares.pop(0) for n in to_replace}))
     return decisions
 
 
@@ -77,7 +77,7 @@
         """Decide for each broken group, largest gain first."""
         spares = list(view.spares)
         decisions = {}
-        for group in self._by_gain(view):
+        for group in self._sorted_by_gain(view):
             if group.group in decisions:
                 continue
             decision = self._decide(view, group, spares, decisions)
@@ -89,7 +89,7 @@
             decisions[group.group] = decision
         return [decision for decision in decisions.values() if decision is not None]
 
-    def _by_gain(self, view):
+    def _sorted_by_gain(self, view):
         def gain_for_each_spare(group):
             saved_s = self._expected_wait_s(view, group) - view.load_s
             return saved_s * self._waiting_cost_per_s(view, group) / len(group.absent)
@@ -99,20 +99,20 @@
         )
 
     def _expected_wait_s(self, view, group):
-        longest = 0.0
+        longest_s = 0.0
         for name, absent_s in group.absent.items():
             if name in group.unrecoverable:
                 return float("inf")
-            back_s = self._absences.expected_return_s(absent_s, view.load_s)
-            longest = max(longest, back_s)
-        return longest
+            return_s = self._absences.expected_return_s(absent_s, view.load_s)
+            longest_s = max(longest_s, return_s)
+        return longest_s
 
     def _decide(self, view, group, spares, decisions):
         if len(spares) < len(group.absent):
             merged = self._merge(view, group, spares, decisions)
             return merged or Wait(group.group)
-        worth_s = self._expected_wait_s(view, group) * (1 - self._min_gain_fraction)
-        if worth_s <= view.load_s or self._returns_soon(view, group, view.load_s):
+        threshold_s = self._expected_wait_s(view, group) * (1 - self._min_gain_fraction)
+        if threshold_s <= view.load_s or self._returns_soon(view, group, view.load_s):
             return Wait(group.group)
         return Replace(group.group, dict(zip(group.absent, spares, strict=False)))
 
@@ -138,8 +138,8 @@
         for donor in view.broken:
             if donor.group == group.group or donor.group in decisions:
                 continue
-            given = [*spares, *donor.healthy][: len(absent)]
-            if len(given) < len(absent) or len(donor.absent) < len(absent):
+            donated_vms = [*spares, *donor.healthy][: len(absent)]
+            if len(donated_vms) < len(absent) or len(donor.absent) < len(absent):
                 continue
             saved_s = own_wait_s - view.load_s
             if saved_s <= self._min_gain_fraction * view.load_s:
@@ -149,6 +149,6 @@
             if self._returns_soon(view, donor, view.load_s):
                 continue
             return Replace(
-                group.group, dict(zip(absent, given, strict=True)), donor.group
+                group.group, dict(zip(absent, donated_vms, strict=True)), donor.group
             )
         return None
--- a/cowslipcourse/routing/policies.py
+++ b/cowslipcourse/routing/policies.py
@@ -17,7 +17,7 @@
 
 PREFILL_TOKENS_PER_S = 8000.0
 DISTANCE_COST_S = 0.02
-SATURATED_COST_S = 0.05
+QUEUED_REQUEST_COST_S = 0.05
 
 
 class RoutingPolicy(Protocol):
@@ -80,10 +80,10 @@
         sampled = list(views)
         if len(sampled) > self._sample:
             sampled = rng.sample(sampled, self._sample)
-            warm = max(views, key=lambda view: view.prefix_tokens)
-            if warm.prefix_tokens and warm not in sampled:
-                sampled.append(warm)
-        return min(sampled, key=lambda view: (self._cost_s(view), rng.random()))
+            best_cached = max(views, key=lambda view: view.prefix_tokens)
+            if best_cached.prefix_tokens and best_cached not in sampled:
+                sampled.append(best_cached)
+        return min(sampled, key=lambda view: (self._routing_cost_s(view), rng.random()))
 
     def expected_wait_s(self, view):
         """Return the expected seconds until the target's first token."""
@@ -95,20 +95,26 @@
         The gateways' counts are newer than a report, but lack the requests of gateways
         that cannot be reached.
         """
-        counted = view.own_in_flight + view.peers_in_flight
-        reported = view.load.running + view.load.waiting + view.own_unreported
+        known_in_flight = view.own_in_flight + view.peers_in_flight
+        reported_requests = view.load.running + view.load.waiting + view.own_unreported
         report_weight = 0.5 ** (view.load_age_s / self._half_life_s)
-        return counted + report_weight * max(0, reported - counted)
+        return known_in_flight + report_weight * max(
+            0, reported_requests - known_in_flight
+        )
 
-    def _cost_s(self, view):
+    def _routing_cost_s(self, view):
         occupied = self._estimated_occupancy(view)
         saved_s = view.prefix_tokens / PREFILL_TOKENS_PER_S
         return self._wait_s(view, occupied) + view.distance * DISTANCE_COST_S - saved_s
 
     def _wait_s(self, view, occupied):
-        limit = max(view.load.batch_limit, 1)
+        batch_limit = max(view.load.batch_limit, 1)
         token_s = view.load.token_s or 0.03
         # A fuller batch makes every step slower; a queue waits for whole answers.
-        step_s = token_s * (1 + occupied / limit)
-        queued = max(0.0, occupied + 1 - limit)
-        return step_s + SATURATED_COST_S * queued + occupied * token_s / limit
+        step_s = token_s * (1 + occupied / batch_limit)
+        queued_requests = max(0.0, occupied + 1 - batch_limit)
+        return (
+            step_s
+            + QUEUED_REQUEST_COST_S * queued_requests
+            + occupied * token_s / batch_limit
+        )
--- a/cowslipcourse/routing/stragglers.py
+++ b/cowslipcourse/routing/stragglers.py
@@ -45,21 +45,21 @@
         :param token_s_by_target: recent seconds per token; zero means unknown.
         :param now: loop time.
         """
-        known = {name: s for name, s in token_s_by_target.items() if s > 0}
+        reported = {name: s for name, s in token_s_by_target.items() if s > 0}
         for name in set(self._suspects) - set(token_s_by_target):
             del self._suspects[name]
-        if len(known) < 3:
+        if len(reported) < 3:
             return
-        for name, token_s in known.items():
-            peer_token_s = [s for other, s in known.items() if other != name]
-            slow = token_s > self._limits.factor * statistics.median(peer_token_s)
-            self._record_observation(name, slow, now)
+        for name, token_s in reported.items():
+            peer_token_s = [s for other, s in reported.items() if other != name]
+            is_slow = token_s > self._limits.factor * statistics.median(peer_token_s)
+            self._record_observation(name, is_slow, now)
 
-    def _record_observation(self, name, slow, now):
+    def _record_observation(self, name, is_slow, now):
         suspect = self._suspects.get(name, _Suspect())
         if now < suspect.excluded_until:
             return
-        if not slow:
+        if not is_slow:
             if suspect.strikes or suspect.retry_s:
                 self._suspects.pop(name, None)
             return
@@ -73,10 +73,10 @@
 
     def excluded_targets(self, now):
         """Return the names of excluded targets, latest end of exclusion first."""
-        names = [
+        view_names = [
             n for n, suspect in self._suspects.items() if now < suspect.excluded_until
         ]
-        return sorted(names, key=lambda name: -self._suspects[name].excluded_until)
+        return sorted(view_names, key=lambda name: -self._suspects[name].excluded_until)
 
     def without_stragglers(self, views, now):
         """Return the views without stragglers, excluding a bounded fraction.
@@ -85,9 +85,9 @@
         :param now: loop time.
         """
         max_excluded = int(len(views) * self._limits.max_excluded_fraction)
-        names = {view.name for view in views}
+        view_names = {view.name for view in views}
         excluded = set(
-            [name for name in self.excluded_targets(now) if name in names][
+            [name for name in self.excluded_targets(now) if name in view_names][
                 :max_excluded
             ]
         )
