--- a/cowslipcourse/routing/stragglers.py
+++ b/cowslipcourse/routing/stragglers.py
@@ -73,10 +73,10 @@
 
     def excluded_targets(self, now):
         """Return the names of excluded targets, latest end of exclusion first."""
-        view_names = [
+        names = [
             n for n, suspect in self._suspects.items() if now < suspect.excluded_until
         ]
-        return sorted(view_names, key=lambda name: -self._suspects[name].excluded_until)
+        return sorted(names, key=lambda name: -self._suspects[name].excluded_until)
 
     def without_stragglers(self, views, now):
         """Return the views without stragglers, excluding a bounded fraction.
