--- a/cowslipcourse/entry/daemon.py
+++ b/cowslipcourse/entry/daemon.py
@@ -244,8 +244,8 @@
             self._coordinator.investigate(target, epoch)
 
     def _update_daemon_count(self, now):
-        known = self._registry.known_daemon_count(now) + 1
-        self._context.retry_budget.daemon_count = max(known, MIN_DAEMON_COUNT)
+        daemon_count = self._registry.known_daemon_count(now) + 1
+        self._context.retry_budget.daemon_count = max(daemon_count, MIN_DAEMON_COUNT)
 
     def apply_group_update(self, update):
         """Apply a coordinator's :class:`~cowslipcourse.peers.GroupUpdate`."""
@@ -278,8 +278,10 @@
     def _on_registrations(self, registrations):
         """Add the addresses at which other daemons have registered."""
         now = asyncio.get_running_loop().time()
-        for known in registrations:
-            self._registry.add_address(known.peer_address, known.data_centre, now)
+        for registration in registrations:
+            self._registry.add_address(
+                registration.peer_address, registration.data_centre, now
+            )
         self._update_daemon_count(now)
         self._peer_link.heartbeat_now()
 
--- a/cowslipcourse/entry/domains.py
+++ b/cowslipcourse/entry/domains.py
@@ -50,9 +50,9 @@
     def mark_unlisted(self, ids):
         """Mark engines whose entries were removed from the list."""
         for engine_id in ids:
-            known = self._domain_by_engine.get(engine_id)
-            if known is not None:
-                self.by_name[known].mark_unlisted(engine_id)
+            domain = self._domain_by_engine.get(engine_id)
+            if domain is not None:
+                self.by_name[domain].mark_unlisted(engine_id)
 
     def update_from_report(self, engine, report, requested_at):
         """Apply an engine's report.
@@ -76,8 +76,10 @@
 
         :param is_own: whether this daemon wrote it to replace the plan that it knew.
         """
-        known = self.by_name.setdefault(plan.domain, ObservedDomain())
-        known.update_from_plan(plan, asyncio.get_running_loop().time(), is_own)
+        observed_domain = self.by_name.setdefault(plan.domain, ObservedDomain())
+        observed_domain.update_from_plan(
+            plan, asyncio.get_running_loop().time(), is_own
+        )
 
     def forget(self, plan):
         """Remove engines that neither the list nor their domain's plan names."""
@@ -104,8 +106,8 @@
 
     def engine(self, domain, engine_id):
         """Return the :class:`~cowslipcourse.groups.ObservedEngine`, or ``None``."""
-        known = self.by_name.get(domain)
-        return None if known is None else known.engines.get(engine_id)
+        observed = self.by_name.get(domain)
+        return None if observed is None else observed.engines.get(engine_id)
 
     def _is_engine(self, entry):
         """Whether an entry names an engine, that is, its service serves models."""
@@ -115,8 +117,10 @@
 
     def _remove_from_previous_domain(self, entry):
         """Keep an engine in one domain, so that no two plans assign it to groups."""
-        known = self._domain_by_engine.get(entry.id)
-        if known not in (None, entry.domain):
-            log.warning("engine-moved", id=entry.id, known=known, listed=entry.domain)
-            self.by_name[known].mark_unlisted(entry.id)
+        previous = self._domain_by_engine.get(entry.id)
+        if previous not in (None, entry.domain):
+            log.warning(
+                "engine-moved", id=entry.id, known=previous, listed=entry.domain
+            )
+            self.by_name[previous].mark_unlisted(entry.id)
         self._domain_by_engine[entry.id] = entry.domain
--- a/cowslipcourse/entry/knowledge.py
+++ b/cowslipcourse/entry/knowledge.py
@@ -77,7 +77,7 @@
             settings.store,
             CONFIGURATION_TABLE,
             self._on_configuration_rows,
-            lambda after, changes: self._on_configuration_rows(changes),
+            lambda known_version, changes: self._on_configuration_rows(changes),
             0.0,
         )
         self._target_follower = TableFollower(
@@ -100,10 +100,10 @@
 
         Without following it this is assumed, unless a read has failed recently.
         """
-        tables = self._configuration_follower, self._target_follower
+        followers = self._configuration_follower, self._target_follower
         if not self._follows_store:
-            return not any(table.has_failed_recently for table in tables)
-        return all(table.is_current for table in tables)
+            return not any(follower.has_failed_recently for follower in followers)
+        return all(follower.is_current for follower in followers)
 
     def set_following(self, active):
         """Start or stop following the store.
@@ -250,7 +250,7 @@
             )
         self._listener.apply_targets(*changes)
 
-    def _drop_expired_held(self, now):
+    def _remove_expired_held(self, now):
         """Remove held entries that have not returned, here and at peers."""
         due = tuple(target for target, at in self._held_until.items() if now >= at)
         if not due:
@@ -269,7 +269,7 @@
             await self._recovery_pending.wait()
             while self._held_until or self._recovered_at > recovered_at:
                 await asyncio.sleep(CHECK_INTERVAL_S)
-                self._drop_expired_held(loop.time())
+                self._remove_expired_held(loop.time())
                 if (
                     self._recovered_at > recovered_at
                     and loop.time() >= self._recovered_at
--- a/cowslipcourse/entry/main.py
+++ b/cowslipcourse/entry/main.py
@@ -73,18 +73,18 @@
             return EXIT_USAGE
         settings, path = loaded
         log_listener = set_up_queued_logging(settings.log)
-        code = 0
+        exit_code = 0
         try:
             asyncio.run(_run(settings, path))
         except CowslipError as error:
             log.warning("daemon-failed", code=error.code, detail=error.detail)
-            code = EXIT_FAILED
+            exit_code = EXIT_FAILED
         finally:
             log_listener.stop()
         sys.stdout.flush()
         # Interpreter shutdown would take tenths of a second of the remaining grace
         # period on a busy VM, and no state is left to save.
-        os._exit(code)
+        os._exit(exit_code)
 
 
 class CheckCommand(Command):
--- a/cowslipcourse/entry/plan_table.py
+++ b/cowslipcourse/entry/plan_table.py
@@ -82,13 +82,13 @@
         :raises StoreError: if they cannot be read.
         """
         requested_at = asyncio.get_running_loop().time()
-        found = await self._store.read_table(GROUPS_TABLE)
-        known, self.plans = self.plans, {}
-        may_be_lost = self._lost_domains or era_of(found.version) > era_of(
+        snapshot = await self._store.read_table(GROUPS_TABLE)
+        previous_plans, self.plans = self.plans, {}
+        may_be_lost = self._lost_domains or era_of(snapshot.version) > era_of(
             self._read_version
         )
         unreadable = set()
-        for row in found.rows:
+        for row in snapshot.rows:
             try:
                 plan = decode_plan(row.key, row.value, row.version)
             except MalformedAnswer as error:
@@ -98,20 +98,22 @@
                 continue
             self._set_plan(plan, is_own=False)
         self._unreadable = frozenset(unreadable)
-        self._read_version = found.version
-        self._lost_domains = self._restore_lost(known) if may_be_lost else set()
+        self._read_version = snapshot.version
+        self._lost_domains = (
+            self._restore_lost(previous_plans) if may_be_lost else set()
+        )
         self._confirmed_at = self._read_at = requested_at
-        log.info("plans-read", domains=len(self.plans), version=found.version)
+        log.info("plans-read", domains=len(self.plans), version=snapshot.version)
 
-    def _restore_lost(self, known):
+    def _restore_lost(self, previous_plans):
         """Keep plans that are newer than those of a restored store.
 
-        :param known: :class:`~cowslipcourse.groups.DomainPlan` by domain, as known
-            before.
+        :param previous_plans: known :class:`~cowslipcourse.groups.DomainPlan`
+            by domain.
         :returns: names of their domains.
         """
         lost = set()
-        for domain, plan in known.items():
+        for domain, plan in previous_plans.items():
             found = self.plan(domain)
             if plan.decided_at <= found.decided_at or domain in self._unreadable:
                 continue
--- a/features/steps/size_steps.py
+++ b/features/steps/size_steps.py
@@ -398,7 +398,7 @@
     if rng.random() < 0.1:
         # Entries that were held back go without a newer version.
         source._held_until = {_id(rng.randrange(60)): 0.0}
-        source._drop_expired_held(1.0)
+        source._remove_expired_held(1.0)
         return
     if rng.random() < 0.4:
         source._listener.push_changes = lambda message: None
