--- a/features/steps/size_steps.py
+++ b/features/steps/size_steps.py
@@ -21,7 +21,7 @@
 )
 from cowslipcourse.peers.packing import pack, unpack
 from cowslipcourse.ports import RowChanges, StoredRow
-from features.support.daemon_network import DaemonNetwork, Shape
+from features.support.daemon_network import DaemonNetwork, NetworkShape
 from features.support.knowledge import (
     FlakyStore,
     heartbeat,
@@ -61,7 +61,7 @@
 
 @when("{places:d} data centres of {daemons:d} daemons talk for {seconds:d} s")
 def step_tell(context, places, daemons, seconds):
-    context.network = DaemonNetwork(Shape(places, daemons))
+    context.network = DaemonNetwork(NetworkShape(places, daemons))
     context.sent = run_paused(context.network.run(seconds / 2))
 
 
@@ -70,7 +70,7 @@
     "losing {lost:d} in 100 datagrams"
 )
 def step_tell_lossy(context, places, daemons, seconds, lost):
-    context.network = DaemonNetwork(Shape(places, daemons, lost=lost / 100))
+    context.network = DaemonNetwork(NetworkShape(places, daemons, loss_rate=lost / 100))
 
     async def run():
         await context.network.run(seconds / 2)
@@ -105,7 +105,7 @@
     "losing {lost:d} in 100 datagrams"
 )
 def step_start(context, within, lost):
-    network = DaemonNetwork(Shape(5, 39, lost=lost / 100))
+    network = DaemonNetwork(NetworkShape(5, 39, loss_rate=lost / 100))
     context.roles = run_paused(network.start_all(within, 4))
 
 
@@ -114,7 +114,7 @@
     "store go silent after {seconds:d} s"
 )
 def step_followers_go(context, places, daemons, seconds):
-    network = DaemonNetwork(Shape(places, daemons))
+    network = DaemonNetwork(NetworkShape(places, daemons))
     context.followers = []
 
     async def go():
@@ -139,7 +139,7 @@
 
 @when("they start, losing {lost:d} in 100, and take roles once registered")
 def step_start_early(context, lost):
-    network = DaemonNetwork(Shape(5, 39, lost=lost / 100))
+    network = DaemonNetwork(NetworkShape(5, 39, loss_rate=lost / 100))
     with (
         mock.patch.object(roles, "is_settled", lambda at, now: at is not None),
         mock.patch.object(PeerRegistry, "is_unknown", lambda self, member: False),
@@ -170,7 +170,7 @@
     "silent after {seconds:d} s"
 )
 def step_place_goes(context, places, daemons, seconds):
-    network = DaemonNetwork(Shape(places, daemons))
+    network = DaemonNetwork(NetworkShape(places, daemons))
     context.keepers = []
 
     async def go():
@@ -208,7 +208,7 @@
     "flight at a target"
 )
 def step_burst(context, places, daemons, number):
-    network = DaemonNetwork(Shape(places, daemons))
+    network = DaemonNetwork(NetworkShape(places, daemons))
     context.known = {}
 
     async def watch():
@@ -238,7 +238,7 @@
 
 @when("{number:d} daemons of {places:d} data centres of {daemons:d} go silent")
 def step_go_silent(context, number, places, daemons):
-    network = DaemonNetwork(Shape(places, daemons))
+    network = DaemonNetwork(NetworkShape(places, daemons))
     context.ready = {}
 
     async def watch():
--- a/features/steps/spread_steps.py
+++ b/features/steps/spread_steps.py
@@ -5,15 +5,17 @@
 from behave import given, then, when
 
 from cowslipcourse.quarantining import Quarantine
-from features.support.daemon_network import Shape
-from features.support.spread_runs import SpreadStory, play_spread
+from features.support.daemon_network import NetworkShape
+from features.support.spread_runs import SpreadScenario, simulate_spread
 
 
 @given(
     "{places:d} data centres of {daemons:d} daemons, losing {lost:d} in 100 datagrams"
 )
 def step_network(context, places, daemons, lost):
-    context.story = SpreadStory(Shape(places, daemons, lost=lost / 100))
+    context.scenario = SpreadScenario(
+        NetworkShape(places, daemons, loss_rate=lost / 100)
+    )
     context.repeat = Quarantine._repeat
 
 
@@ -24,22 +26,24 @@
 
 @when("three of them see one target end each under the same request")
 def step_ends(context):
-    context.story = context.story._replace(ends=3)
+    context.scenario = context.scenario._replace(target_exits=3)
 
 
 @when("no target ends under a request")
 def step_no_end(context):
-    context.story = context.story._replace(ends=0)
+    context.scenario = context.scenario._replace(target_exits=0)
 
 
 @when("{number:d} daemons were cut off until {seconds:d} s after that")
 def step_cut(context, number, seconds):
-    context.story = context.story._replace(cut=number, cut_s=float(seconds))
+    context.scenario = context.scenario._replace(
+        isolated_daemons=number, isolation_s=float(seconds)
+    )
 
 
 def _play(context):
     with mock.patch.object(Quarantine, "_repeat", context.repeat):
-        context.spread = play_spread(context.story)
+        context.spread = simulate_spread(context.scenario)
 
 
 @then("all daemons refuse it 2.5 s later")
@@ -56,10 +60,12 @@
 
 @then("no daemon sends more than {most:d} bytes a second for it from then on")
 def step_bytes(context, most):
-    assert max(context.spread.repeated_bytes) <= most, context.spread.repeated_bytes
+    assert max(context.spread.repeat_bytes_per_s) <= most, (
+        context.spread.repeat_bytes_per_s
+    )
 
 
 @then("nothing is sent for quarantines")
 def step_nothing(context):
     _play(context)
-    assert not any(context.spread.told_bytes + context.spread.repeated_bytes)
+    assert not any(context.spread.spread_bytes + context.spread.repeat_bytes_per_s)
--- a/features/steps/target_end_steps.py
+++ b/features/steps/target_end_steps.py
@@ -14,10 +14,10 @@
 from cowslipcourse.quarantine import fingerprint
 from cowslipcourse.quarantining import TargetExitDetector, refuses_connections
 from cowslipcourse.routes import CallerLimits, RequestKind, Route, RouteTable, Workspace
-from features.support.scripted_target import OURS
+from features.support.scripted_target import RESPONSE_HEAD
 from harness.ports import free_ports
 
-PART = OURS + b"Content-Length: 5\r\n\r\nhe"
+PART = RESPONSE_HEAD + b"Content-Length: 5\r\n\r\nhe"
 REQUEST = TargetRequest("POST", b"/a/b", (), b"body", (b"x-attempt-id", b"a1"))
 SILENT_S = 0.1
 
--- a/features/support/daemon_network.py
+++ b/features/support/daemon_network.py
@@ -17,16 +17,16 @@
 )
 from cowslipcourse.ports import RowChanges, StoredRow
 
-__all__ = ["DaemonNetwork", "Shape"]
+__all__ = ["DaemonNetwork", "NetworkShape"]
 
 TRIP_S = 0.001
-HEADER_BYTES = 28
+IP_UDP_HEADER_BYTES = 28
 """Of a datagram, for IP and UDP."""
 HEADS = 85
 """Targets that take requests on the large site: heads of groups and plain ones."""
 
 
-class Shape(NamedTuple):
+class NetworkShape(NamedTuple):
     """A network.
 
     :param data_centres: number of data centres.
@@ -36,9 +36,9 @@
     """
 
     data_centres: int
-    daemons: int
-    in_flight: int = 2
-    lost: float = 0.0
+    daemons_per_data_centre: int
+    busy_targets_per_daemon: int = 2
+    loss_rate: float = 0.0
 
 
 WRITE_S = 0.004
@@ -125,7 +125,7 @@
     def heartbeat(self):
         """Return what it says of itself now."""
         self._sequence += 1
-        heads = self._rng.sample(range(HEADS), self._shape.in_flight)
+        heads = self._rng.sample(range(HEADS), self._shape.busy_targets_per_daemon)
         in_flight = {f"i-{head * 0x123457:010x}": 1 for head in heads}
         in_flight |= self.burst
         if self.registering is not None:
@@ -173,14 +173,14 @@
         """Send a datagram; see :class:`asyncio.DatagramTransport`."""
         if self.is_down:
             return
-        self.sent_bytes += len(content) + HEADER_BYTES
+        self.sent_bytes += len(content) + IP_UDP_HEADER_BYTES
         self._network.carry(content, address)
 
 
 class DaemonNetwork:
     """Daemons that know each other's addresses from the start.
 
-    :param shape: :class:`Shape`
+    :param shape: :class:`NetworkShape`
     :param seed: of what is lost.
     """
 
@@ -188,15 +188,15 @@
         self.shape = shape
         self._rng = random.Random(seed)
         self.daemons = [
-            _Daemon(self, place * shape.daemons + number, place)
+            _Daemon(self, place * shape.daemons_per_data_centre + number, place)
             for place in range(shape.data_centres)
-            for number in range(shape.daemons)
+            for number in range(shape.daemons_per_data_centre)
         ]
         self._by_host = {d.member.peer_address: d for d in self.daemons}
 
     def carry(self, content, address):
         """Bring a datagram to its daemon, or lose it."""
-        if self._rng.random() < self.shape.lost:
+        if self._rng.random() < self.shape.loss_rate:
             return
         daemon = self._by_host[f"{address[0]}:{address[1]}"]
         asyncio.get_running_loop().call_later(TRIP_S, self._deliver, daemon, content)
--- a/features/support/scripted_target.py
+++ b/features/support/scripted_target.py
@@ -9,15 +9,15 @@
 
 __all__ = ["SCRIPTS", "ScriptedTarget", "exchange", "play"]
 
-OURS = b"HTTP/1.1 200 OK\r\nX-Attempt-Id: a1\r\n"
-WHOLE = OURS + b"Content-Length: 5\r\n\r\nhello"
+RESPONSE_HEAD = b"HTTP/1.1 200 OK\r\nX-Attempt-Id: a1\r\n"
+WHOLE = RESPONSE_HEAD + b"Content-Length: 5\r\n\r\nhello"
 OTHER = b"HTTP/1.1 200 OK\r\nX-Attempt-Id: b7\r\nContent-Length: 5\r\n\r\nother"
-CHUNKED = OURS + b"Transfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n"
+CHUNKED = RESPONSE_HEAD + b"Transfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n"
 SCRIPTS = {
     "a whole answer": (WHOLE, None),
     "a whole answer in chunks": (CHUNKED + b"0\r\n\r\n", None),
-    "an answer that ends the connection": (OURS + b"\r\nhello", "close"),
-    "an answer that ends with a reset": (OURS + b"\r\nhel", "reset"),
+    "an answer that ends the connection": (RESPONSE_HEAD + b"\r\nhello", "close"),
+    "an answer that ends with a reset": (RESPONSE_HEAD + b"\r\nhel", "reset"),
     "an answer cut short": (WHOLE[:-2], "close"),
     "chunks cut short": (CHUNKED, "close"),
     "an answer twice": (WHOLE + WHOLE, None),
@@ -26,11 +26,11 @@
     "bytes that are no answer": (b"\x00\x01 what is this\r\n\r\n", None),
     "nothing but a close": (b"", "close"),
     "an answer that says close": (
-        OURS + b"Connection: close\r\nContent-Length: 5\r\n\r\nhello",
+        RESPONSE_HEAD + b"Connection: close\r\nContent-Length: 5\r\n\r\nhello",
         None,
     ),
     "a whole answer and keeps connections for 2 s": (
-        OURS + b"Keep-Alive: timeout=2\r\nContent-Length: 5\r\n\r\nhello",
+        RESPONSE_HEAD + b"Keep-Alive: timeout=2\r\nContent-Length: 5\r\n\r\nhello",
         None,
     ),
 }
--- a/features/support/spread_runs.py
+++ b/features/support/spread_runs.py
@@ -1,57 +1,60 @@
-"""How verdicts on requests spread over daemons' own links, in fake time."""
+"""Simulate how quarantine verdicts spread between daemons, in simulated time."""
 
 import asyncio
 from types import SimpleNamespace
 from typing import NamedTuple
 
+from cowslipcourse.links import encode
+
 from cowslipcourse.emulator.clock import run_paused
 from cowslipcourse.entry.attempts import TargetRun
 from cowslipcourse.entry.fleet import FleetView
-from cowslipcourse.peers import encode
 from cowslipcourse.ports import RowChanges, TargetEntry
 from cowslipcourse.quarantine import VerdictStore
 from cowslipcourse.quarantining import Quarantine, TargetExitDetector
-from features.support.daemon_network import HEADER_BYTES, DaemonNetwork
+from features.support.daemon_network import IP_UDP_HEADER_BYTES, DaemonNetwork
 
-__all__ = ["KNOWN_WITHIN_S", "Spread", "SpreadStory", "play_spread"]
+__all__ = ["SPREAD_LIMIT_S", "SpreadResult", "SpreadScenario", "simulate_spread"]
 
-SETTLE_S = 2.0
-KNOWN_WITHIN_S = 2.5
-WATCHED_S = 4.0
-BETWEEN_ENDS_S = 0.2
-CALL = SimpleNamespace(id="a1", fingerprint=b"f" * 16)
+STARTUP_S = 2.0
+SPREAD_LIMIT_S = 2.5
+REPEAT_WINDOW_S = 4.0
+EXIT_INTERVAL_S = 0.2
+REQUEST = SimpleNamespace(id="a1", fingerprint=b"f" * 16)
 
 
-class SpreadStory(NamedTuple):
-    """What happens.
+class SpreadScenario(NamedTuple):
+    """The simulated network, the target exits and the isolated daemons.
 
-    :param shape: :class:`~features.support.daemon_network.Shape`
-    :param ends: targets that end under the request, each seen by another daemon.
-    :param cut: daemons that are cut off meanwhile.
-    :param cut_s: seconds from the last end until they are heard again.
+    :param shape: :class:`~features.support.daemon_network.NetworkShape`
+    :param target_exits: targets that exit while serving the request, each seen by
+        another daemon.
+    :param isolated_daemons: number of daemons without network meanwhile.
+    :param isolation_s: seconds from the last exit until their network is back.
     """
 
     shape: object
-    ends: int = 3
-    cut: int = 0
-    cut_s: float = 0.0
+    target_exits: int = 3
+    isolated_daemons: int = 0
+    isolation_s: float = 0.0
 
 
-class Spread(NamedTuple):
-    """What became of it.
+class SpreadResult(NamedTuple):
+    """Refusals by daemon and the traffic that the verdicts caused.
 
-    :param refusing: whether each daemon refuses the request in the end.
-    :param told_bytes: bytes that each daemon sent for it until then.
-    :param repeated_bytes: bytes a second that each daemon sends for it after that.
+    :param refusing: whether each daemon refuses the request after
+        :data:`SPREAD_LIMIT_S`.
+    :param spread_bytes: bytes that each daemon sent for the verdict until then.
+    :param repeat_bytes_per_s: bytes that each daemon sent per second after that.
     """
 
     refusing: list[bool]
-    told_bytes: list[int]
-    repeated_bytes: list[float]
+    spread_bytes: list[int]
+    repeat_bytes_per_s: list[float]
 
 
 class _Store:
-    """A store that keeps nothing: datagrams alone must do."""
+    """A store that discards all writes, so that verdicts spread by datagrams only."""
 
     async def read_table(self, table):
         return RowChanges((), 1)
@@ -60,8 +63,8 @@
         return 2
 
 
-class _CountingPeers:
-    """A daemon's link, which counts what is sent for quarantines."""
+class _CountingLink:
+    """Wraps a daemon's link and counts the bytes sent for quarantines."""
 
     def __init__(self, link):
         self._link = link
@@ -71,8 +74,8 @@
         return getattr(self._link, name)
 
     def send(self, message, addresses):
-        length = len(encode(message)) + HEADER_BYTES
-        self.sent_bytes += length * len(addresses)
+        datagram_bytes = len(encode(message)) + IP_UDP_HEADER_BYTES
+        self.sent_bytes += datagram_bytes * len(addresses)
         self._link.send(message, addresses)
 
 
@@ -80,60 +83,65 @@
     return TargetEntry(f"t{number}", "s", f"10.0.0.{number}:1", "x", 6)
 
 
-async def _refuses(address):
+async def _connection_refused(address):
     return True
 
 
-def _attach(daemon):
+def _attach_quarantine(daemon):
     fleet = FleetView()
     fleet.apply([_entry(number) for number in range(3)], ())
-    kept = VerdictStore(_Store(), lambda: 0.0)
-    peers = _CountingPeers(daemon.link)
+    verdict_store = VerdictStore(_Store(), lambda: 0.0)
+    link = _CountingLink(daemon.link)
     daemon.quarantine = Quarantine(
-        peers, TargetExitDetector(fleet.is_expected, _refuses), kept
+        links, TargetExitDetector(fleet.is_expected, _connection_refused), verdict_store
     )
-    return peers
+    return link
 
 
-def _see_end(daemon, number):
+def _report_target_exit(daemon, number):
     run = TargetRun(_entry(number))
     run.answer_started = run.ended_by_target = True
-    daemon.quarantine.note_failed(CALL, run)
+    daemon.quarantine.note_failed(REQUEST, run)
 
 
-async def _play(story, network):
+async def _simulate(scenario, network):
     daemons = network.daemons
-    peers = [_attach(daemon) for daemon in daemons]
+    links = [_attach_quarantine(daemon) for daemon in daemons]
     tasks = [asyncio.create_task(d.quarantine.run()) for d in daemons]
-    step = max(1, len(daemons) // max(1, story.cut))
-    cut = daemons[1::step][: story.cut]
-    for daemon in cut:
+    step = max(1, len(daemons) // max(1, scenario.isolated_daemons))
+    isolated = daemons[1::step][: scenario.isolated_daemons]
+    for daemon in isolated:
         daemon.is_down = True
-    witnesses = [daemon for daemon in daemons if daemon not in cut]
-    for number in range(story.ends):
-        await asyncio.sleep(BETWEEN_ENDS_S)
-        _see_end(witnesses[number * len(witnesses) // story.ends], number)
-    await asyncio.sleep(story.cut_s)
-    for daemon in cut:
+    connected = [daemon for daemon in daemons if daemon not in isolated]
+    for number in range(scenario.target_exits):
+        await asyncio.sleep(EXIT_INTERVAL_S)
+        _report_target_exit(
+            connected[number * len(connected) // scenario.target_exits], number
+        )
+    await asyncio.sleep(scenario.isolation_s)
+    for daemon in isolated:
         daemon.is_down = False
-    await asyncio.sleep(KNOWN_WITHIN_S)
-    refusing = [d.quarantine.is_quarantined(CALL) for d in daemons]
-    told = [each.sent_bytes for each in peers]
-    await asyncio.sleep(WATCHED_S)
+    await asyncio.sleep(SPREAD_LIMIT_S)
+    refusing = [d.quarantine.is_quarantined(REQUEST) for d in daemons]
+    spread_bytes = [link.sent_bytes for link in links]
+    await asyncio.sleep(REPEAT_WINDOW_S)
     for task in tasks:
         task.cancel()
-    sent = [each.sent_bytes for each in peers]
-    repeated = [(b - a) / WATCHED_S for a, b in zip(told, sent, strict=True)]
-    return Spread(refusing, told, repeated)
+    total_bytes = [link.sent_bytes for link in links]
+    repeat_bytes_per_s = [
+        (after - before) / REPEAT_WINDOW_S
+        for before, after in zip(spread_bytes, total_bytes, strict=True)
+    ]
+    return SpreadResult(refusing, spread_bytes, repeat_bytes_per_s)
 
 
-def play_spread(story):
-    """Play a :class:`SpreadStory` and return the :class:`Spread`."""
-    network = DaemonNetwork(story.shape)
-    found = []
+def simulate_spread(scenario):
+    """Simulate a :class:`SpreadScenario` and return the :class:`SpreadResult`."""
+    network = DaemonNetwork(scenario.shape)
+    results = []
 
-    async def then():
-        found.append(await _play(story, network))
+    async def simulate():
+        results.append(await _simulate(scenario, network))
 
-    run_paused(network.run(SETTLE_S / 2, then))
-    return found[0]
+    run_paused(network.run(STARTUP_S / 2, simulate))
+    return results[0]
