--- a/features/support/spread_runs.py
+++ b/features/support/spread_runs.py
@@ -93,7 +93,7 @@
     verdict_store = VerdictStore(_Store(), lambda: 0.0)
     link = _CountingLink(daemon.link)
     daemon.quarantine = Quarantine(
-        links, TargetExitDetector(fleet.is_expected, _connection_refused), verdict_store
+        link, TargetExitDetector(fleet.is_expected, _connection_refused), verdict_store
     )
     return link
 
--- a/measurements/quarantine_spread.py
+++ b/measurements/quarantine_spread.py
@@ -29,7 +29,8 @@
             f" {sum(spread.refusing)} refuse it within {SPREAD_LIMIT_S} s;"
             f" told in {sum(spread.spread_bytes) / number:.0f} bytes a daemon"
             f" (most {max(spread.spread_bytes)}),"
-            f" repeated with {sum(spread.repeat_bytes_per_s) / number:.0f} bytes a second"
+            f" repeated with {sum(spread.repeat_bytes_per_s) / number:.0f}"
+            f" bytes a second"
             f" (most {max(spread.repeat_bytes_per_s):.0f});"
             f" played in {time.monotonic() - began_at:.0f} s",
             flush=True,
