--- a/cowslipcourse/emulator/messages.py
+++ b/cowslipcourse/emulator/messages.py
@@ -89,7 +89,7 @@
 
     def _deliver(self, message, receiver):
         if not self._is_cut(receiver):
-            self._quarantines[receiver].take(message)
+            self._quarantines[receiver].handle_message(message)
 
     def stop(self):
         """End all quarantines."""
--- a/cowslipcourse/entry/peer_link.py
+++ b/cowslipcourse/entry/peer_link.py
@@ -179,7 +179,7 @@
         elif isinstance(message, GroupUpdate):
             self._daemon.take_news(message)
         elif isinstance(message, CrashReports | QuarantineUpdate | RequestCleared):
-            self._daemon.quarantine.take(message)
+            self._daemon.quarantine.handle_message(message)
         elif isinstance(message, Heartbeat):
             if message.member.name != self._settings.name:
                 self._take_heartbeat(message, now)
--- a/cowslipcourse/entry/peer_reading.py
+++ b/cowslipcourse/entry/peer_reading.py
@@ -57,7 +57,7 @@
             )
         if knowledge.is_current:
             return []
-        others = [digest.reporter for digest in self._registry.digests(now)]
+        others = [digest.reporter for digest in self._registry.remote_digests(now)]
         return self._shuffled([h.member for h in near]) + others
 
     def note(self, succeeded, now):
--- a/cowslipcourse/entry/streaming.py
+++ b/cowslipcourse/entry/streaming.py
@@ -36,12 +36,12 @@
     @property
     def resume_event_id(self):
         """Id of the last event that was passed on, or ``None``."""
-        return self.position.last if self.position.forwarded else None
+        return self.position.last_event_id if self.position.relayed_events else None
 
     @property
     def has_events(self):
         """Whether the caller has events already, of this daemon or of another one."""
-        return self.position.last is not None
+        return self.position.last_event_id is not None
 
     def record_events(self, now):
         """Note that events were passed on."""
@@ -79,7 +79,7 @@
 
     async def _attempt(self, progress, run):
         call = progress.call
-        run.last_event_id = progress.position.last or 0
+        run.last_event_id = progress.position.last_event_id or 0
         async with self._context.attempt_sender.open(
             call, run, progress.resume_event_id
         ) as attempt:
@@ -117,10 +117,10 @@
         await responder.finish()
 
     async def _relay_events(self, progress, run, head, events):
-        relayed_before = progress.position.forwarded
+        relayed_before = progress.position.relayed_events
         content, error = progress.position.filter_events(events)
-        run.relayed_events += progress.position.forwarded - relayed_before
-        run.last_event_id = progress.position.last or 0
+        run.relayed_events += progress.position.relayed_events - relayed_before
+        run.last_event_id = progress.position.last_event_id or 0
         if content:
             progress.record_events(asyncio.get_running_loop().time())
             if not progress.responder.started:
@@ -155,7 +155,7 @@
         place_s=round(progress.slot_wait_s, 3),
         target=entry.id,
         attempts=attempts,
-        events=progress.position.forwarded,
+        events=progress.position.relayed_events,
         first_s=None
         if progress.first_event_s is None
         else round(progress.first_event_s, 3),
--- a/cowslipcourse/gateway/quarantine_ports.py
+++ b/cowslipcourse/gateway/quarantine_ports.py
@@ -197,5 +197,5 @@
     )
     kept = VerdictStore(TableRows(table), time.time)
     quarantine = Quarantine(peers, ends, kept)
-    peers.listen(quarantine.take)
+    peers.listen(quarantine.handle_message)
     return quarantine
--- a/cowslipcourse/peers/load.py
+++ b/cowslipcourse/peers/load.py
@@ -11,7 +11,7 @@
     """
 
     def __init__(self):
-        self._told = {}
+        self._by_sender = {}
         self._total = {}
 
     @property
@@ -22,26 +22,26 @@
     @property
     def senders(self):
         """Who has told something."""
-        return self._told.keys()
+        return self._by_sender.keys()
 
-    def tell(self, sender, in_flight):
+    def replace(self, sender, in_flight):
         """Take what a sender has in flight, in place of what it told before."""
         self.drop(sender)
-        self._told[sender] = in_flight
+        self._by_sender[sender] = in_flight
         for target, number in in_flight.items():
             self._total[target] = self._total.get(target, 0) + number
 
     def drop(self, sender):
         """Forget what a sender told."""
-        for target, number in self._told.pop(sender, {}).items():
+        for target, number in self._by_sender.pop(sender, {}).items():
             left = self._total[target] - number
             if left:
                 self._total[target] = left
             else:
                 del self._total[target]
 
-    def keep(self, senders):
+    def retain(self, senders):
         """Forget all senders but those."""
-        for sender in list(self._told):
+        for sender in list(self._by_sender):
             if sender not in senders:
                 self.drop(sender)
--- a/cowslipcourse/peers/pace.py
+++ b/cowslipcourse/peers/pace.py
@@ -13,14 +13,14 @@
     "routable_timeout_s",
 ]
 
-UNSLOWED = 8
+FULL_RATE_DAEMONS = 8
 """Daemons in a data centre up to which none slows down: 32 heartbeats a second."""
-DIGEST_GROWS_FROM = 16
+FULL_DIGEST_RATE_DAEMONS = 16
 """Daemons in a data centre beyond which its digests become rarer: they name what all of
 them have in flight, and every daemon elsewhere gets a copy."""
-LONGEST_DIGEST_S = 0.5
+MAX_DIGEST_INTERVAL_S = 0.5
 """Two digests may be lost before a data centre counts as gone."""
-MISSED_LISTED = 2.5
+MAX_MISSED_HEARTBEATS = 2.5
 """Heartbeats after whose absence callers are sent elsewhere: one may be lost."""
 
 
@@ -33,7 +33,7 @@
     """
     if is_reporter:
         return settings.interval_s
-    return settings.interval_s * max(1.0, local_daemon_count / UNSLOWED)
+    return settings.interval_s * max(1.0, local_daemon_count / FULL_RATE_DAEMONS)
 
 
 def digest_interval_s(settings, local_daemon_count):
@@ -42,8 +42,10 @@
     :param settings: :class:`~cowslipcourse.entry.settings.PeerSettings`
     :param local_daemon_count: daemons in the data centre.
     """
-    grown_s = settings.interval_s * max(1.0, local_daemon_count / DIGEST_GROWS_FROM)
-    return min(LONGEST_DIGEST_S, grown_s)
+    scaled_s = settings.interval_s * max(
+        1.0, local_daemon_count / FULL_DIGEST_RATE_DAEMONS
+    )
+    return min(MAX_DIGEST_INTERVAL_S, scaled_s)
 
 
 def liveness_timeout_s(settings, heartbeat):
@@ -59,4 +61,4 @@
 
     :param heartbeat: its last :class:`~cowslipcourse.peers.Heartbeat`.
     """
-    return max(settings.listed_s, MISSED_LISTED * heartbeat.interval_s)
+    return max(settings.listed_s, MAX_MISSED_HEARTBEATS * heartbeat.interval_s)
--- a/cowslipcourse/peers/packing.py
+++ b/cowslipcourse/peers/packing.py
@@ -11,11 +11,11 @@
 
 __all__ = ["pack", "unpack"]
 
-SHORTEST_BYTES = 300
+MIN_COMPRESSED_BYTES = 300
 """Shorter content fits one packet as it is."""
-LEVEL = 1
+COMPRESSION_LEVEL = 1
 """Fastest: 4 ms for 300 KB on a whole core, so 30 ms on the smallest VMs."""
-MOST_BYTES = 64 * 1024 * 1024
+MAX_UNPACKED_BYTES = 64 * 1024 * 1024
 """Longest content that is unpacked: far beyond the list of any site, and less than
 what would end a daemon."""
 _PACKED, _PLAIN = b"Z", b"P"
@@ -23,9 +23,9 @@
 
 def pack(content):
     """Return bytes from which :func:`unpack` returns the content."""
-    if len(content) < SHORTEST_BYTES:
+    if len(content) < MIN_COMPRESSED_BYTES:
         return _PLAIN + content
-    return _PACKED + zlib.compress(content, LEVEL)
+    return _PACKED + zlib.compress(content, COMPRESSION_LEVEL)
 
 
 def unpack(content):
@@ -38,11 +38,11 @@
         return rest
     if kind != _PACKED:
         raise MalformedAnswer("unreadable: not packed")
-    unpacker = zlib.decompressobj()
+    decompressor = zlib.decompressobj()
     try:
-        found = unpacker.decompress(rest, MOST_BYTES)
+        found = decompressor.decompress(rest, MAX_UNPACKED_BYTES)
     except zlib.error as error:
         raise MalformedAnswer(f"unreadable: {error}") from error
-    if not unpacker.eof:
+    if not decompressor.eof:
         raise MalformedAnswer("unreadable: cut short or too long")
     return found
--- a/cowslipcourse/peers/registry.py
+++ b/cowslipcourse/peers/registry.py
@@ -18,30 +18,30 @@
 
 __all__ = ["PeerRegistry", "registration_order"]
 
-LARGE_DATA_CENTRE = 8
+SINGLE_REPORTER_DAEMONS = 8
 """Daemons beyond which a data centre has two reporters: more depend on them."""
-LATE_REPORTER_S = 0.6
+REPORTER_TIMEOUT_S = 0.6
 """Silence of a first reporter, which speaks four times a second, after which the second
 one speaks for the data centre."""
 
 
-class _Heard(NamedTuple):
+class _Received(NamedTuple):
     message: Heartbeat | Digest
     at: float
 
 
-def _near(name):
+def _daemon_key(name):
     """Return the key of what a daemon of the own data centre has in flight."""
     return "daemon", name
 
 
-def _without(in_flight, own):
+def _subtract(in_flight, own):
     """Return counts of requests in flight without a daemon's own."""
     left = {target: n - own.get(target, 0) for target, n in in_flight.items()}
     return {target: number for target, number in left.items() if number > 0}
 
 
-def _far(data_centre):
+def _data_centre_key(data_centre):
     """Return the key of what a whole data centre has in flight."""
     return "data centre", data_centre
 
@@ -63,9 +63,9 @@
         self._data_centre = data_centre
         self._heartbeats = {}
         self._digests = {}
-        self._contents = {}
+        self._content_by_data_centre = {}
         self._addresses = {}
-        self._told = {}
+        self._own_in_flight = {}
         self._load = PeerLoad()
 
     @property
@@ -78,7 +78,7 @@
         self._addresses.setdefault(address, (data_centre, now))
 
     def is_unknown(self, member):
-        """Whether no heartbeat of this run of a daemon has been heard."""
+        """Whether no heartbeat of this run of a daemon has been received."""
         known = self._heartbeats.get(member.name)
         return known is None or known.message.member.incarnation != member.incarnation
 
@@ -92,15 +92,15 @@
             last = old.member.incarnation, old.sequence
             if not self._is_newer(number, last, known.at, now):
                 return False
-        self._heartbeats[member.name] = _Heard(heartbeat, now)
+        self._heartbeats[member.name] = _Received(heartbeat, now)
         self._addresses[member.peer_address] = (member.data_centre, now)
-        if member.data_centre == self._data_centre and not self._is_told(now):
-            self._load.tell(_near(member.name), heartbeat.in_flight)
+        if member.data_centre == self._data_centre and not self._has_local_digest(now):
+            self._load.replace(_daemon_key(member.name), heartbeat.in_flight)
         return True
 
     def record_own_in_flight(self, in_flight):
         """Note what this daemon has told of itself: the next digests contain it."""
-        self._told = in_flight
+        self._own_in_flight = in_flight
 
     def record_digest(self, digest, now):
         """Take in a digest; return whether it is newer than what was known."""
@@ -113,46 +113,51 @@
             last = old.reporter.incarnation, old.sequence
             if not self._is_newer(number, last, known.at, now):
                 return False
-        self._digests[key] = _Heard(digest, now)
+        self._digests[key] = _Received(digest, now)
         self._addresses[reporter.peer_address] = (reporter.data_centre, now)
         if digest.in_flight is not None:
-            self._note_content(digest, now)
+            self._record_content(digest, now)
         return True
 
-    def _note_content(self, digest, now):
+    def _record_content(self, digest, now):
         """Take in what a data centre says of itself, whoever speaks for it."""
         data_centre = digest.reporter.data_centre
         if digest.members is None:
-            known = self._contents.get(data_centre)
+            known = self._content_by_data_centre.get(data_centre)
             if known is None and data_centre == self._data_centre:
                 # It would say that no other daemon lives; heartbeats tell until then.
                 return
             digest = digest._replace(members=known.message.members if known else ())
-        self._contents[data_centre] = _Heard(digest, now)
+        self._content_by_data_centre[data_centre] = _Received(digest, now)
         for member in digest.members:
             self._addresses[member.peer_address] = (member.data_centre, now)
         in_flight = digest.in_flight
         if data_centre == self._data_centre:
-            in_flight = _without(in_flight, self._told)
-        self._load.tell(_far(data_centre), in_flight)
+            in_flight = _subtract(in_flight, self._own_in_flight)
+        self._load.replace(_data_centre_key(data_centre), in_flight)
 
-    def _is_told(self, now):
+    def _has_local_digest(self, now):
         """Whether a reporter tells this daemon what the own data centre does."""
-        heard = self._contents.get(self._data_centre)
-        return heard is not None and now - heard.at < self._settings.alive_s
+        received = self._content_by_data_centre.get(self._data_centre)
+        return received is not None and now - received.at < self._settings.alive_s
 
     def expire(self, now):
         """Forget what daemons told that are gone."""
-        self._forget(now)
-        far = {_far(digest.reporter.data_centre) for digest in self.digests(now)}
-        if self._is_told(now):
-            self._load.keep(far | {_far(self._data_centre)})
+        self._forget_addresses(now)
+        remote = {
+            _data_centre_key(digest.reporter.data_centre)
+            for digest in self.remote_digests(now)
+        }
+        if self._has_local_digest(now):
+            self._load.retain(remote | {_data_centre_key(self._data_centre)})
             return
-        near = {_near(h.member.name): h.in_flight for h in self.local_heartbeats(now)}
-        for name in near.keys() - self._load.senders:
+        local = {
+            _daemon_key(h.member.name): h.in_flight for h in self.local_heartbeats(now)
+        }
+        for name in local.keys() - self._load.senders:
             # Until now a digest told it with that of all others.
-            self._load.tell(name, near[name])
-        self._load.keep(near.keys() | far)
+            self._load.replace(name, local[name])
+        self._load.retain(local.keys() | remote)
 
     def heartbeat_interval_s(self, is_reporter, now):
         """Return the seconds until this daemon's next heartbeat."""
@@ -173,27 +178,27 @@
 
     def local_heartbeats(self, now):
         """Return the heartbeats of the daemons of the own data centre that live."""
-        return self._heard_within(liveness_timeout_s, now)
+        return self._received_within(liveness_timeout_s, now)
 
     def routable_heartbeats(self, now):
         """Return the heartbeats of those near daemons that callers may be sent to."""
-        return self._heard_within(routable_timeout_s, now)
+        return self._received_within(routable_timeout_s, now)
 
-    def _heard_within(self, longest_s, now):
+    def _received_within(self, timeout_s, now):
         """Return the near heartbeats whose silence is shorter than a limit.
 
-        :param longest_s: function of the settings and a heartbeat.
+        :param timeout_s: function of the settings and a heartbeat.
         """
         return [
-            heard.message
-            for heard in self._heartbeats.values()
-            if heard.message.member.data_centre == self._data_centre
-            and now - heard.at < longest_s(self._settings, heard.message)
+            received.message
+            for received in self._heartbeats.values()
+            if received.message.member.data_centre == self._data_centre
+            and now - received.at < timeout_s(self._settings, received.message)
         ]
 
     def is_large(self, now):
         """Whether the data centre is so large that a reporter tells it of all."""
-        return len(self.local_heartbeats(now)) + 1 > LARGE_DATA_CENTRE
+        return len(self.local_heartbeats(now)) + 1 > SINGLE_REPORTER_DAEMONS
 
     def reporter_addresses(self, own, now):
         """Return the addresses of the other daemons that report for the data centre.
@@ -207,26 +212,26 @@
             if name != own.member.name
         ]
 
-    def digests(self, now):
+    def remote_digests(self, now):
         """Return what each other data centre says of itself, if that is fresh."""
         return [
-            heard.message
-            for data_centre, heard in self._contents.items()
+            received.message
+            for data_centre, received in self._content_by_data_centre.items()
             if data_centre != self._data_centre
-            and now - heard.at < self._settings.alive_s
+            and now - received.at < self._settings.alive_s
         ]
 
-    def _fresh_digests(self, now):
-        """Return what was heard lately from every reporter of other data centres."""
+    def _recent_digests(self, now):
+        """Return what was received lately from every reporter of other data centres."""
         return [
-            heard
-            for heard in self._digests.values()
-            if now - heard.at < self._settings.alive_s
+            received
+            for received in self._digests.values()
+            if now - received.at < self._settings.alive_s
         ]
 
     def local_addresses(self, now):
         """Return the addresses of the daemons of the own data centre."""
-        self._forget(now)
+        self._forget_addresses(now)
         return [
             address
             for address, (data_centre, _) in self._addresses.items()
@@ -235,34 +240,34 @@
 
     def all_addresses(self, now):
         """Return the addresses of all other daemons that are known."""
-        self._forget(now)
+        self._forget_addresses(now)
         return list(self._addresses)
 
     def alive_addresses(self, now):
         """Return the addresses of the other daemons that live, in all data centres."""
         members = [heartbeat.member for heartbeat in self.local_heartbeats(now)]
-        members += [member for d in self.digests(now) for member in d.members]
+        members += [member for d in self.remote_digests(now) for member in d.members]
         return sorted({member.peer_address for member in members})
 
     def remote_addresses(self, now):
         """Return the addresses that a digest goes to: reporters elsewhere.
 
-        Of a data centre that is not heard from, every daemon is written to.
+        Of a data centre that is not received from, every daemon is written to.
         """
-        self._forget(now)
-        heard = {}
-        for digest in self._fresh_digests(now):
+        self._forget_addresses(now)
+        received = {}
+        for digest in self._recent_digests(now):
             reporter = digest.message.reporter
-            heard.setdefault(reporter.data_centre, []).append(reporter.peer_address)
-        found = [address for addresses in heard.values() for address in addresses]
+            received.setdefault(reporter.data_centre, []).append(reporter.peer_address)
+        found = [address for addresses in received.values() for address in addresses]
         found += [
             address
             for address, (data_centre, _) in self._addresses.items()
-            if data_centre != self._data_centre and data_centre not in heard
+            if data_centre != self._data_centre and data_centre not in received
         ]
         return found
 
-    def _forget(self, now):
+    def _forget_addresses(self, now):
         for address, (_, at) in list(self._addresses.items()):
             if now - at > self._settings.forget_s:
                 del self._addresses[address]
@@ -274,11 +279,11 @@
 
         :param own: this daemon's own :class:`~cowslipcourse.peers.Heartbeat`.
         """
-        near = [own, *self.local_heartbeats(now)]
-        able = [h.member for h in near if h.member.registration and h.is_healthy]
-        able.sort(key=registration_order)
-        number = 2 if len(near) > LARGE_DATA_CENTRE else 1
-        return [member.name for member in able[:number]]
+        local = [own, *self.local_heartbeats(now)]
+        eligible = [h.member for h in local if h.member.registration and h.is_healthy]
+        eligible.sort(key=registration_order)
+        number = 2 if len(local) > SINGLE_REPORTER_DAEMONS else 1
+        return [member.name for member in eligible[:number]]
 
     def is_active_reporter(self, own, now):
         """Whether a daemon speaks for its data centre, and hands on what others say.
@@ -290,7 +295,7 @@
         for name in self.reporters(own, now):
             if name == own.member.name:
                 return True
-            if now - self._heartbeats[name].at < LATE_REPORTER_S:
+            if now - self._heartbeats[name].at < REPORTER_TIMEOUT_S:
                 return False
         return False
 
@@ -298,22 +303,22 @@
         """Return the reporter of each data centre that registered first.
 
         :param own: this daemon's own :class:`~cowslipcourse.peers.Heartbeat`.
-        :returns: :class:`Member` by data centre; none where no reporter is heard.
+        :returns: :class:`Member` by data centre; none where no reporter is received.
         """
         first = self.reporters(own, now)[:1]
-        able = [
+        eligible = [
             h.member
             for h in (own, *self.local_heartbeats(now))
             if h.member.name in first
         ]
         # A large data centre has two reporters, and either may have spoken last.
-        able += [
-            heard.message.reporter
-            for heard in self._fresh_digests(now)
-            if heard.message.reporter.data_centre != self._data_centre
+        eligible += [
+            received.message.reporter
+            for received in self._recent_digests(now)
+            if received.message.reporter.data_centre != self._data_centre
         ]
         found = {}
-        for member in sorted(able, key=registration_order):
+        for member in sorted(eligible, key=registration_order):
             if member.registration:
                 found.setdefault(member.data_centre, member)
         return found
@@ -324,13 +329,13 @@
         :param own_name: name of this daemon, which is left out.
         """
         found = [heartbeat.member for heartbeat in self.routable_heartbeats(now)]
-        if self._is_told(now):
+        if self._has_local_digest(now):
             # Its reporter hears each daemon four times a second, and this one rarely.
-            members = self._contents[self._data_centre].message.members
+            members = self._content_by_data_centre[self._data_centre].message.members
             alive = {member.name for member in members}
             found = [member for member in found if member.name in alive]
         known = {member.name for member in found}
-        for digest in self.digests(now):
+        for digest in self.remote_digests(now):
             found += [m for m in digest.members if m.name not in known]
         return [m for m in found if m.is_ready and m.name != own_name]
 
@@ -339,7 +344,7 @@
 
         Who is cut off hears nobody, and the others still live.
         """
-        self._forget(now)
+        self._forget_addresses(now)
         return len(self._addresses)
 
     def with_newer_configuration(self, version, now):
@@ -349,12 +354,12 @@
 
         :param version: version to compare with.
         """
-        near = [
+        local = [
             h.member
             for h in self.local_heartbeats(now)
             if h.member.configuration > version
         ]
-        if near:
-            return near
-        reporters = [digest.reporter for digest in self.digests(now)]
+        if local:
+            return local
+        reporters = [digest.reporter for digest in self.remote_digests(now)]
         return [member for member in reporters if member.configuration > version]
--- a/cowslipcourse/peers/splitting.py
+++ b/cowslipcourse/peers/splitting.py
@@ -4,7 +4,7 @@
 
 __all__ = ["split_changes"]
 
-MOST_ENTRIES = 64
+MAX_DATAGRAM_ENTRIES = 64
 """Entries in one datagram: 64 of 300 bytes are 20 KB, or 2 to 4 KB packed. At a site's
 start hundreds change within a quarter of a second."""
 
@@ -19,7 +19,7 @@
     :param changes: :class:`TargetChanges`
     :param versions: store version of each entry's change, by target id.
     """
-    if len(versions) <= MOST_ENTRIES:
+    if len(versions) <= MAX_DATAGRAM_ENTRIES:
         return [changes]
     parts, after = [], changes.after
     for ids in _batches(versions):
@@ -37,7 +37,7 @@
     batch = []
     for target in ids:
         is_new = batch and versions[target] != versions[batch[-1]]
-        if is_new and len(batch) >= MOST_ENTRIES:
+        if is_new and len(batch) >= MAX_DATAGRAM_ENTRIES:
             yield batch
             batch = []
         batch.append(target)
--- a/cowslipcourse/quarantine/judging.py
+++ b/cowslipcourse/quarantine/judging.py
@@ -24,30 +24,30 @@
 
 __all__ = ["CrashReport", "Suspects", "Verdict", "Verdicts", "is_incriminating"]
 
-STUCK = 2
+STALLED_WEIGHT = 2
 """Weight of an end under a run that had begun and came no further."""
-NOT_BEGUN = 1
+NOT_BEGUN_WEIGHT = 1
 """Weight of an end under a run whose answer had not begun: it may have waited in a
 queue, or the target may have ended while it read the prompt."""
-CONVICTED = 6
+QUARANTINE_WEIGHT = 6
 """Three ends of the greater weight: callers and other requests lose three targets to a
 request for certain, and no more than that."""
-WORTH_KEEPING = 4
+STORE_WEIGHT = 4
 """Two such ends: a new start of all daemons must not let it end two more each time."""
 SUSPICION_S = 600.0
 """Time for which an end is held against a request: one that comes back hours later
 meets other software, and the memory is bounded."""
-MOST_SUSPECTS = 4_096
+MAX_SUSPECTS = 4_096
 """About 2 MB; the one whose last end is the longest ago is dropped first. On the
 largest site the loss of half of 1,200 engines suspects some 16 requests a daemon."""
-MOST_ANSWERED = 2_048
+MAX_ANSWERED = 2_048
 """Requests that are remembered as answered, about 300 KB: those of two minutes."""
-MOST_VERDICTS = 512
+MAX_VERDICTS = 512
 """25 KB as a row of the store; the one that ends first is dropped first. Each has cost
 three targets, so more than that cannot be kept up for long."""
 QUARANTINE_S = 3_600.0
 """Time until a quarantined request is tried again: software is replaced in hours."""
-TERM_GROWS = 4
+QUARANTINE_GROWTH = 4
 """Factor on the time after each trial that ended a target: three trials in a day."""
 
 
@@ -64,21 +64,21 @@
     :param target: id of the target.
     :param incarnation: its life that ended.
     :param has_begun: whether the request had begun to run, as far as can be told.
-    :param events: events of a stream that this run passed on.
-    :param reached: number of the last event that the caller has; 0 for none.
+    :param relayed_events: events of a stream that this run passed on.
+    :param last_event_id: number of the last event that the caller has; 0 for none.
     """
 
     fingerprint: _Fingerprint
     target: str
     incarnation: _Count
     has_begun: bool
-    events: _Count
-    reached: _Count
+    relayed_events: _Count
+    last_event_id: _Count
 
 
 def is_incriminating(report):
     """Whether a report is worth sending: a run that came further says little."""
-    return not report.events
+    return not report.relayed_events
 
 
 class _Suspect:
@@ -87,21 +87,21 @@
     def __init__(self):
         self.weights = {}
         self.reports = {}
-        self.furthest = 0
+        self.highest_event_id = 0
         self.last_at = 0.0
 
-    def note(self, report, now):
+    def add_report(self, report, now):
         weight = self._weight(report)
         life = report.target, report.incarnation
         self.weights[life] = max(weight, self.weights.get(life, 0))
         self.reports[life] = report
-        self.furthest = max(self.furthest, report.reached)
+        self.highest_event_id = max(self.highest_event_id, report.last_event_id)
         self.last_at = now
 
     def _weight(self, report):
-        if report.events and report.reached > self.furthest:
+        if report.relayed_events and report.last_event_id > self.highest_event_id:
             return 0
-        return STUCK if report.has_begun else NOT_BEGUN
+        return STALLED_WEIGHT if report.has_begun else NOT_BEGUN_WEIGHT
 
     @property
     def weight(self):
@@ -118,7 +118,7 @@
     def __len__(self):
         return len(self._suspects)
 
-    def note(self, report, now):
+    def add_report(self, report, now):
         """Take a report; return whether the request is convicted by now.
 
         :param report: :class:`CrashReport`
@@ -127,22 +127,22 @@
         fingerprint = report.fingerprint
         if self.was_answered(fingerprint, now):
             return False
-        self._forget(now)
+        self._expire(now)
         suspect = self._suspects.setdefault(fingerprint, _Suspect())
-        suspect.note(report, now)
+        suspect.add_report(report, now)
         self._suspects.move_to_end(fingerprint)
-        if len(self._suspects) > MOST_SUSPECTS:
+        if len(self._suspects) > MAX_SUSPECTS:
             self._suspects.popitem(last=False)
-        return suspect.weight >= CONVICTED
+        return suspect.weight >= QUARANTINE_WEIGHT
 
-    def _forget(self, now):
+    def _expire(self, now):
         while self._suspects:
             fingerprint, oldest = next(iter(self._suspects.items()))
             if now - oldest.last_at < SUSPICION_S:
                 return
             del self._suspects[fingerprint]
 
-    def lives(self, fingerprint):
+    def ended_incarnations(self, fingerprint):
         """Return the ``(target, incarnation)`` list that ended under a request."""
         suspect = self._suspects.get(fingerprint)
         return [] if suspect is None else list(suspect.weights)
@@ -153,18 +153,18 @@
         One end is not kept: most that have met one are answered by the next target.
         """
         suspect = self._suspects.get(fingerprint)
-        if suspect is None or suspect.weight < WORTH_KEEPING:
+        if suspect is None or suspect.weight < STORE_WEIGHT:
             return []
         return list(suspect.reports.values())
 
-    def note_answered(self, fingerprint, now, here=True):
+    def note_answered(self, fingerprint, now, is_local=True):
         """Clear a request that a target answered whole; return if it was suspected.
 
-        :param here: whether this daemon passed the answer on, or another one.
+        :param is_local: whether this daemon passed the answer on, or another one.
         """
-        self._answered[fingerprint] = now, here
+        self._answered[fingerprint] = now, is_local
         self._answered.move_to_end(fingerprint)
-        if len(self._answered) > MOST_ANSWERED:
+        if len(self._answered) > MAX_ANSWERED:
             self._answered.popitem(last=False)
         return self._suspects.pop(fingerprint, None) is not None
 
@@ -199,7 +199,7 @@
         """Return the verdict that holds from the begin of a trial on."""
         trials = self.trials + 1
         return Verdict(
-            self.fingerprint, now + QUARANTINE_S * TERM_GROWS**trials, trials
+            self.fingerprint, now + QUARANTINE_S * QUARANTINE_GROWTH**trials, trials
         )
 
 
@@ -219,7 +219,7 @@
         """Return the :class:`Verdict` on a request, or ``None``."""
         return self._verdicts.get(fingerprint)
 
-    def note(self, verdict):
+    def add(self, verdict):
         """Take a verdict; return whether it was news.
 
         What is known already is not prolonged by hearing of it again.
@@ -228,7 +228,7 @@
         if known is not None and known.trials >= verdict.trials:
             return False
         self._verdicts[verdict.fingerprint] = verdict
-        if len(self._verdicts) > MOST_VERDICTS:
+        if len(self._verdicts) > MAX_VERDICTS:
             del self._verdicts[min(self, key=lambda v: v.until).fingerprint]
         return True
 
--- a/cowslipcourse/quarantine/kept.py
+++ b/cowslipcourse/quarantine/kept.py
@@ -16,14 +16,14 @@
     Verdicts,
 )
 
-__all__ = ["Kept", "Trial", "VerdictStore"]
+__all__ = ["StoredQuarantine", "Trial", "VerdictStore"]
 
 TABLE = "quarantine"
 KEY = "verdicts"
 REPORTS_KEY = "reports"
-MOST_REPORTS = 256
-"""Reports that are kept, 30 KB; the oldest are dropped first."""
-TRIES = 5
+MAX_STORED_REPORTS = 256
+"""Reports that are stored, 30 KB; the oldest are dropped first."""
+MAX_WRITE_ATTEMPTS = 5
 """Writes under a condition: a few daemons may write at the same moment."""
 VERDICT_RETENTION_S = 86_400.0
 """Time for which a verdict stays in the row after its time is over: a request that is
@@ -37,31 +37,31 @@
 _Count = Annotated[int, msgspec.Meta(ge=0)]
 
 
-class _KeptVerdict(NamedTuple):
+class _StoredVerdict(NamedTuple):
     fingerprint: _Fingerprint
     # Unix time in seconds.
     until: float
     trials: _Count
 
 
-class _KeptReport(NamedTuple):
+class _StoredReport(NamedTuple):
     fingerprint: _Fingerprint
     target: str
     incarnation: _Count
     has_begun: bool
-    events: _Count
-    reached: _Count
-    # Unix time in seconds at which it was kept.
+    relayed_events: _Count
+    last_event_id: _Count
+    # Unix time in seconds at which it was stored.
     at: float
 
 
 log = get_logger(__name__)
 
-_decoder = msgspec.json.Decoder(tuple[_KeptVerdict, ...])
-_reports_decoder = msgspec.json.Decoder(tuple[_KeptReport, ...])
+_decoder = msgspec.json.Decoder(tuple[_StoredVerdict, ...])
+_reports_decoder = msgspec.json.Decoder(tuple[_StoredReport, ...])
 
 
-class Kept(NamedTuple):
+class StoredQuarantine(NamedTuple):
     """What the store holds for daemons that start anew.
 
     :param verdicts: :class:`~cowslipcourse.quarantine.Verdict` list, their times in
@@ -99,7 +99,7 @@
         self._time_of_day = time_of_day
 
     async def read(self):
-        """Return what is :class:`Kept`.
+        """Return the :class:`StoredQuarantine`.
 
         :raises StoreError: the store did not answer.
         :raises MalformedAnswer: another writer has spoiled the row of verdicts.
@@ -110,18 +110,18 @@
             verdict._replace(until=verdict.until - now)
             for verdict in _verdicts(rows.get(KEY))
         ]
-        return Kept(verdicts, self._fresh_reports(rows.get(REPORTS_KEY)))
+        return StoredQuarantine(verdicts, self._fresh_reports(rows.get(REPORTS_KEY)))
 
     def _fresh_reports(self, row):
         """Return the reports that still count; a spoiled row has none."""
         due_at = self._time_of_day() - SUSPICION_S
         try:
-            kept = _reports(row)
+            stored = _reports(row)
         except MalformedAnswer as error:
             # They make a verdict come sooner, and no more: verdicts are read anyway.
             log.warning("reports-unreadable", why=error)
             return []
-        return [_report(each) for each in kept if each.at > due_at]
+        return [_report(each) for each in stored if each.at > due_at]
 
     async def _rows(self):
         """Return the rows by key, from one call."""
@@ -131,10 +131,10 @@
     async def add_reports(self, reports):
         """Add reports; those of a life that are there already are replaced.
 
-        :raises StoreError: they may not have been kept.
+        :raises StoreError: they may not have been stored.
         """
         now = self._time_of_day()
-        added = {_report_key(each): _kept_report(each, now) for each in reports}
+        added = {_report_key(each): _stored_report(each, now) for each in reports}
 
         def add(row):
             try:
@@ -142,31 +142,31 @@
             except MalformedAnswer:
                 # Another writer has spoiled the row; what is known now replaces it.
                 known = ()
-            kept = {_report_key(_report(each)): each for each in known}
-            newest = list((kept | added).values())[-MOST_REPORTS:]
+            stored = {_report_key(_report(each)): each for each in known}
+            newest = list((stored | added).values())[-MAX_STORED_REPORTS:]
             return msgspec.json.encode(newest)
 
-        await self._change_row(REPORTS_KEY, add)
+        await self._update_row(REPORTS_KEY, add)
 
     async def add(self, added):
         """Add verdicts, whose times are in seconds left.
 
-        :raises StoreError: they may not have been kept.
+        :raises StoreError: they may not have been stored.
         """
         now = self._time_of_day()
         added = [verdict._replace(until=verdict.until + now) for verdict in added]
 
         def add(verdicts):
-            news = [verdict for verdict in added if verdicts.note(verdict)]
+            news = [verdict for verdict in added if verdicts.add(verdict)]
             return bool(news)
 
         try:
-            await self._change(add)
+            await self._update_verdicts(add)
         except MalformedAnswer:
             # Another writer has spoiled the row; all that is known replaces it.
             verdicts = Verdicts()
             for verdict in added:
-                verdicts.note(verdict)
+                verdicts.add(verdict)
             await self._store.write(RowWrite(TABLE, KEY, _content(verdicts)))
 
     async def remove(self, fingerprint):
@@ -175,7 +175,7 @@
         :raises StoreError: it may be there still.
         :raises MalformedAnswer: another writer has spoiled the row.
         """
-        await self._change(lambda verdicts: verdicts.drop(fingerprint))
+        await self._update_verdicts(lambda verdicts: verdicts.drop(fingerprint))
 
     async def begin_trial(self, fingerprint):
         """Write that a request is tried, if it is time; return the :class:`Trial`.
@@ -195,33 +195,33 @@
             if trial.verdict is None or trial.verdict.until > now:
                 return False
             trial = Trial(trial.verdict.after_trial_began(now), True)
-            return verdicts.note(trial.verdict)
+            return verdicts.add(trial.verdict)
 
-        await self._change(renew)
+        await self._update_verdicts(renew)
         if trial.verdict is None:
             return trial
         left = trial.verdict._replace(until=trial.verdict.until - now)
         return trial._replace(verdict=left)
 
-    async def _change(self, change):
+    async def _update_verdicts(self, change):
         """Change verdicts; ``change`` takes :class:`Verdicts` and tells if it did."""
 
-        def change_row(row):
+        def update_row(row):
             verdicts = Verdicts()
             for verdict in _verdicts(row):
                 if self._time_of_day() < verdict.until + VERDICT_RETENTION_S:
-                    verdicts.note(verdict)
+                    verdicts.add(verdict)
             return _content(verdicts) if change(verdicts) else None
 
-        await self._change_row(KEY, change_row)
+        await self._update_row(KEY, update_row)
 
-    async def _change_row(self, key, change):
+    async def _update_row(self, key, change):
         """Write a row anew unless it has changed since it was read; then try again.
 
         :param change: takes the row or ``None``; returns its new content, or ``None``
             to leave it.
         """
-        for tries_left in reversed(range(TRIES)):
+        for attempts_left in reversed(range(MAX_WRITE_ATTEMPTS)):
             row = (await self._rows()).get(key)
             content = change(row)
             if content is None:
@@ -231,13 +231,13 @@
                 await self._store.write(RowWrite(TABLE, key, content, version))
                 return
             except ConditionFailed:
-                if not tries_left:
+                if not attempts_left:
                     raise
 
 
 def _verdicts(row):
-    kept = () if row is None else decoded(_decoder, row.value, "row of verdicts")
-    return [Verdict(bytes.fromhex(v.fingerprint), v.until, v.trials) for v in kept]
+    stored = () if row is None else decoded(_decoder, row.value, "row of verdicts")
+    return [Verdict(bytes.fromhex(v.fingerprint), v.until, v.trials) for v in stored]
 
 
 def _reports(row):
@@ -247,17 +247,17 @@
 
 
 def _content(verdicts):
-    kept = [_KeptVerdict(v.fingerprint.hex(), v.until, v.trials) for v in verdicts]
-    return msgspec.json.encode(kept)
+    stored = [_StoredVerdict(v.fingerprint.hex(), v.until, v.trials) for v in verdicts]
+    return msgspec.json.encode(stored)
 
 
 def _report_key(report):
     return report.fingerprint, report.target, report.incarnation
 
 
-def _kept_report(report, at):
-    return _KeptReport(report.fingerprint.hex(), *report[1:], at)
+def _stored_report(report, at):
+    return _StoredReport(report.fingerprint.hex(), *report[1:], at)
 
 
-def _report(kept):
-    return CrashReport(bytes.fromhex(kept.fingerprint), *kept[1:-1])
+def _report(stored):
+    return CrashReport(bytes.fromhex(stored.fingerprint), *stored[1:-1])
--- a/cowslipcourse/quarantining/crash_reporting.py
+++ b/cowslipcourse/quarantining/crash_reporting.py
@@ -16,15 +16,15 @@
 
 __all__ = ["CrashReporting", "QuarantinePeers", "is_first_evaluator"]
 
-JUDGES = 8
+EVALUATORS_PER_REQUEST = 8
 """Daemons that judge a request: on the smallest sites all of them. On larger ones a few
 may differ from daemon to daemon while one starts or ends."""
 HASH_BYTES = 8
-REPORT_AGAIN_S = 0.4
+REPORT_RESEND_DELAY_S = 0.4
 """When a report is sent once more, if its request has not been answered meanwhile. Most
 requests that were only beside an end have been, and bytes between data centres are paid
 for."""
-MOST_REPORTS = 64
+MAX_DATAGRAM_REPORTS = 64
 """Reports in one datagram, 5 KB; many targets may end at the same moment."""
 
 log = get_logger(__name__)
@@ -54,17 +54,17 @@
     """Looks into runs that targets broke off, and reports those that ended them.
 
     :param peers: :class:`QuarantinePeers`
-    :param target_ends:
+    :param exit_detector:
         :class:`~cowslipcourse.quarantining.target_ends.TargetExitDetector`
     :param suspects: :class:`~cowslipcourse.quarantine.Suspects` of this daemon.
-    :param judge: takes the reports that this daemon is to judge, one by one.
+    :param evaluate: takes the reports that this daemon is to judge, one by one.
     """
 
-    def __init__(self, peers, target_ends, suspects, judge):
+    def __init__(self, peers, exit_detector, suspects, evaluate):
         self._peers = peers
-        self._target_ends = target_ends
+        self._exit_detector = exit_detector
         self._suspects = suspects
-        self._judge = judge
+        self._evaluate = evaluate
         self._reports = []
         self._tasks = set()
 
@@ -88,7 +88,7 @@
         task.add_done_callback(self._tasks.discard)
 
     async def _report_if_exited(self, request, entry, report):
-        if not await self._target_ends.detect_exit(entry):
+        if not await self._exit_detector.detect_exit(entry):
             return
         is_cleared = self._suspects.was_answered(report.fingerprint, _now())
         log.info(
@@ -97,7 +97,7 @@
             fingerprint=report.fingerprint.hex(),
             target=report.target,
             begun=report.has_begun,
-            events=report.events,
+            events=report.relayed_events,
             answered_before=is_cleared,
         )
         if is_cleared:
@@ -109,29 +109,32 @@
 
     def _send_reports(self):
         reports, self._reports = self._reports, []
-        by_judge = {}
+        by_evaluator = {}
         for report in reports:
-            for judge in _judges(self._peers, report.fingerprint):
-                by_judge.setdefault(judge, []).append(report)
-        for report in by_judge.pop(self._peers.address, ()):
-            self._judge(report)
-        for judge, found in by_judge.items():
-            self._send_to_judge(
-                judge, [each for each in found if is_incriminating(each)]
+            for evaluator in _evaluators(self._peers, report.fingerprint):
+                by_evaluator.setdefault(evaluator, []).append(report)
+        for report in by_evaluator.pop(self._peers.address, ()):
+            self._evaluate(report)
+        for evaluator, evaluator_reports in by_evaluator.items():
+            self._send_to_evaluator(
+                evaluator,
+                [each for each in evaluator_reports if is_incriminating(each)],
             )
 
-    def _send_to_judge(self, judge, reports, is_again=False):
+    def _send_to_evaluator(self, evaluator, reports, is_resend=False):
         """Send reports, and once more those whose requests are not answered by then."""
-        if is_again:
+        if is_resend:
             now = _now()
             answered = self._suspects.was_answered
             reports = [r for r in reports if not answered(r.fingerprint, now)]
-        for first in range(0, len(reports), MOST_REPORTS):
-            part = tuple(reports[first : first + MOST_REPORTS])
-            self._peers.send(CrashReports(part), [judge])
-        if reports and not is_again:
+        for first in range(0, len(reports), MAX_DATAGRAM_REPORTS):
+            part = tuple(reports[first : first + MAX_DATAGRAM_REPORTS])
+            self._peers.send(CrashReports(part), [evaluator])
+        if reports and not is_resend:
             loop = asyncio.get_running_loop()
-            loop.call_later(REPORT_AGAIN_S, self._send_to_judge, judge, reports, True)
+            loop.call_later(
+                REPORT_RESEND_DELAY_S, self._send_to_evaluator, evaluator, reports, True
+            )
 
 
 def is_first_evaluator(peers, fingerprint):
@@ -139,13 +142,15 @@
 
     :param peers: :class:`QuarantinePeers`
     """
-    return _judges(peers, fingerprint)[0] == peers.address
+    return _evaluators(peers, fingerprint)[0] == peers.address
 
 
-def _judges(peers, fingerprint):
+def _evaluators(peers, fingerprint):
     """Return the addresses of the daemons that judge a request, the first first."""
     addresses = [peers.address, *peers.alive_addresses()]
-    return sorted(addresses, key=lambda each: _rank(fingerprint, each))[:JUDGES]
+    return sorted(addresses, key=lambda each: _rank(fingerprint, each))[
+        :EVALUATORS_PER_REQUEST
+    ]
 
 
 def _rank(fingerprint, address):
--- a/cowslipcourse/quarantining/daemon_part.py
+++ b/cowslipcourse/quarantining/daemon_part.py
@@ -26,13 +26,13 @@
 
 __all__ = ["Quarantine"]
 
-NEWS_AGAIN_S = 0.3
+UPDATE_RESEND_DELAY_S = 0.3
 """When news is sent once more: a datagram may be lost."""
-REPEAT_S = 1.0
+REPEAT_INTERVAL_S = 1.0
 """Interval at which verdicts are repeated; all daemons are to know within 3 s."""
-MOST_REPEATED = 32
+MAX_REPEATED_VERDICTS = 32
 """Verdicts in one repetition, 1 KB; the others follow in the next ones."""
-READ_AGAIN_S = 2.0
+READ_RETRY_DELAY_S = 2.0
 """Pause after the store has not told what is kept; others repeat it meanwhile."""
 
 log = get_logger(__name__)
@@ -42,24 +42,24 @@
     """Reports ends of targets, judges requests, and knows which ones to refuse.
 
     :param peers: :class:`~cowslipcourse.quarantining.crash_reporting.QuarantinePeers`
-    :param target_ends:
+    :param exit_detector:
         :class:`~cowslipcourse.quarantining.target_ends.TargetExitDetector`
-    :param kept: :class:`~cowslipcourse.quarantine.VerdictStore`
+    :param store: :class:`~cowslipcourse.quarantine.VerdictStore`
     """
 
-    def __init__(self, peers, target_ends, kept):
+    def __init__(self, peers, exit_detector, store):
         self._peers = peers
-        self._kept = kept
+        self._store = store
         self._suspects = Suspects()
         self._reporting = CrashReporting(
-            peers, target_ends, self._suspects, self._judge
+            peers, exit_detector, self._suspects, self._evaluate
         )
         self._verdicts = Verdicts()
-        self._not_kept = set()
-        self._on_trial = {}
-        self._runs = {}
+        self._unsaved = set()
+        self._trial_calls = {}
+        self._active_runs = {}
         self._tasks = set()
-        self._repeated = 0
+        self._repeat_offset = 0
 
     @property
     def size(self):
@@ -75,7 +75,7 @@
         """
         if self._verdicts.get(call.fingerprint) is None:
             return False
-        return self._on_trial.get(call.fingerprint) is not call
+        return self._trial_calls.get(call.fingerprint) is not call
 
     async def admit(self, call):
         """Let a request pass, or refuse it at once.
@@ -86,7 +86,7 @@
         if not self.is_quarantined(call):
             return
         if self._verdicts.get(call.fingerprint).until <= _now():
-            await self._try_again(call)
+            await self._begin_trial(call)
         if self.is_quarantined(call):
             raise self.refusal(call)
 
@@ -101,29 +101,29 @@
             left_s if left_s > 0 else None,
         )
 
-    async def _try_again(self, call):
+    async def _begin_trial(self, call):
         """Put a request on trial unless another daemon does; it may run well by now."""
         fingerprint = call.fingerprint
         try:
-            trial = await self._kept.begin_trial(fingerprint)
+            trial = await self._store.begin_trial(fingerprint)
         except (StoreError, MalformedAnswer) as error:
             log.warning("trial-not-begun", request=call.id, error=error.code)
             return
         if trial.verdict is None:
-            if fingerprint not in self._not_kept:
+            if fingerprint not in self._unsaved:
                 # Another daemon's trial went well, and its news did not arrive.
                 self._verdicts.drop(fingerprint)
             return
-        self._note(trial.verdict._replace(until=_now() + trial.verdict.until))
+        self._apply_verdict(trial.verdict._replace(until=_now() + trial.verdict.until))
         if trial.is_begun:
-            self._on_trial[fingerprint] = call
-            self._tell(QuarantineUpdate((trial.verdict,)))
+            self._trial_calls[fingerprint] = call
+            self._broadcast(QuarantineUpdate((trial.verdict,)))
             log.warning("trial-begun", request=call.id, fingerprint=fingerprint.hex())
 
     def note_finished(self, call):
         """Note that a request is over, whatever became of it."""
-        if self._on_trial.get(call.fingerprint) is call:
-            del self._on_trial[call.fingerprint]
+        if self._trial_calls.get(call.fingerprint) is call:
+            del self._trial_calls[call.fingerprint]
 
     @contextlib.contextmanager
     def tracking(self, call, run):
@@ -135,17 +135,17 @@
         :param call: :class:`~cowslipcourse.entry.calls.Call`
         :param run: :class:`~cowslipcourse.entry.attempts.TargetRun`
         """
-        runs = self._runs.setdefault(call.fingerprint, set())
+        runs = self._active_runs.setdefault(call.fingerprint, set())
         runs.add(run)
         try:
             yield
         finally:
             runs.discard(run)
             if not runs:
-                self._runs.pop(call.fingerprint, None)
+                self._active_runs.pop(call.fingerprint, None)
 
     def _stop_runs(self, fingerprint):
-        for run in list(self._runs.get(fingerprint, ())):
+        for run in list(self._active_runs.get(fingerprint, ())):
             log.info("run-stopped", target=run.entry.id, fingerprint=fingerprint.hex())
             run.abort(AnswerBroken("the request is quarantined"))
 
@@ -154,16 +154,16 @@
         fingerprint = call.fingerprint
         was_suspected = self._suspects.note_answered(fingerprint, _now())
         if self._verdicts.get(fingerprint) is not None:
-            self._clear(fingerprint)
+            self._lift(fingerprint)
         elif was_suspected:
             log.info("suspect-cleared", fingerprint=fingerprint.hex())
 
-    def _clear(self, fingerprint):
+    def _lift(self, fingerprint):
         """Tell all daemons that a quarantined request was answered whole."""
         log.warning("quarantine-lifted", fingerprint=fingerprint.hex())
         self._verdicts.drop(fingerprint)
-        self._spawn(self._remove_kept(fingerprint))
-        self._tell(RequestCleared(fingerprint))
+        self._spawn(self._remove_stored(fingerprint))
+        self._broadcast(RequestCleared(fingerprint))
 
     def note_failed(self, call, run):
         """Take note of a run that failed; look into it if the target broke it off.
@@ -178,25 +178,25 @@
 
     # Verdicts.
 
-    def _judge(self, report):
+    def _evaluate(self, report):
         fingerprint = report.fingerprint
         if self._verdicts.get(fingerprint) is not None:
             return
-        if not self._suspects.note(report, _now()):
-            self._keep_reports(fingerprint)
+        if not self._suspects.add_report(report, _now()):
+            self._save_reports(fingerprint)
             return
-        lives = self._suspects.lives(fingerprint)
+        incarnations = self._suspects.ended_incarnations(fingerprint)
         log.warning(
             "quarantined",
             fingerprint=fingerprint.hex(),
-            targets=",".join(target for target, _ in lives),
+            targets=",".join(target for target, _ in incarnations),
             term_s=QUARANTINE_S,
         )
-        self._note(Verdict(fingerprint, _now() + QUARANTINE_S))
-        self._tell(QuarantineUpdate((Verdict(fingerprint, QUARANTINE_S),)))
-        self._keep()
+        self._apply_verdict(Verdict(fingerprint, _now() + QUARANTINE_S))
+        self._broadcast(QuarantineUpdate((Verdict(fingerprint, QUARANTINE_S),)))
+        self._save_due()
 
-    def _keep_reports(self, fingerprint):
+    def _save_reports(self, fingerprint):
         """Keep what is known of a request that may soon be convicted.
 
         All daemons may start anew between two ends of targets. When that came every
@@ -208,28 +208,28 @@
 
     async def _write_reports(self, reports):
         try:
-            await self._kept.add_reports(reports)
+            await self._store.add_reports(reports)
         except StoreError as error:
             # The judges know them; they are lost only if all of these end now.
             log.warning("reports-not-kept", error=error.code, why=error)
 
-    def _note(self, verdict):
+    def _apply_verdict(self, verdict):
         """Take a verdict in loop time; return whether it was news."""
         fingerprint = verdict.fingerprint
         if self._suspects.was_answered(fingerprint, _now()):
             # Of judges that did not know, or of one that has missed that it was lifted.
             if self._suspects.was_answered_here(fingerprint):
-                self._clear(fingerprint)
+                self._lift(fingerprint)
             return False
         self._suspects.drop(fingerprint)
-        if not self._verdicts.note(verdict):
+        if not self._verdicts.add(verdict):
             return False
         # The judge that convicts it need not be the one that keeps it.
-        self._not_kept.add(fingerprint)
+        self._unsaved.add(fingerprint)
         self._stop_runs(fingerprint)
         return True
 
-    def take(self, message):
+    def handle_message(self, message):
         """Take in what another daemon tells.
 
         :param message: :class:`~cowslipcourse.peers.CrashReports`,
@@ -238,21 +238,21 @@
         """
         if isinstance(message, CrashReports):
             for report in message.reports:
-                self._judge(report)
+                self._evaluate(report)
         elif isinstance(message, QuarantineUpdate):
-            if self._learn(message.verdicts, "peer"):
-                self._keep()
+            if self._learn_verdicts(message.verdicts, "peer"):
+                self._save_due()
         else:
-            self._suspects.note_answered(message.fingerprint, _now(), here=False)
+            self._suspects.note_answered(message.fingerprint, _now(), is_local=False)
             if self._verdicts.drop(message.fingerprint):
                 log.info("quarantine-lifted", fingerprint=message.fingerprint.hex())
 
-    def _learn(self, verdicts, source):
+    def _learn_verdicts(self, verdicts, source):
         """Take in verdicts, in seconds left; return the fingerprints that were news."""
         now = _now()
         news = set()
         for verdict in verdicts:
-            if self._note(verdict._replace(until=now + verdict.until)):
+            if self._apply_verdict(verdict._replace(until=now + verdict.until)):
                 news.add(verdict.fingerprint)
                 log.info(
                     "quarantine-learnt",
@@ -266,75 +266,75 @@
 
     async def run(self):
         """Read what is kept, and repeat what others may have missed, for ever."""
-        self._spawn(self._read_kept())
+        self._spawn(self._read_stored())
         while True:
-            await asyncio.sleep(REPEAT_S)
-            self._repeat(_now())
+            await asyncio.sleep(REPEAT_INTERVAL_S)
+            self._repeat_verdicts(_now())
 
-    def _repeat(self, now):
+    def _repeat_verdicts(self, now):
         for verdict in self._verdicts:
             if now > verdict.until + VERDICT_RETENTION_S:
                 self._verdicts.drop(verdict.fingerprint)
-        self._keep()
+        self._save_due()
         addresses = self._peers.repeat_addresses() if len(self._verdicts) else ()
         if not addresses:
             return
         known = sorted(self._verdicts)
-        first = self._repeated % len(known)
-        part = (known[first:] + known[:first])[:MOST_REPEATED]
-        self._repeated = first + len(part)
+        first = self._repeat_offset % len(known)
+        part = (known[first:] + known[:first])[:MAX_REPEATED_VERDICTS]
+        self._repeat_offset = first + len(part)
         told = tuple(verdict._replace(until=verdict.until - now) for verdict in part)
         self._peers.send(QuarantineUpdate(told), addresses)
 
-    def _tell(self, message):
+    def _broadcast(self, message):
         addresses = self._peers.all_addresses()
         self._peers.send(message, addresses)
         loop = asyncio.get_running_loop()
-        loop.call_later(NEWS_AGAIN_S, self._peers.send, message, addresses)
+        loop.call_later(UPDATE_RESEND_DELAY_S, self._peers.send, message, addresses)
 
-    def _keep(self):
+    def _save_due(self):
         """Write what is not kept yet, if this daemon is the first judge of it."""
-        known = {each for each in self._not_kept if self._verdicts.get(each)}
+        known = {each for each in self._unsaved if self._verdicts.get(each)}
         due = {each for each in known if is_first_evaluator(self._peers, each)}
-        self._not_kept = known - due
+        self._unsaved = known - due
         if due:
-            self._spawn(self._write(due))
+            self._spawn(self._write_verdicts(due))
 
     def mark_all_unsaved(self):
         """Write all verdicts again: the store may have lost some."""
-        self._not_kept |= {verdict.fingerprint for verdict in self._verdicts}
+        self._unsaved |= {verdict.fingerprint for verdict in self._verdicts}
 
-    async def _write(self, due):
+    async def _write_verdicts(self, due):
         now = _now()
         # All of them: the row may have been spoiled by another writer.
         known = [each._replace(until=each.until - now) for each in self._verdicts]
         try:
-            await self._kept.add(known)
+            await self._store.add(known)
         except StoreError as error:
             log.warning("verdict-not-kept", error=error.code, why=error)
-            self._not_kept |= due
+            self._unsaved |= due
 
-    async def _remove_kept(self, fingerprint):
+    async def _remove_stored(self, fingerprint):
         try:
-            await self._kept.remove(fingerprint)
+            await self._store.remove(fingerprint)
         except (StoreError, MalformedAnswer) as error:
             # Its next trial is later than without this one; it is tried then.
             log.warning("verdict-not-removed", error=error.code, why=error)
 
-    async def _read_kept(self):
+    async def _read_stored(self):
         while True:
             try:
-                kept = await self._kept.read()
-                self._not_kept -= self._learn(kept.verdicts, "store")
+                kept = await self._store.read()
+                self._unsaved -= self._learn_verdicts(kept.verdicts, "store")
                 for report in kept.reports:
-                    self._judge(report)
+                    self._evaluate(report)
                 return
             except StoreError as error:
                 log.info("verdicts-not-read", error=error.code, why=error)
             except MalformedAnswer as error:
                 log.warning("verdicts-unreadable", why=error)
                 return
-            await asyncio.sleep(READ_AGAIN_S)
+            await asyncio.sleep(READ_RETRY_DELAY_S)
 
     def _spawn(self, coroutine):
         task = asyncio.create_task(coroutine)
--- a/cowslipcourse/quarantining/target_ends.py
+++ b/cowslipcourse/quarantining/target_ends.py
@@ -18,9 +18,9 @@
 
 CONNECT_TIMEOUT_S = 0.4
 """A host that lives answers within some ms; a lost packet is sent again in a second."""
-MOST_CHECKS = 3
+MAX_CONNECT_ATTEMPTS = 3
 """Connections that are tried while there is neither an answer nor a refusal."""
-MOST_REMEMBERED = 1_000
+MAX_REMEMBERED_EXITS = 1_000
 """Lives whose end is remembered, about 200 KB: requests learn of one end together."""
 
 log = get_logger(__name__)
@@ -31,7 +31,7 @@
 
     :param address: ``ip:port``
     """
-    for _ in range(MOST_CHECKS):
+    for _ in range(MAX_CONNECT_ATTEMPTS):
         try:
             connection = await TargetConnection.connect(address, CONNECT_TIMEOUT_S)
         except TargetUnreachable as error:
@@ -46,14 +46,15 @@
 class TargetExitDetector:
     """Looks into broken connections, once for all requests that they broke under.
 
-    :param expects: callable that tells whether a target is listed in this life and is
+    :param is_expected: callable that tells whether a target is listed with this
+        incarnation and is
         not about to leave.
-    :param refuses: coroutine function like :func:`refuses_connections`.
+    :param check_refusal: coroutine function like :func:`refuses_connections`.
     """
 
-    def __init__(self, expects, refuses=refuses_connections):
-        self._expects = expects
-        self._refuses = refuses
+    def __init__(self, is_expected, check_refusal=refuses_connections):
+        self._is_expected = is_expected
+        self._refuses_connections = check_refusal
         self._checks = {}
         self._ended = OrderedDict()
 
@@ -62,24 +63,24 @@
 
         :param entry: :class:`~cowslipcourse.ports.TargetEntry`
         """
-        life = entry.id, entry.incarnation
-        check = self._checks.get(life)
+        target_key = entry.id, entry.incarnation
+        check = self._checks.get(target_key)
         if check is None:
             check = asyncio.create_task(self._has_ended(entry))
-            self._checks[life] = check
-            check.add_done_callback(lambda done: self._checks.pop(life, None))
+            self._checks[target_key] = check
+            check.add_done_callback(lambda done: self._checks.pop(target_key, None))
         return check
 
     async def _has_ended(self, entry):
-        life = entry.id, entry.incarnation
-        if life in self._ended:
+        target_key = entry.id, entry.incarnation
+        if target_key in self._ended:
             return True
-        if not self._expects(entry):
+        if not self._is_expected(entry):
             return False
-        if not await self._refuses(entry.address):
+        if not await self._refuses_connections(entry.address):
             return False
-        self._ended[life] = None
-        if len(self._ended) > MOST_REMEMBERED:
+        self._ended[target_key] = None
+        if len(self._ended) > MAX_REMEMBERED_EXITS:
             self._ended.popitem(last=False)
         log.warning("target-ended", target=entry.id, incarnation=entry.incarnation)
         return True
--- a/cowslipcourse/streams/position.py
+++ b/cowslipcourse/streams/position.py
@@ -12,8 +12,8 @@
     """
 
     def __init__(self, resumed_after=None):
-        self.last = resumed_after
-        self.forwarded = 0
+        self.last_event_id = resumed_after
+        self.relayed_events = 0
 
     def filter_events(self, events):
         """Return the bytes of the events that the caller lacks.
@@ -27,12 +27,15 @@
             if event.number is None:
                 wanted.append(event.raw)
                 continue
-            if self.last is not None and event.number <= self.last:
+            if self.last_event_id is not None and event.number <= self.last_event_id:
                 continue
-            if self.last is not None and event.number != self.last + 1:
-                fault = MalformedAnswer(f"event {self.last + 1} is missing")
+            if (
+                self.last_event_id is not None
+                and event.number != self.last_event_id + 1
+            ):
+                fault = MalformedAnswer(f"event {self.last_event_id + 1} is missing")
                 return b"".join(wanted), fault
-            self.last = event.number
-            self.forwarded += 1
+            self.last_event_id = event.number
+            self.relayed_events += 1
             wanted.append(event.raw)
         return b"".join(wanted), None
--- a/features/steps/judging_steps.py
+++ b/features/steps/judging_steps.py
@@ -61,11 +61,11 @@
             # Each attempt of a caller begins anew; within one, events go on.
             reached = int(words[0])
             report = _report(words[2], events=reached, reached=reached)
-            convicted |= suspects.note(report, now)
+            convicted |= suspects.add_report(report, now)
         else:
             begun = words[0] != "waiting"
             report = _report(words[1], begun=begun, reached=reached)
-            convicted |= suspects.note(report, now)
+            convicted |= suspects.add_report(report, now)
     return convicted
 
 
@@ -99,7 +99,7 @@
             events = 0 if not first or rng.random() < 0.05 else rng.randint(1, 20)
             reached = events or reached
             report = _report(f"t{run}", True, events, reached, fingerprint)
-            context.convicted += suspects.note(report, 0.0)
+            context.convicted += suspects.add_report(report, 0.0)
             is_beside = rng.random() < 0.25
 
 
@@ -116,14 +116,14 @@
     suspects, verdicts = Suspects(), Verdicts()
     for each in range(number):
         fingerprint = each.to_bytes(16, "big")
-        suspects.note(_report("x1", fingerprint=fingerprint), float(each) / 100)
+        suspects.add_report(_report("x1", fingerprint=fingerprint), float(each) / 100)
     assert len(suspects) == 4096
     for each in range(number):
         fingerprint = each.to_bytes(16, "big")
         reports = [_report(f"t{n}", fingerprint=fingerprint) for n in range(3)]
-        told = [suspects.note(report, float(each) / 100) for report in reports]
+        told = [suspects.add_report(report, float(each) / 100) for report in reports]
         assert told[-1]
-        verdicts.note(Verdict(fingerprint, each + QUARANTINE_S))
+        verdicts.add(Verdict(fingerprint, each + QUARANTINE_S))
     context.suspects, context.verdicts, context.number = suspects, verdicts, number
 
 
@@ -166,10 +166,10 @@
 @then("hearing of it again does not prolong it")
 def step_not_prolonged(context):
     verdicts = Verdicts()
-    assert verdicts.note(context.verdict)
-    assert not verdicts.note(context.verdict._replace(until=9 * HOUR_S))
+    assert verdicts.add(context.verdict)
+    assert not verdicts.add(context.verdict._replace(until=9 * HOUR_S))
     assert verdicts.get(FINGERPRINT).until == HOUR_S
-    assert verdicts.note(context.verdict.after_trial_began(HOUR_S))
+    assert verdicts.add(context.verdict.after_trial_began(HOUR_S))
 
 
 class _Call(SimpleNamespace):
@@ -357,7 +357,7 @@
         context.read = daemons.quarantines[0].size
         other = Verdict(b"o" * 16, daemons.clock() + QUARANTINE_S)
         for quarantine in daemons.quarantines:
-            quarantine._note(other)
+            quarantine._apply_verdict(other)
         await _convict(daemons)
         await asyncio.sleep(2)
         kept = await VerdictStore(daemons.store, daemons.clock).read()
@@ -453,7 +453,7 @@
 def step_comes_again(context):
     async def story(daemons):
         quarantine = daemons.quarantines[0]
-        quarantine._note(Verdict(FINGERPRINT, daemons.clock() + QUARANTINE_S))
+        quarantine._apply_verdict(Verdict(FINGERPRINT, daemons.clock() + QUARANTINE_S))
         at = daemons.clock()
         context.error = await daemons.request(quarantine)
         context.took_s = daemons.clock() - at
@@ -465,7 +465,9 @@
         quarantine = daemons.quarantines[0]
 
         async def convicted_meanwhile(run):
-            quarantine._note(Verdict(FINGERPRINT, daemons.clock() + QUARANTINE_S))
+            quarantine._apply_verdict(
+                Verdict(FINGERPRINT, daemons.clock() + QUARANTINE_S)
+            )
 
         context.after_run = await daemons.request(quarantine, convicted_meanwhile)
         context.runs = len(daemons.sent)
@@ -511,7 +513,9 @@
         with contextlib.ExitStack() as stack:
             stack.enter_context(quarantine.tracking(_call(), run))
             assert context.connection.error is None
-            quarantine._note(Verdict(FINGERPRINT, daemons.clock() + QUARANTINE_S))
+            quarantine._apply_verdict(
+                Verdict(FINGERPRINT, daemons.clock() + QUARANTINE_S)
+            )
 
     _on(1, story)
 
--- a/features/steps/peer_steps.py
+++ b/features/steps/peer_steps.py
@@ -139,7 +139,7 @@
 @then("a1 hears nobody and still counts 2 others")
 def step_still_counts(context):
     assert not context.peers.local_heartbeats(context.now)
-    assert not context.peers.digests(context.now)
+    assert not context.peers.remote_digests(context.now)
     assert context.peers.known_daemon_count(context.now) == 2
 
 
--- a/features/steps/quarantine_steps.py
+++ b/features/steps/quarantine_steps.py
@@ -59,7 +59,9 @@
 def step_play(context, seconds, seed, do):
     with contextlib.ExitStack() as stack:
         if do == "never convict":
-            stack.enter_context(mock.patch.object(Suspects, "note", lambda *args: 0))
+            stack.enter_context(
+                mock.patch.object(Suspects, "add_report", lambda *args: 0)
+            )
         elif do == "tell each other nothing":
             silent = mock.patch.object(MessageNetwork, "carry", lambda *args: None)
             stack.enter_context(silent)
--- a/features/steps/size_steps.py
+++ b/features/steps/size_steps.py
@@ -76,7 +76,7 @@
         await context.network.run(seconds / 2)
         now = asyncio.get_running_loop().time()
         context.ready = [
-            len(daemon.registry.ready(daemon.member.name, now))
+            len(daemon.registry.ready_members(daemon.member.name, now))
             for daemon in context.network.daemons
         ]
 
@@ -249,7 +249,7 @@
         now = asyncio.get_running_loop().time()
         for daemon in network.daemons:
             if not daemon.is_down:
-                ready = daemon.registry.ready(daemon.settings.name, now)
+                ready = daemon.registry.ready_members(daemon.settings.name, now)
                 context.ready[daemon.settings.name] = {m.name for m in ready}
         context.live = {d.settings.name for d in network.daemons if not d.is_down}
 
@@ -275,7 +275,7 @@
 
 @then("it sends callers to those that it has heard")
 def step_by_heartbeats(context):
-    assert len(context.registry.ready("own", 50.1)) == 9
+    assert len(context.registry.ready_members("own", 50.1)) == 9
 
 
 @given("two reporters r1 and r2 of a large data centre, registered in this order")
--- a/features/steps/spread_steps.py
+++ b/features/steps/spread_steps.py
@@ -14,7 +14,7 @@
 )
 def step_network(context, places, daemons, lost):
     context.story = SpreadStory(Shape(places, daemons, lost=lost / 100))
-    context.repeat = Quarantine._repeat
+    context.repeat = Quarantine._repeat_verdicts
 
 
 @when("nobody repeats what it has told")
@@ -38,7 +38,7 @@
 
 
 def _play(context):
-    with mock.patch.object(Quarantine, "_repeat", context.repeat):
+    with mock.patch.object(Quarantine, "_repeat_verdicts", context.repeat):
         context.spread = play_spread(context.story)
 
 
--- a/features/steps/stream_steps.py
+++ b/features/steps/stream_steps.py
@@ -44,7 +44,7 @@
                 if fault is not None:
                     break
         assert b"".join(TRUTH).startswith(passed)
-        assert passed == b"".join(TRUTH[: position.last])
+        assert passed == b"".join(TRUTH[: position.last_event_id])
 
     holds()
 
