--- a/cowslipcourse/emulator/callers.py
+++ b/cowslipcourse/emulator/callers.py
@@ -177,7 +177,7 @@
             headers=(),
             body=content,
             fingerprint=fingerprint(None, b"/", content),
-            fields=CallerHeaders(
+            caller_headers=CallerHeaders(
                 time_budget_s=left_s,
                 model=kind.model,
                 last_event_id=seen.last_event or None,
--- a/cowslipcourse/entry/coordinator.py
+++ b/cowslipcourse/entry/coordinator.py
@@ -1,11 +1,12 @@
-"""Form and repair groups of the domains that this daemon keeps.
+"""Form and repair groups of the domains that this daemon coordinates.
 
-Each data centre's first reporter keeps the groups of its domains; those of a data
-centre without one are kept by the first reporter of all. So a coordinator that is lost
-costs one data centre its repairs, and each does a part of the questions and orders.
+The first reporter of each data centre coordinates its domains; those of a data centre
+without a reporter are coordinated by the first reporter of the site. The loss of a
+coordinator therefore stops repairs in one data centre only, and report requests and
+orders are divided among coordinators.
 
-The row of a domain is written first and orders follow from it. Nothing here is trusted
-across a pause: rows are read again if they have not been confirmed lately.
+The row of a domain is written before any order that follows from it. After a pause of
+the process no row is trusted: rows not confirmed recently are read again.
 """
 
 import asyncio
@@ -19,309 +20,328 @@
 from cowslipcourse.entry.plan_table import PlanTable
 from cowslipcourse.exceptions import StoreError
 from cowslipcourse.groups import (
-    LoadLimit,
+    LoadRateLimiter,
     StepKind,
+    assign_domain,
     broken_groups,
-    choose_shape,
     choose_staging,
     engine_views,
-    models_waiting,
+    model_demands,
+    models_awaiting_members,
     next_steps,
-    practice_step,
-    revise,
-    spares_of,
-    wishes,
+    revise_plan,
+    spare_engines,
+    warmup_step,
 )
 from cowslipcourse.peers import GroupUpdate, OpenedHead
 from cowslipcourse.ports import EngineOrder, OrderOperation
 
 __all__ = ["Coordinator"]
 
-TICK_S = 0.05
-REST_S = 0.2
-"""Interval at which a daemon that does not coordinate looks whether it is its turn."""
-OWN_PAUSE_S = 0.5
-"""A tick that comes this late: another daemon may have acted meanwhile."""
-SETTLE_S = 0.8
-"""Time without a new engine before the first groups of a domain are formed."""
-SILENT_AGAIN_S = 1.0
-"""Interval at which silent engines that are still listed are asked again."""
+RECONCILE_INTERVAL_S = 0.05
+IDLE_INTERVAL_S = 0.2
+"""Interval at which a daemon without owned domains checks whether it has any."""
+MAX_TICK_DELAY_S = 0.5
+"""Delay of a tick beyond which another daemon may have acted meanwhile."""
+DOMAIN_SETTLE_S = 0.8
+"""Time without a new engine before a domain forms its first groups."""
+SILENT_RETRY_INTERVAL_S = 1.0
+"""Interval of report requests to silent engines that are still listed."""
 log = get_logger(__name__)
 
 
 class Coordinator:
-    """Keeps the groups of its domains as they should be.
+    """Reconciles the groups of the owned domains with their plans.
 
     :param context: :class:`~cowslipcourse.entry.tools.DaemonContext`
     :param store: :class:`~cowslipcourse.ports.RowStore`
     :param control: :class:`~cowslipcourse.ports.EngineControl`
     :param settings: :class:`~cowslipcourse.entry.settings.ControlSettings`
     :param scope: :class:`~cowslipcourse.entry.scope.CoordinationScope`
-    :param tell: called with :class:`~cowslipcourse.peers.GroupUpdate` for all daemons.
+    :param broadcast: called with each :class:`~cowslipcourse.peers.GroupUpdate` to
+        send to all daemons.
     """
 
-    def __init__(self, context, store, control, settings, scope, tell):
+    def __init__(self, context, store, control, settings, scope, broadcast):
         self.domains = DomainTracker(context)
         self._context = context
-        self._calls = EngineClient(
+        self._engine_client = EngineClient(
             control,
             settings,
-            self.domains.see_report,
-            self._look_at_links,
-            self._note_opened,
+            self.domains.update_from_report,
+            self._check_isolation,
+            self._on_group_opened,
         )
         self.settings = settings
-        self._links = IsolationDetector(self.domains, self._calls)
+        self._isolation_detector = IsolationDetector(self.domains, self._engine_client)
         self._scope = scope
-        self._tell = tell
-        self._table = PlanTable(store, self.domains.see_plan)
-        self._balancing = GroupBalancer(context, self.domains, self._table)
-        self._load_limit = LoadLimit()
-        self._investigated = {}
-        self._tended = frozenset()
+        self._broadcast = broadcast
+        self._plan_table = PlanTable(store, self.domains.update_from_plan)
+        self._group_balancer = GroupBalancer(context, self.domains, self._plan_table)
+        self._load_limiter = LoadRateLimiter()
+        self._investigated_at = {}
+        self._owned_domains = frozenset()
 
     @property
     def isolated_until(self):
         """Loop time until which this daemon must not coordinate."""
-        return self._links.isolated_until
+        return self._isolation_detector.isolated_until
 
-    # What other parts tell.
+    # Suspicions.
 
     def investigate(self, target, epoch):
-        """Ask the members of a group whose head was found silent."""
-        if not self._tended:
+        """Request reports from the members of a group whose head is suspected."""
+        if not self._owned_domains:
             return
         now = asyncio.get_running_loop().time()
-        recent = {
+        recently_investigated = {
             key: at
-            for key, at in self._investigated.items()
-            if now - at < SILENT_AGAIN_S
+            for key, at in self._investigated_at.items()
+            if now - at < SILENT_RETRY_INTERVAL_S
         }
-        self._investigated = recent
-        if (target, epoch) in recent:
+        self._investigated_at = recently_investigated
+        if (target, epoch) in recently_investigated:
             return
-        recent[target, epoch] = now
-        for plan in self._table.plans.values():
-            if plan.domain not in self._tended:
+        recently_investigated[target, epoch] = now
+        for plan in self._plan_table.plans.values():
+            if plan.domain not in self._owned_domains:
                 continue
             for group in plan.groups:
-                is_meant = group.head == target and group.epoch == epoch
-                if is_meant and not group.is_retired:
-                    self._ask_group(plan, group)
+                is_match = group.head == target and group.epoch == epoch
+                if is_match and not group.is_retired:
+                    self._query_group(plan, group)
 
-    def _ask_group(self, plan, group):
-        """Ask the members, and the spares: they are needed next, if they are there."""
+    def _query_group(self, plan, group):
+        """Request reports from members, and from spares that may replace them."""
         log.info("group-suspected", group=group.name, epoch=group.epoch)
         for member in group.members:
-            self._spawn_ask(plan.domain, member)
-        for engine in spares_of(plan, self.domains.by_name[plan.domain]):
-            self._spawn_ask(plan.domain, engine.id)
+            self._request_report(plan.domain, member)
+        for engine in spare_engines(plan, self.domains.by_name[plan.domain]):
+            self._request_report(plan.domain, engine.id)
 
-    # The loop.
+    # Reconciliation loop.
 
     async def run(self):
-        """Coordinate for ever, whichever domains are this daemon's turn."""
-        async for _, late_s in ticks(TICK_S, lambda: not self._tended, REST_S):
-            if late_s > OWN_PAUSE_S:
-                self._table.invalidate()
-            self._take_scope()
-            if self._tended:
-                await self._tick()
-
-    def _take_scope(self):
-        """Take on the domains that this daemon keeps now."""
-        tended = frozenset(
+        """Coordinate the owned domains, whichever they are, until cancelled."""
+        async for _, late_s in ticks(
+            RECONCILE_INTERVAL_S, lambda: not self._owned_domains, IDLE_INTERVAL_S
+        ):
+            if late_s > MAX_TICK_DELAY_S:
+                self._plan_table.invalidate()
+            self._update_owned_domains()
+            if self._owned_domains:
+                await self._reconcile()
+
+    def _update_owned_domains(self):
+        """Determine which domains this daemon coordinates now."""
+        owned_domains = frozenset(
             name
             for name, domain in self.domains.by_name.items()
             if self._context.table is not None
             and self._scope.coordinates(domain.data_centre)
         )
-        if bool(tended) != bool(self._tended):
-            log.info("coordinating" if tended else "not-coordinating")
-        if tended - self._tended:
-            # Others may have kept them until now.
-            log.info("domains-taken", domains=",".join(sorted(tended - self._tended)))
-            self._table.invalidate()
-        self._tended = tended
-
-    async def _tick(self):
+        if bool(owned_domains) != bool(self._owned_domains):
+            log.info("coordinating" if owned_domains else "not-coordinating")
+        if owned_domains - self._owned_domains:
+            # Another daemon may have coordinated them until now.
+            log.info(
+                "domains-taken",
+                domains=",".join(sorted(owned_domains - self._owned_domains)),
+            )
+            self._plan_table.invalidate()
+        self._owned_domains = owned_domains
+
+    async def _reconcile(self):
         try:
-            self._table.check_era()
-            if not self._table.is_valid:
-                await self._table.read()
-            await self._balance()
-            for domain in sorted(self._tended):
-                if self._table.is_readable(domain):
-                    await self._tend(domain)
+            self._plan_table.check_era()
+            if not self._plan_table.is_valid:
+                await self._plan_table.read()
+            await self._rebalance()
+            for domain in sorted(self._owned_domains):
+                if self._plan_table.is_readable(domain):
+                    await self._reconcile_domain(domain)
         except StoreError as error:
             log.warning("groups-not-tended", error=error.code, why=error)
-            self._table.invalidate()
-            await asyncio.sleep(TICK_S)
+            self._plan_table.invalidate()
+            await asyncio.sleep(RECONCILE_INTERVAL_S)
 
-    async def _balance(self):
+    async def _rebalance(self):
         now = asyncio.get_running_loop().time()
-        for domain in sorted(self._tended):
-            spec = self._spec(self.domains.by_name[domain])
+        for domain in sorted(self._owned_domains):
+            spec = self._service_spec(self.domains.by_name[domain])
             if spec is not None:
-                await self._balancing.rebalance(spec, self._tended, now)
+                await self._group_balancer.rebalance(spec, self._owned_domains, now)
                 return
 
-    async def _tend(self, domain):
+    async def _reconcile_domain(self, domain):
         now = asyncio.get_running_loop().time()
-        if self._table.is_lost(domain) and await self._table.rewrite(domain) is None:
+        if (
+            self._plan_table.is_lost(domain)
+            and await self._plan_table.rewrite(domain) is None
+        ):
             return
-        if not self._table.plan(domain).groups and self._is_settling(domain, now):
+        if not self._plan_table.plan(domain).groups and self._awaits_more_engines(
+            domain, now
+        ):
             return
-        knowledge = self.domains.by_name[domain]
-        spec = self._spec(knowledge)
+        observed_domain = self.domains.by_name[domain]
+        spec = self._service_spec(observed_domain)
         if spec is None:
             return
-        shape = self._shape(domain, spec)
-        await self._revise(domain, knowledge, spec, shape, now)
-        plan = self._table.plan(domain)
+        assignment = self._assign_domain(domain, spec)
+        await self._revise_plan(domain, observed_domain, spec, assignment, now)
+        plan = self._plan_table.plan(domain)
         self.domains.forget(plan)
         models = {model.name: model for model in spec.models}
-        steps = next_steps(plan, knowledge.engines, models, self.settings.stall_s, now)
+        steps = next_steps(
+            plan, observed_domain.engines, models, self.settings.stall_s, now
+        )
         for step in steps:
-            self._take_step(domain, step, models)
-        self._stage(plan, knowledge, spec, shape, now)
-        self._practise(plan, knowledge, shape, models)
-        self._ask_silent(domain, knowledge, now)
-
-    def _is_settling(self, domain, now):
-        """Whether more engines, or domains to be divided with this one, may come."""
-        is_growing = self.domains.time_since_growth_s(domain, now) < SETTLE_S
-        is_new = not self._table.plan(domain).version
+            self._run_step(domain, step, models)
+        self._stage_models(plan, observed_domain, spec, assignment, now)
+        self._warm_up_spares(plan, observed_domain, assignment, models)
+        self._query_silent_engines(domain, observed_domain, now)
+
+    def _awaits_more_engines(self, domain, now):
+        """Whether more engines, or domains planned together with it, may appear."""
+        is_growing = self.domains.time_since_growth_s(domain, now) < DOMAIN_SETTLE_S
+        is_new = not self._plan_table.plan(domain).version
         return is_growing or (
             is_new and not self.domains.are_all_discovered(domain, now)
         )
 
-    def _spec(self, knowledge):
-        for engine in knowledge.engines.values():
+    def _service_spec(self, observed_domain):
+        for engine in observed_domain.engines.values():
             spec = self._context.table.services.get(engine.entry.service)
             if spec is not None and spec.models:
                 return spec
         return None
 
-    def _shape(self, domain, spec):
+    def _assign_domain(self, domain, spec):
         known = self.domains.by_name
-        places = {name: domain.data_centre for name, domain in known.items()}
+        data_centres = {name: domain.data_centre for name, domain in known.items()}
         live = [e for e in known[domain].engines.values() if e.is_live]
-        held = [model for engine in live for model in engine.held]
-        return choose_shape(domain, self._table.plans, places, spec.models, held)
+        warm_models = [model for engine in live for model in engine.warm_models]
+        return assign_domain(
+            domain, self._plan_table.plans, data_centres, spec.models, warm_models
+        )
 
-    async def _revise(self, domain, knowledge, spec, shape, now):
-        plan = self._table.plan(domain)
-        views = engine_views(plan, knowledge, self.settings.stall_s, now)
+    async def _revise_plan(self, domain, observed_domain, spec, assignment, now):
+        plan = self._plan_table.plan(domain)
+        views = engine_views(plan, observed_domain, self.settings.stall_s, now)
         sizes = {model.name: model.size for model in spec.models}
-        wanted = wishes(spec.models, self._table.plans.values())
-        broken = broken_groups(plan, knowledge)
-        changes = self._balancing.changes_to_begin(domain, now)
-        groups = revise(plan, views, sizes, wanted, shape, broken, changes)
+        demands = model_demands(spec.models, self._plan_table.plans.values())
+        broken = broken_groups(plan, observed_domain)
+        changes = self._group_balancer.changes_to_begin(domain, now)
+        groups = revise_plan(plan, views, sizes, demands, assignment, broken, changes)
         if groups == plan.groups:
             return
-        written = await self._table.replace(plan, groups)
+        written = await self._plan_table.replace(plan, groups)
         if written is None:
             return
         _log_revision(plan, groups, written.version)
-        for news in _endings(plan, groups):
-            self._tell(news)
+        for update in _ended_group_updates(plan, groups):
+            self._broadcast(update)
 
-    def _note_opened(self, engine, order):
-        """Tell which head begins to serve; the list says so up to a second later."""
+    def _on_group_opened(self, engine, order):
+        """Broadcast that a head begins to serve; the list shows it up to 1 s later."""
         spec = self._context.table.services.get(engine.entry.service)
-        plan = self._table.plans.get(engine.entry.domain)
+        plan = self._plan_table.plans.get(engine.entry.domain)
         group = plan and plan.group_of(engine.id, engine.incarnation)
         if spec is None or not group or group.epoch != order.epoch:
             return
         head = OpenedHead(engine.id, engine.incarnation, group.model, spec.open_s)
-        self._tell(GroupUpdate(group.name, group.epoch, head))
+        self._broadcast(GroupUpdate(group.name, group.epoch, head))
 
-    # Orders and questions.
+    # Orders and report requests.
 
-    def _take_step(self, domain, step, models):
+    def _run_step(self, domain, step, models):
         if step.kind is StepKind.ASK:
-            self._spawn_ask(domain, step.engine)
+            self._request_report(domain, step.engine)
         else:
-            self._spawn_order(domain, step.engine, step.order, models)
+            self._send_order(domain, step.engine, step.order, models)
 
-    def _spawn_ask(self, domain, engine_id):
+    def _request_report(self, domain, engine_id):
         engine = self.domains.engine(domain, engine_id)
         if engine is not None:
-            self._calls.request_report(engine)
+            self._engine_client.request_report(engine)
 
-    def _look_at_links(self):
-        self._links.check(self._tended, asyncio.get_running_loop().time())
+    def _check_isolation(self):
+        self._isolation_detector.check(
+            self._owned_domains, asyncio.get_running_loop().time()
+        )
 
-    def _spawn_order(self, domain, engine_id, order, models):
+    def _send_order(self, domain, engine_id, order, models):
         engine = self.domains.engine(domain, engine_id)
         now = asyncio.get_running_loop().time()
-        if engine is not None and self._table.is_confirmed(now):
-            self._calls.send_order(engine, order, models)
-
-    def _stage(self, plan, knowledge, spec, shape, now):
-        free = spares_of(plan, knowledge)
-        waiting = models_waiting(plan, knowledge)
-        models = [m for m in spec.models if shape.model in (None, m.name)]
-        chosen = choose_staging(plan, free, models, waiting)
-        if not waiting:
-            chosen |= self._balancing.wanted_on_hosts(plan)
+        if engine is not None and self._plan_table.is_confirmed(now):
+            self._engine_client.send_order(engine, order, models)
+
+    def _stage_models(self, plan, observed_domain, spec, assignment, now):
+        spares = spare_engines(plan, observed_domain)
+        awaiting_models = models_awaiting_members(plan, observed_domain)
+        models = [m for m in spec.models if assignment.model in (None, m.name)]
+        chosen = choose_staging(plan, spares, models, awaiting_models)
+        if not awaiting_models:
+            chosen |= self._group_balancer.models_to_stage(plan)
         for engine_id, model in chosen.items():
-            engine = knowledge.engines.get(engine_id)
+            engine = observed_domain.engines.get(engine_id)
             if engine is not None and engine.is_live:
-                self._load(plan.domain, engine, model, spec, now)
+                self._stage_model(plan.domain, engine, model, spec, now)
 
-    def _load(self, domain, engine, model, spec, now):
-        """Load a model onto an engine's host, unless it is there or on its way."""
-        if engine.staging is not None or model in engine.staged:
+    def _stage_model(self, domain, engine, model, spec, now):
+        """Stage a model on an engine's host unless it is staged or being staged."""
+        if engine.staging_model is not None or model in engine.staged:
             return
         if engine.order_count is None:
-            self._spawn_ask(domain, engine.id)
+            self._request_report(domain, engine.id)
         elif (
-            self._table.is_confirmed(now)
-            and not self._calls.is_busy(engine)
-            and self._load_limit.take(spec.loads_per_s, self._scope.coordinators, now)
+            self._plan_table.is_confirmed(now)
+            and not self._engine_client.is_busy(engine)
+            and self._load_limiter.try_acquire(
+                spec.loads_per_s, self._scope.coordinator_count, now
+            )
         ):
-            engine.staging = model
+            engine.staging_model = model
             order = EngineOrder(OrderOperation.STAGE, engine.order_count, model=model)
-            self._spawn_order(domain, engine.id, order, {})
+            self._send_order(domain, engine.id, order, {})
 
-    def _practise(self, plan, knowledge, shape, models):
-        """Let spares join once, while nothing is under way in the domain."""
-        if models_waiting(plan, knowledge):
+    def _warm_up_spares(self, plan, observed_domain, assignment, models):
+        """Warm up spares while no group of the domain awaits members."""
+        if models_awaiting_members(plan, observed_domain):
             return
-        served = [name for name in models if shape.model in (None, name)]
-        for engine in spares_of(plan, knowledge):
-            step = practice_step(plan, engine, served)
+        served = [name for name in models if assignment.model in (None, name)]
+        for engine in spare_engines(plan, observed_domain):
+            step = warmup_step(plan, engine, served)
             if step is not None:
-                self._take_step(plan.domain, step, models)
+                self._run_step(plan.domain, step, models)
 
-    def _ask_silent(self, domain, knowledge, now):
-        for engine in knowledge.engines.values():
-            if engine.silent_since is None or not engine.listed:
+    def _query_silent_engines(self, domain, observed_domain, now):
+        for engine in observed_domain.engines.values():
+            if engine.silent_since is None or not engine.is_listed:
                 continue
             if engine.is_replaced:
                 continue
-            if now - engine.asked_silent_at > SILENT_AGAIN_S:
-                engine.asked_silent_at = now
-                self._spawn_ask(domain, engine.id)
+            if now - engine.last_probed_at > SILENT_RETRY_INTERVAL_S:
+                engine.last_probed_at = now
+                self._request_report(domain, engine.id)
 
 
-def _endings(plan, groups):
-    """Yield news of groups whose earlier heads serve no longer."""
-    before = {group.name: group for group in plan.groups}
+def _ended_group_updates(plan, groups):
+    """Yield updates for groups whose previous heads no longer serve."""
+    previous = {group.name: group for group in plan.groups}
     for group in groups:
-        known = before.get(group.name)
+        known = previous.get(group.name)
         if known is None or known == group:
             continue
-        # If a retired group is formed anew, its epoch is a later one.
+        # A retired group that is formed again gets a later epoch.
         yield GroupUpdate(group.name, group.epoch + group.is_retired)
 
 
 def _log_revision(plan, groups, version):
-    before = set(plan.groups)
+    previous = set(plan.groups)
     for group in groups:
-        if group not in before:
+        if group not in previous:
             log.info(
                 "group-planned",
                 domain=plan.domain,
--- a/cowslipcourse/entry/daemon.py
+++ b/cowslipcourse/entry/daemon.py
@@ -1,4 +1,4 @@
-"""The daemon of one entry VM: builds its parts and runs them until it is stopped."""
+"""The daemon of one entry VM: builds its components and runs them."""
 
 import asyncio
 import logging
@@ -8,7 +8,7 @@
 
 from cowslipcourse.adapters.log import get_logger
 from cowslipcourse.adapters.web import WebServer
-from cowslipcourse.admission import SMALLEST_SITE, SharedRetryBudget
+from cowslipcourse.admission import MIN_DAEMON_COUNT, SharedRetryBudget
 from cowslipcourse.entry.attempts import AttemptSender
 from cowslipcourse.entry.census import GroupCountMonitor
 from cowslipcourse.entry.coordinator import Coordinator
@@ -35,35 +35,35 @@
 from cowslipcourse.quarantine import VerdictStore
 from cowslipcourse.quarantining import Quarantine, TargetExitDetector
 
-__all__ = ["Entry"]
+__all__ = ["EntryDaemon"]
 
 EXIT_CRASHED = 70
-LAST_LINES_S = 0.05
-"""Time for the last lines to be written before a crashed process ends."""
-SWEEP_S = 1.0
-KEPT_ADDRESSES = 3
-"""Some callers keep a list of addresses this many times longer than they are told."""
-STOP_LOOK_S = 0.1
+LOG_FLUSH_S = 0.05
+"""Time for the queued log lines to be written before a crashed process ends."""
+HOUSEKEEPING_INTERVAL_S = 1.0
+ADDRESS_TTL_FACTOR = 3
+"""Some callers cache addresses for this multiple of the TTL."""
+STOP_CHECK_INTERVAL_S = 0.1
 STOP_MARGIN_S = 0.8
-"""Left of the grace when the last connections are closed."""
+"""Remainder of the grace period when the last connections are closed."""
 
 log = get_logger(__name__)
 
 
-class Entry:
-    """One daemon.
+class EntryDaemon:
+    """Owns the components of one daemon and connects them.
 
     :param settings: :class:`~cowslipcourse.entry.settings.EntrySettings`
-    :param path: settings file, which is read again when it changes.
+    :param path: settings file, reloaded when it changes.
     """
 
     def __init__(self, settings, path):
         self._settings = settings
-        self.watch = SettingsWatcher(path, settings, self._take_settings)
+        self.settings_watcher = SettingsWatcher(path, settings, self._apply_settings)
         self._incarnation = time.time_ns()
         self._sequence = 0
         self._is_ready = False
-        self._era = 0
+        self._last_store_era = 0
         self._tasks = set()
         self._build()
 
@@ -75,23 +75,31 @@
         logging.getLogger().addHandler(self._metrics.event_counter())
         self._store = HttpRowStore(settings.store)
         self._control = HttpEngineControl(settings.control)
-        attempts = AttemptSender(self._fleet)
-        budget = SharedRetryBudget(settings.retries)
-        silence = SilenceDetector(self._fleet, self._on_suspect)
+        attempt_sender = AttemptSender(self._fleet)
+        retry_budget = SharedRetryBudget(settings.retries)
+        silence_detector = SilenceDetector(self._fleet, self._on_suspect)
         self._registry = PeerRegistry(settings.peers, settings.data_centre)
         self._fleet.set_peers_in_flight(self._registry.in_flight)
-        self._link = PeerLink(settings, self._registry, self)
-        ends = TargetExitDetector(self._fleet.is_expected)
-        kept = VerdictStore(self._store, time.time)
-        self.quarantine = Quarantine(self._link, ends, kept)
+        self._peer_link = PeerLink(settings, self._registry, self)
+        exit_detector = TargetExitDetector(self._fleet.is_expected)
+        verdict_store = VerdictStore(self._store, time.time)
+        self.quarantine = Quarantine(self._peer_link, exit_detector, verdict_store)
         self._context = DaemonContext(
-            settings, self._fleet, attempts, budget, silence, self.quarantine, rng
+            settings,
+            self._fleet,
+            attempt_sender,
+            retry_budget,
+            silence_detector,
+            self.quarantine,
+            rng,
         )
         self._front = FrontApp(self._context, Forwarder(self._context), self._metrics)
-        self._registering = DaemonRegistrar(settings, self._store, self._learn, rng)
+        self._registrar = DaemonRegistrar(
+            settings, self._store, self._on_registrations, rng
+        )
         self.replica = StateReplica(settings, self._store, self._registry, rng, self)
         self._roles = RoleAssignment(
-            settings, self._registry, self._registering, self.replica, self
+            settings, self._registry, self._registrar, self.replica, self
         )
         self._coordinator = Coordinator(
             self._context,
@@ -99,37 +107,37 @@
             self._control,
             settings.control,
             self._roles,
-            self.broadcast_group_news,
+            self.broadcast_group_update,
         )
 
     async def run(self, stopping):
-        """Serve until told to stop, then stop gracefully."""
+        """Serve until ``stopping`` is set, then stop gracefully."""
         listen = self._settings.listen
         servers = [
             WebServer(self._front, listen.front),
             WebServer(
-                directory_app(self._addresses, self._settings.address_ttl_s),
+                directory_app(self._ready_addresses, self._settings.address_ttl_s),
                 listen.directory,
             ),
             WebServer(ready_app(lambda: self._is_ready), listen.ready),
-            WebServer(peer_app(self.replica.state), listen.peer),
+            WebServer(peer_app(self.replica.encoded_state), listen.peer),
         ]
         if listen.metrics:
             servers.append(WebServer(metrics_app(self._metrics), listen.metrics))
         for server in servers:
             await server.start()
-        await self._link.start()
+        await self._peer_link.start()
         log.info("started", daemon=self._settings.name, incarnation=self._incarnation)
         for coroutine in (
-            self._link.run(),
+            self._peer_link.run(),
             *self.replica.coroutines(),
             self._context.silence_detector.run(),
             self.quarantine.run(),
             self._coordinator.run(),
-            self._registering.run(),
+            self._registrar.run(),
             self._roles.run(),
-            self._keep_house(),
-            self.watch.run(),
+            self._run_housekeeping(),
+            self.settings_watcher.run(),
         ):
             self._run_forever(coroutine)
         await stopping.wait()
@@ -141,20 +149,20 @@
         task.add_done_callback(_exit_on_failure)
 
     async def _stop(self, servers):
-        """Leave the directory, finish what comes meanwhile, and end."""
+        """Leave the directory and finish the requests that arrive meanwhile."""
         loop = asyncio.get_running_loop()
         now = loop.time()
-        kept_until = now + KEPT_ADDRESSES * self._settings.address_ttl_s
-        until = now + self._settings.stop.grace_s - STOP_MARGIN_S
+        addresses_cached_until = now + ADDRESS_TTL_FACTOR * self._settings.address_ttl_s
+        connections_close_at = now + self._settings.stop.grace_s - STOP_MARGIN_S
         log.info("stopping", in_flight=self._front.in_flight)
         self._is_ready = False
-        self._front.drain(until)
-        self._link.heartbeat_now()
-        while loop.time() < until:
-            await asyncio.sleep(STOP_LOOK_S)
-            # Idle connections are no reason to stay: whoever still keeps one has a
-            # newer list of addresses by now.
-            if not self._front.in_flight and loop.time() > kept_until:
+        self._front.drain(connections_close_at)
+        self._peer_link.heartbeat_now()
+        while loop.time() < connections_close_at:
+            await asyncio.sleep(STOP_CHECK_INTERVAL_S)
+            # Idle connections do not delay the stop: by now their callers have a newer
+            # list of addresses.
+            if not self._front.in_flight and loop.time() > addresses_cached_until:
                 break
         log.info(
             "stopped",
@@ -162,8 +170,8 @@
             connections=servers[0].connections,
         )
 
-    def _take_settings(self, settings):
-        """Put changed settings in force."""
+    def _apply_settings(self, settings):
+        """Apply changed settings."""
         self._settings = settings
         self._context.retry_budget.settings = settings.retries
         self._coordinator.settings = settings.control
@@ -171,17 +179,17 @@
 
     @property
     def is_draining(self):
-        """Whether the daemon is about to stop."""
+        """Whether the daemon is draining before a stop."""
         return self._front.is_draining
 
-    # What is learnt.
+    # Changes from the replica.
 
     def apply_configuration(self, table):
-        """Put a newer configuration in force."""
+        """Apply a newer configuration."""
         self._context.table = table
         self._is_ready = not self._front.is_draining
         log.info("configuration", version=table.version, routes=len(table))
-        # Which entries name engines follows from the services.
+        # The services determine which entries name engines.
         self._coordinator.domains.update_entries(self._fleet.entries.values())
 
     def apply_targets(self, entries, gone):
@@ -193,14 +201,14 @@
     # Peers.
 
     def heartbeat(self):
-        """Return the present heartbeat."""
+        """Return the current heartbeat with the next sequence number."""
         self._sequence += 1
         settings = self._settings
         now = asyncio.get_running_loop().time()
         member = Member(
             name=settings.name,
             incarnation=self._incarnation,
-            registration=self._registering.version,
+            registration=self._registrar.version,
             peer_address=settings.listen.peer,
             front_address=settings.listen.front,
             data_centre=settings.data_centre,
@@ -210,7 +218,7 @@
         return Heartbeat(
             member=member,
             sequence=self._sequence,
-            is_healthy=self._is_fit(now),
+            is_healthy=self._is_healthy(now),
             targets_version=self.replica.targets_version,
             in_flight=dict(self._fleet.in_flight),
             suspects=self._fleet.suspects(now),
@@ -222,8 +230,8 @@
         now = asyncio.get_running_loop().time()
         return self._registry.heartbeat_interval_s(self._roles.is_reporter, now)
 
-    def _is_fit(self, now):
-        """Whether others may rely on it: it reads the store, reaches engines, stays."""
+    def _is_healthy(self, now):
+        """Whether it is current, reaches engines and is not draining."""
         return (
             self.replica.is_current
             and now >= self._coordinator.isolated_until
@@ -231,71 +239,73 @@
         )
 
     def investigate_suspects(self, message):
-        """Take in what a peer's heartbeat or digest tells."""
+        """Investigate the suspects that a peer's heartbeat or digest names."""
         for target, epoch in message.suspects.items():
             self._coordinator.investigate(target, epoch)
 
-    def _count_daemons(self, now):
-        known = self._registry.known_daemon_count(now) + 1
-        self._context.retry_budget.daemons = max(known, SMALLEST_SITE)
+    def _update_daemon_count(self, now):
+        daemon_count = self._registry.known_daemon_count(now) + 1
+        self._context.retry_budget.daemon_count = max(daemon_count, MIN_DAEMON_COUNT)
 
-    def take_news(self, news):
-        """Take in what a coordinator has decided about a group."""
-        self._fleet.take_news(news, asyncio.get_running_loop().time())
+    def apply_group_update(self, update):
+        """Apply a coordinator's :class:`~cowslipcourse.peers.GroupUpdate`."""
+        self._fleet.apply_group_update(update, asyncio.get_running_loop().time())
 
-    def broadcast_group_news(self, news):
-        """Tell all daemons, this one first, what was decided about a group."""
-        self.take_news(news)
-        self._link.broadcast_group_news(news)
+    def broadcast_group_update(self, update):
+        """Apply a group update here, then send it to all other daemons."""
+        self.apply_group_update(update)
+        self._peer_link.broadcast_group_update(update)
 
     def push_changes(self, changes):
-        """Send changes of targets to the daemons of the data centre."""
-        self._link.push_changes(changes)
+        """Send target changes to the daemons of the data centre."""
+        self._peer_link.push_changes(changes)
 
     def _on_suspect(self):
         now = asyncio.get_running_loop().time()
-        self._link.heartbeat_now()
+        self._peer_link.heartbeat_now()
         for target, epoch in self._fleet.suspects(now).items():
             self._coordinator.investigate(target, epoch)
 
-    def _addresses(self):
+    def _ready_addresses(self):
         now = asyncio.get_running_loop().time()
         ready = self._registry.ready_members(self._settings.name, now)
-        found = [member.front_address for member in ready]
+        addresses = [member.front_address for member in ready]
         if self._is_ready:
-            found.append(self._settings.listen.front)
-        self._context.rng.shuffle(found)
-        return found
+            addresses.append(self._settings.listen.front)
+        self._context.rng.shuffle(addresses)
+        return addresses
 
-    def _learn(self, registrations):
-        """Take in where other daemons have registered."""
+    def _on_registrations(self, registrations):
+        """Add the addresses at which other daemons have registered."""
         now = asyncio.get_running_loop().time()
-        for known in registrations:
-            self._registry.add_address(known.peer_address, known.data_centre, now)
-        self._count_daemons(now)
-        self._link.heartbeat_now()
+        for registration in registrations:
+            self._registry.add_address(
+                registration.peer_address, registration.data_centre, now
+            )
+        self._update_daemon_count(now)
+        self._peer_link.heartbeat_now()
 
-    async def _keep_house(self):
-        census = GroupCountMonitor()
+    async def _run_housekeeping(self):
+        group_counter = GroupCountMonitor()
         while True:
-            await asyncio.sleep(SWEEP_S)
-            self._count_daemons(asyncio.get_running_loop().time())
+            await asyncio.sleep(HOUSEKEEPING_INTERVAL_S)
+            self._update_daemon_count(asyncio.get_running_loop().time())
             self._context.attempt_sender.close_stale_connections()
             self._metrics.set_state("in_flight", self._front.in_flight)
             self._metrics.set_state("quarantined", self.quarantine.size)
             self._metrics.set_group_counts(
-                census.count(self._context.table, self._fleet)
+                group_counter.count(self._context.table, self._fleet)
             )
-            self._look_at_era()
+            self._check_store_era()
 
-    def _look_at_era(self):
-        """Write again what the store may have lost, if it has come back older."""
-        # Others that read the store tell its points too.
+    def _check_store_era(self):
+        """Rewrite rows that a store restored to an older state may have lost."""
+        # Versions may also come from peers that read the store.
         era = era_of(self.replica.targets_version)
-        if era > max(self._era, era_of(self._registering.version)):
-            self._registering.rewrite_later()
+        if era > max(self._last_store_era, era_of(self._registrar.version)):
+            self._registrar.rewrite_later()
             self.quarantine.mark_all_unsaved()
-        self._era = era
+        self._last_store_era = era
         self._metrics.set_state("store_era", era)
 
 
@@ -306,5 +316,5 @@
         raise task.exception()
     except Exception:
         log.exception("task-crashed", task=task.get_coro().__qualname__)
-    time.sleep(LAST_LINES_S)
+    time.sleep(LOG_FLUSH_S)
     os._exit(EXIT_CRASHED)
--- a/cowslipcourse/entry/main.py
+++ b/cowslipcourse/entry/main.py
@@ -1,4 +1,4 @@
-"""Program ``cowslip-entry``: everything of the system on one entry VM."""
+"""Command line of ``cowslip-entry``, the daemon of an entry VM."""
 
 import asyncio
 import os
@@ -12,7 +12,7 @@
 
 from cowslipcourse import __version__
 from cowslipcourse.adapters.log import get_logger, set_up_queued_logging
-from cowslipcourse.entry.daemon import Entry
+from cowslipcourse.entry.daemon import EntryDaemon
 from cowslipcourse.entry.settings import EntrySettings
 from cowslipcourse.exceptions import CowslipError, SettingsError
 from cowslipcourse.platform import SETTINGS_VARIABLE
@@ -31,13 +31,15 @@
     loop = asyncio.get_running_loop()
     loop.add_signal_handler(signal.SIGTERM, stopping.set)
     loop.add_signal_handler(signal.SIGINT, stopping.set)
-    entry = Entry(settings, path)
-    loop.add_signal_handler(signal.SIGHUP, lambda: entry.watch.reload("SIGHUP"))
+    entry = EntryDaemon(settings, path)
+    loop.add_signal_handler(
+        signal.SIGHUP, lambda: entry.settings_watcher.reload("SIGHUP")
+    )
     await entry.run(stopping)
 
 
-def _load(command):
-    """Return the settings and their path as a command names them, or ``None``."""
+def _load_settings(command):
+    """Return the settings and path named by a command, or ``None`` if invalid."""
     path = command.argument("settings") or os.environ.get(SETTINGS_VARIABLE)
     if not path:
         command.line_error(f"Name a settings file or set {SETTINGS_VARIABLE}.")
@@ -52,7 +54,7 @@
 
 _SETTINGS_ARGUMENT = argument(
     "settings",
-    f"Settings file (TOML); else the one that {SETTINGS_VARIABLE} names.",
+    f"Settings file (TOML); by default the one that {SETTINGS_VARIABLE} names.",
     optional=True,
 )
 
@@ -65,38 +67,38 @@
     arguments: ClassVar = [_SETTINGS_ARGUMENT]
 
     def handle(self):
-        """Run until SIGTERM; return another exit code than 0 if that fails."""
-        loaded = _load(self)
+        """Run until SIGTERM; exit with a non-zero code on failure."""
+        loaded = _load_settings(self)
         if loaded is None:
             return EXIT_USAGE
         settings, path = loaded
-        listener = set_up_queued_logging(settings.log)
-        code = 0
+        log_listener = set_up_queued_logging(settings.log)
+        exit_code = 0
         try:
             asyncio.run(_run(settings, path))
         except CowslipError as error:
             log.warning("daemon-failed", code=error.code, detail=error.detail)
-            code = EXIT_FAILED
+            exit_code = EXIT_FAILED
         finally:
-            listener.stop()
+            log_listener.stop()
         sys.stdout.flush()
-        # Taking the interpreter apart takes tenths of a second of what is left of the
-        # grace on a busy VM, and nothing is left to be saved.
-        os._exit(code)
+        # Interpreter shutdown would take tenths of a second of the remaining grace
+        # period on a busy VM, and no state is left to save.
+        os._exit(exit_code)
 
 
 class CheckCommand(Command):
     """``cowslip-entry check``: check a settings file."""
 
     name = "check"
-    description = "Check a settings file and say what is wrong in it."
+    description = "Check a settings file and report its errors."
     arguments: ClassVar = [_SETTINGS_ARGUMENT]
 
     def handle(self):
-        """Check the file."""
-        if _load(self) is None:
+        """Check the settings file; return 0 if it is valid."""
+        if _load_settings(self) is None:
             return EXIT_USAGE
-        self.line("The settings are good.")
+        self.line("The settings are valid.")
         return 0
 
 
--- a/cowslipcourse/entry/peer_link.py
+++ b/cowslipcourse/entry/peer_link.py
@@ -18,31 +18,31 @@
 
 __all__ = ["PeerLink"]
 
-MOST_BYTES = 32_000
-"""Longest datagram that is pushed; more is left to a read of the whole state."""
+MAX_PUSH_BYTES = 32_000
+"""Longest pushed datagram; peers read larger changes as state."""
 
 log = get_logger(__name__)
 
 
-class _Datagrams(asyncio.DatagramProtocol):
-    def __init__(self, take):
-        self._take = take
+class _DatagramReceiver(asyncio.DatagramProtocol):
+    def __init__(self, on_datagram):
+        self._handle_datagram = on_datagram
 
     def datagram_received(self, data, addr):
-        self._take(data)
+        self._handle_datagram(data)
 
     def error_received(self, exc):
         log.info("datagram-refused", why=exc)
 
 
 class PeerLink:
-    """Sends what this daemon has to tell and takes in what the others tell.
+    """Sends this daemon's messages to its peers and dispatches received ones.
 
     :param settings: :class:`~cowslipcourse.entry.settings.EntrySettings`
     :param registry: :class:`~cowslipcourse.peers.PeerRegistry`
     :param daemon: has ``heartbeat()``, ``heartbeat_interval_s()``,
-        ``investigate_suspects(message)``, ``take_news(news)``, ``replica`` and
-        ``quarantine``.
+        ``investigate_suspects(message)``, ``apply_group_update(update)``, ``replica``
+        and ``quarantine``.
     """
 
     def __init__(self, settings, registry, daemon):
@@ -51,73 +51,79 @@
         self._daemon = daemon
         self._transport = None
         self._digests = DigestWriter(settings.peers, registry)
-        self._told_all_at = None
+        self._sent_to_all_at = None
 
     async def start(self):
-        """Listen, and write to the seeds at first.
+        """Listen, and register the seeds as the first peers.
 
-        :raises AddressTaken: if the address cannot be listened on.
+        :raises AddressTaken: if the daemon cannot listen on its address.
         """
         loop = asyncio.get_running_loop()
         address = self._settings.listen.peer
         host, port = address.rsplit(":", 1)
         try:
             self._transport, _ = await loop.create_datagram_endpoint(
-                lambda: _Datagrams(self._take), local_addr=(host, int(port))
+                lambda: _DatagramReceiver(self._handle_datagram),
+                local_addr=(host, int(port)),
             )
         except OSError as error:
             raise AddressTaken(address, error.strerror) from error
         for address in self._settings.peers.seeds:
-            # Where a seed runs is learnt from its heartbeat; until then it is near.
+            # Until its heartbeat names its data centre, a seed counts as local.
             self._registry.add_address(address, self._settings.data_centre, loop.time())
 
     async def run(self):
-        """Send heartbeats for ever, and digests while this daemon is a reporter."""
+        """Send heartbeats, and digests while a reporter, until cancelled."""
         while True:
-            self._beat()
+            self._send_heartbeats()
             await asyncio.sleep(self._settings.peers.interval_s)
 
     def heartbeat_now(self):
-        """Send a heartbeat to the whole data centre at once."""
-        self._told_all_at = None
-        self._beat()
+        """Send a heartbeat to the whole data centre immediately."""
+        self._sent_to_all_at = None
+        self._send_heartbeats()
 
-    def _beat(self):
-        """Send a heartbeat to the reporters, and to all others when it is time."""
+    def _send_heartbeats(self):
+        """Send a heartbeat to the reporters, and to all others when it is due."""
         now = asyncio.get_running_loop().time()
         self._registry.expire(now)
-        own = self._daemon.heartbeat()
-        reporters = self._registry.reporter_addresses(own, now)
-        quick = own._replace(interval_s=self._settings.peers.interval_s)
-        self._send(encode(quick), reporters)
-        self._registry.record_own_in_flight(own.in_flight)
-        if self._is_time_for_all(own, now):
-            self._told_all_at = now
-            near = self._registry.local_addresses(now)
-            self._send(encode(own), [each for each in near if each not in reporters])
-        if own.member.name in self._registry.reporters(own, now):
-            self._send_digests(own, now)
-
-    def _is_time_for_all(self, own, now):
-        if self._told_all_at is None:
+        own_heartbeat = self._daemon.heartbeat()
+        reporters = self._registry.reporter_addresses(own_heartbeat, now)
+        frequent_heartbeat = own_heartbeat._replace(
+            interval_s=self._settings.peers.interval_s
+        )
+        self._send(encode(frequent_heartbeat), reporters)
+        self._registry.record_own_in_flight(own_heartbeat.in_flight)
+        if self._is_full_heartbeat_due(own_heartbeat, now):
+            self._sent_to_all_at = now
+            local_addresses = self._registry.local_addresses(now)
+            self._send(
+                encode(own_heartbeat),
+                [a for a in local_addresses if a not in reporters],
+            )
+        if own_heartbeat.member.name in self._registry.reporters(own_heartbeat, now):
+            self._send_digests(own_heartbeat, now)
+
+    def _is_full_heartbeat_due(self, own_heartbeat, now):
+        if self._sent_to_all_at is None:
             return True
         margin_s = self._settings.peers.interval_s / 2
-        return now - self._told_all_at >= own.interval_s - margin_s
+        return now - self._sent_to_all_at >= own_heartbeat.interval_s - margin_s
 
-    def _send_digests(self, own, now):
-        far = self._digests.build_remote_digest(own, now)
-        self._send(encode(far), self._registry.remote_addresses(now))
-        near = self._digests.build_local_digest(own, now)
-        if near is not None:
-            self._send(encode(near), self._registry.local_addresses(now))
+    def _send_digests(self, own_heartbeat, now):
+        remote_digest = self._digests.build_remote_digest(own_heartbeat, now)
+        self._send(encode(remote_digest), self._registry.remote_addresses(now))
+        local_digest = self._digests.build_local_digest(own_heartbeat, now)
+        if local_digest is not None:
+            self._send(encode(local_digest), self._registry.local_addresses(now))
 
-    def broadcast_group_news(self, news):
+    def broadcast_group_update(self, update):
         """Send a :class:`~cowslipcourse.peers.GroupUpdate` to all daemons, once.
 
-        One that is lost costs what there is without news: the list tells it later.
+        If a datagram is lost, its receiver learns the change later from the list.
         """
         now = asyncio.get_running_loop().time()
-        self._send(encode(news), self._registry.all_addresses(now))
+        self._send(encode(update), self._registry.all_addresses(now))
 
     @property
     def address(self):
@@ -125,18 +131,18 @@
         return self._settings.listen.peer
 
     def alive_addresses(self):
-        """Return the addresses of the other daemons that live."""
+        """Return the addresses of the other daemons that are alive."""
         return self._registry.alive_addresses(asyncio.get_running_loop().time())
 
     def all_addresses(self):
-        """Return the addresses of all other daemons that are known."""
+        """Return the addresses of all other known daemons."""
         return self._registry.all_addresses(asyncio.get_running_loop().time())
 
     def repeat_addresses(self):
-        """Return the addresses that this daemon speaks to for its data centre.
+        """Return the addresses to which an active reporter repeats messages.
 
-        They are those of its own data centre and the reporters elsewhere; none if
-        another daemon speaks.
+        They are those of its own data centre and the reporters elsewhere; none if this
+        daemon is not the active reporter.
         """
         now = asyncio.get_running_loop().time()
         if not self._registry.is_active_reporter(self._daemon.heartbeat(), now):
@@ -146,13 +152,13 @@
         )
 
     def send(self, message, addresses):
-        """Send a message to some daemons, once; a datagram may be lost."""
+        """Send a message once to each address; datagrams may be lost."""
         self._send(encode(message), addresses)
 
     def push_changes(self, changes):
-        """Send changes of targets to the own data centre."""
+        """Send target changes to the daemons of this data centre."""
         content = encode(changes)
-        if len(content) > MOST_BYTES:
+        if len(content) > MAX_PUSH_BYTES:
             return
         now = asyncio.get_running_loop().time()
         self._send(content, self._registry.local_addresses(now))
@@ -167,7 +173,7 @@
                 host, port = address.rsplit(":", 1)
                 self._transport.sendto(content, (host, int(port)))
 
-    def _take(self, content):
+    def _handle_datagram(self, content):
         try:
             message = decode(content)
         except MalformedAnswer as error:
@@ -177,34 +183,34 @@
         if isinstance(message, TargetChanges):
             self._daemon.replica.apply_push(message)
         elif isinstance(message, GroupUpdate):
-            self._daemon.take_news(message)
+            self._daemon.apply_group_update(message)
         elif isinstance(message, CrashReports | QuarantineUpdate | RequestCleared):
             self._daemon.quarantine.handle_message(message)
         elif isinstance(message, Heartbeat):
             if message.member.name != self._settings.name:
-                self._take_heartbeat(message, now)
+                self._handle_heartbeat(message, now)
         elif self._registry.record_digest(message, now):
-            self._hand_on(content, message, now)
+            self._relay_digest(content, message, now)
             self._daemon.investigate_suspects(message)
 
-    def _take_heartbeat(self, heartbeat, now):
-        """Take in a heartbeat, and answer the first one of a run with an own one.
+    def _handle_heartbeat(self, heartbeat, now):
+        """Record a heartbeat; answer the first one of an incarnation with a heartbeat.
 
-        A daemon that has just started need not wait for the next one of each other:
-        that takes over a second in a large data centre.
+        A daemon that has just started would otherwise wait for the next heartbeat of
+        each peer, which takes over a second in a large data centre.
         """
         is_first = self._registry.is_unknown(heartbeat.member)
         if not self._registry.record_heartbeat(heartbeat, now):
             return
         if is_first:
-            own = self._daemon.heartbeat()
-            self._send(encode(own), [heartbeat.member.peer_address])
+            own_heartbeat = self._daemon.heartbeat()
+            self._send(encode(own_heartbeat), [heartbeat.member.peer_address])
         self._daemon.investigate_suspects(heartbeat)
 
-    def _hand_on(self, content, digest, now):
-        """Bring another data centre's digest to the own one, once."""
-        is_near = digest.reporter.data_centre == self._settings.data_centre
-        if is_near or digest.in_flight is None:
+    def _relay_digest(self, content, digest, now):
+        """Relay a digest of another data centre to the daemons of this one, once."""
+        is_local = digest.reporter.data_centre == self._settings.data_centre
+        if is_local or digest.in_flight is None:
             return
         if self._registry.is_active_reporter(self._daemon.heartbeat(), now):
             self._send(content, self._registry.local_addresses(now))
--- a/cowslipcourse/entry/peer_reading.py
+++ b/cowslipcourse/entry/peer_reading.py
@@ -1,4 +1,4 @@
-"""Read configuration and targets from peers: from whom, and what they answer."""
+"""Choose peers to read configuration and targets from, and read their state."""
 
 import aiohttp
 
@@ -7,18 +7,18 @@
 
 __all__ = ["PeerReadPolicy", "read_state"]
 
-BEHIND_S = 0.3
-"""Time for a push to arrive before the state is read instead."""
+PUSH_GRACE_S = 0.3
+"""Time for a push to arrive before the state of a peer is read instead."""
 PEER_TIMEOUT_S = 1.0
-"""Longest read of a peer's state: 20 KB over a link of 20 Mbit/s that others use."""
-FIRST_PAUSE_S = 0.1
+"""Longest read of a peer's state: 20 KB over a shared link of 20 Mbit/s."""
+INITIAL_BACKOFF_S = 0.1
 MAX_BACKOFF_S = 0.8
-"""Pauses after reads of which none succeeded: whoever reads again at once keeps the
-links full that made the first reads late."""
+"""Limits of the back-off after failed reads: immediate retries would keep the links
+congested that delayed the first reads."""
 
 
 class PeerReadPolicy:
-    """Decides whether peers must be read, and which.
+    """Decides whether to read peers, which of them, and when to back off.
 
     :param registry: :class:`~cowslipcourse.peers.PeerRegistry`
     :param rng: :class:`random.Random` that spreads reads over peers.
@@ -27,75 +27,82 @@
     def __init__(self, registry, rng):
         self._registry = registry
         self._rng = rng
-        self._missed = None
-        self._pause_s = FIRST_PAUSE_S
-        self._paused_until = 0.0
+        self._missed_push = None
+        self._backoff_s = INITIAL_BACKOFF_S
+        self._backoff_until = 0.0
 
-    def sources(self, knowledge, now):
-        """Return the members to read from, in order, if something is missing.
+    def sources(self, replica, now):
+        """Return the members to read from, in order; empty if nothing is missing.
 
-        :param knowledge: has ``configuration_version``, ``targets_version``,
+        :param replica: has ``configuration_version``, ``targets_version``,
             ``is_current`` and ``follows_store``.
         :param now: loop time.
         """
-        if now < self._paused_until:
+        if now < self._backoff_until:
             return []
         newer = self._registry.with_newer_configuration(
-            knowledge.configuration_version, now
+            replica.configuration_version, now
         )
         if newer:
             return self._shuffled(newer)
-        near = [
+        local_heartbeats = [
             heartbeat
             for heartbeat in self._registry.local_heartbeats(now)
             if heartbeat.is_healthy
         ]
-        wanted = self._missed_version(knowledge, near, now)
-        if wanted is not None:
+        wanted_version = self._missed_version(replica, local_heartbeats, now)
+        if wanted_version is not None:
             return self._shuffled(
-                [h.member for h in near if h.targets_version >= wanted]
+                [
+                    h.member
+                    for h in local_heartbeats
+                    if h.targets_version >= wanted_version
+                ]
             )
-        if knowledge.is_current:
+        if replica.is_current:
             return []
         others = [digest.reporter for digest in self._registry.remote_digests(now)]
-        return self._shuffled([h.member for h in near]) + others
+        return self._shuffled([h.member for h in local_heartbeats]) + others
 
-    def note(self, succeeded, now):
-        """Note whether one of the sources answered."""
+    def record_result(self, succeeded, now):
+        """Record whether one of the sources answered, which resets the back-off."""
         if succeeded:
-            self._pause_s = FIRST_PAUSE_S
+            self._backoff_s = INITIAL_BACKOFF_S
             return
-        self._paused_until = now + self._pause_s * self._rng.uniform(0.5, 1.5)
-        self._pause_s = min(MAX_BACKOFF_S, 2 * self._pause_s)
+        self._backoff_until = now + self._backoff_s * self._rng.uniform(0.5, 1.5)
+        self._backoff_s = min(MAX_BACKOFF_S, 2 * self._backoff_s)
 
     def _shuffled(self, members):
-        """Any of them: the link of one could not serve its whole data centre."""
+        """Shuffle members: the link of one could not serve its whole data centre."""
         self._rng.shuffle(members)
         return members
 
-    def _missed_version(self, knowledge, near, now):
-        """Return the version that a lost push must have brought, or ``None``."""
-        newest = max((h.targets_version for h in near), default=0)
-        if knowledge.follows_store or newest <= knowledge.targets_version:
-            self._missed = None
+    def _missed_version(self, replica, local_heartbeats, now):
+        """Return the version that a lost push must have contained, or ``None``."""
+        newest = max((h.targets_version for h in local_heartbeats), default=0)
+        if replica.follows_store or newest <= replica.targets_version:
+            self._missed_push = None
             return None
-        if self._missed is None or self._missed[0] <= knowledge.targets_version:
-            self._missed = newest, now
-        wanted, since = self._missed
-        return wanted if now - since >= BEHIND_S else None
+        if self._missed_push is None or self._missed_push[0] <= replica.targets_version:
+            self._missed_push = newest, now
+        wanted_version, missed_since = self._missed_push
+        return wanted_version if now - missed_since >= PUSH_GRACE_S else None
 
 
-async def read_state(session, address, configuration, targets):
+async def read_state(session, address, configuration_version, targets_version):
     """Return the :class:`~cowslipcourse.peers.PeerState` of a peer.
 
     :param session: :class:`aiohttp.ClientSession`
     :param address: ``ip:port`` of the peer.
-    :param configuration: version of the configuration that is known here.
-    :param targets: store version of the targets that are known here.
-    :raises PeerUnreachable: no answer in time.
-    :raises MalformedAnswer: the answer cannot be read.
+    :param configuration_version: known version of the configuration.
+    :param targets_version: known store version of the targets.
+    :raises PeerUnreachable: if no successful answer arrives in time.
+    :raises MalformedAnswer: if the answer cannot be decoded.
     """
-    known = {"configuration": str(configuration), "targets": str(targets)}
+    known = {
+        "configuration": str(configuration_version),
+        "targets": str(targets_version),
+    }
     timeout = aiohttp.ClientTimeout(total=PEER_TIMEOUT_S)
     try:
         async with session.get(
--- a/cowslipcourse/groups/knowledge.py
+++ b/cowslipcourse/groups/knowledge.py
@@ -1,4 +1,4 @@
-"""What a coordinator knows of the engines of a fabric domain."""
+"""State of a fabric domain's engines as observed by a coordinator."""
 
 from cowslipcourse.ports import (
     UNKNOWN_INCARNATION,
@@ -7,48 +7,48 @@
     OrderOperation,
 )
 
-__all__ = ["DomainKnowledge", "EngineKnowledge"]
+__all__ = ["ObservedDomain", "ObservedEngine"]
 
-REPORT_LAG_S = 0.3
-"""Reports are as of some hundred ms ago; the platform declares 200."""
-_WAS_READY = (GroupState.READY, GroupState.OPEN, GroupState.CLOSING)
+MAX_REPORT_LAG_S = 0.3
+"""Age that a report may have; the platform declares 200 ms."""
+_READY_STATES = (GroupState.READY, GroupState.OPEN, GroupState.CLOSING)
 
 
-class EngineKnowledge:
-    """What is known of one life of an engine.
+class ObservedEngine:
+    """Observed state of one incarnation of an engine.
 
-    ``membership`` is the newest that the list or a report told. ``counted_membership``
-    is the group that it was in when it had accepted ``order_count`` orders: an order
-    that carries this count begins only if it is in that group still.
+    ``membership`` is the newest one from the target list or a report.
+    ``confirmed_membership`` is the membership at ``order_count`` accepted orders: an
+    order that carries this count starts only if the engine is still in that group.
 
     :param entry: newest :class:`~cowslipcourse.ports.TargetEntry`.
     """
 
     def __init__(self, entry):
         self.entry = entry
-        self.listed = True
+        self.is_listed = True
         self.membership = entry.membership
-        self.counted_membership = None
+        self.confirmed_membership = None
         self.staged = entry.staged
         self.order_count = None
-        self.reported_at = None
+        self.report_requested_at = None
         self.silent_since = None
         self.is_replaced = False
         self.pace = 1.0
-        self.asked_silent_at = 0.0
-        self.joined_at = {}
-        self.join_s = {}
-        self.opened_at = {}
-        self.closed_at = {}
+        self.last_probed_at = 0.0
+        self.join_sent_at = {}
+        self.expected_join_s = {}
+        self.open_sent_at = {}
+        self.close_sent_at = {}
         self.joined_model = None
         self._loaded_model = None
-        self.staging = None
-        self.ask_from = 0.0
-        self.away_from = None
-        self._away_count = None
-        self._watched_from = 0.0
-        self._was_ready = set()
-        self._note(entry.membership)
+        self.staging_model = None
+        self.report_request_after = 0.0
+        self.ungrouped_since = None
+        self._ungrouped_order_count = None
+        self._evidence_since = 0.0
+        self._ready_memberships = set()
+        self._record_membership(entry.membership)
 
     @property
     def id(self):
@@ -57,21 +57,23 @@
 
     @property
     def incarnation(self):
-        """Life of the engine that is known."""
+        """Observed incarnation of the engine."""
         return self.entry.incarnation
 
     @property
     def is_live(self):
         """Whether it can be given work."""
-        return self.listed and not self.entry.is_leaving and self.silent_since is None
+        return (
+            self.is_listed and not self.entry.is_leaving and self.silent_since is None
+        )
 
     @property
-    def held(self):
+    def warm_models(self):
         """Models that it can join without a load: on its host, or of its last group.
 
-        What is on the host is about to be replaced while another model is loaded.
+        While a model is being staged, it replaces what is on the host.
         """
-        staged = self.staged if self.staging is None else ()
+        staged = self.staged if self.staging_model is None else ()
         loaded = self._loaded_model
         if loaded is None or loaded != self.joined_model or loaded in staged:
             return staged
@@ -79,246 +81,255 @@
 
     @property
     def is_leaving(self):
-        """Whether it still works but takes no new work."""
-        return self.listed and self.entry.is_leaving and self.silent_since is None
+        """Whether it still works but accepts no new work."""
+        return self.is_listed and self.entry.is_leaving and self.silent_since is None
 
-    def see_entry(self, entry):
-        """Take in a newer entry of the same life."""
+    def update_from_entry(self, entry):
+        """Apply a newer entry of the same incarnation."""
         if entry.address != self.entry.address:
             self.is_replaced = False
             self.silent_since = None
-        if not self.listed:
-            # It was gone and has come back.
+        if not self.is_listed:
+            # It was removed from the list and has returned.
             self.silent_since = self.silent_since if self.is_replaced else None
             self.order_count = None
         self.entry = entry
-        self.listed = True
-        self._see_staged(entry.staged)
+        self.is_listed = True
+        self._update_staged(entry.staged)
         if not self._is_older(entry.membership):
             self.membership = entry.membership
-        self._note(entry.membership)
+        self._record_membership(entry.membership)
 
-    def see_report(self, report, asked_at):
-        """Take in a report of the same life.
+    def update_from_report(self, report, requested_at):
+        """Apply a report of the same incarnation.
 
-        :param asked_at: when it was asked for; evidence is as old as its request.
+        :param requested_at: loop time of the request; evidence is as old as that.
         """
         if self.is_replaced:
             return
         self.order_count = report.order_count
-        self.counted_membership = report.membership
-        self.reported_at = asked_at
+        self.confirmed_membership = report.membership
+        self.report_requested_at = requested_at
         self.silent_since = None
         self.pace = report.pace
         if not self._is_older(report.membership):
             self.membership = report.membership
-        self._note_away(report, asked_at)
-        self._see_staged(report.staged)
-        self._note(report.membership)
+        self._update_ungrouped(report, requested_at)
+        self._update_staged(report.staged)
+        self._record_membership(report.membership)
 
-    def next_life(self, incarnation):
-        """Return what is known of a later life of the engine: nothing but its address.
+    def next_incarnation(self, incarnation):
+        """Return the state of a later incarnation: nothing but its address is known.
 
-        What its list entry says of its state stays until a newer entry comes.
+        The state in its list entry is kept until a newer entry arrives.
         """
         entry = self.entry._replace(incarnation=incarnation, membership=None)
-        later = EngineKnowledge(entry)
-        later.listed = self.listed
-        return later
+        successor = ObservedEngine(entry)
+        successor.is_listed = self.is_listed
+        return successor
 
-    def see_silence(self, since):
-        """Note that it did not answer a question asked at a time."""
+    def mark_silent(self, since):
+        """Record that it did not answer a report request sent at ``since``."""
         self.order_count = None
         if self.silent_since is None:
             self.silent_since = since
 
-    def see_other_engine(self, now):
-        """Note that another engine has its address: it has ended.
+    def mark_replaced(self, now):
+        """Record that another engine has its address, so this one has ended.
 
-        Reports do not say whose they are, so what comes from there is no longer its.
-        An entry of it that is listed still, or again, is an old one.
+        Reports do not name their engine, so later ones from this address are not its.
+        An entry of it that is still listed, or listed again, is outdated.
         """
         self.is_replaced = True
         self.order_count = None
         self.silent_since = self.silent_since or now
 
-    def see_refusal(self, now):
-        """Note that an order was refused as the order count differed.
+    def mark_order_refused(self, now):
+        """Record that an order was refused because the order count differed.
 
-        What was known of it is out of date, and so are its reports for a moment.
+        The observed state is outdated, and reports remain so for a moment.
         """
         self.order_count = None
-        self.ask_from = now + REPORT_LAG_S
+        self.report_request_after = now + MAX_REPORT_LAG_S
 
-    def watch_from(self, now):
-        """Take no report that was asked for before as evidence that it is away.
+    def require_evidence_since(self, now):
+        """Accept only reports requested after ``now`` as evidence that it is ungrouped.
 
-        Others may have joined it to a group since, and given that up again.
+        Other coordinators may have joined it to a group and retired that since.
         """
-        self._watched_from = now
-        self.away_from = None
+        self._evidence_since = now
+        self.ungrouped_since = None
 
     @property
     def needs_report(self):
-        """Whether a report is wanted that is new enough to be evidence."""
-        if self.reported_at is None or self.reported_at < self._watched_from:
+        """Whether a report is needed that is recent enough to be evidence."""
+        if (
+            self.report_requested_at is None
+            or self.report_requested_at < self._evidence_since
+        ):
             return True
-        # It was in a group that no plan names, and has left it since.
-        return self.membership is None and self.away_from is None
+        # It has left a group that no plan names.
+        return self.membership is None and self.ungrouped_since is None
 
-    def note_begun(self, order):
-        """Note that an order began: what it does is known before a report says so.
+    def apply_started_order(self, order):
+        """Apply the effect of a started order before a report shows it.
 
         :param order: :class:`~cowslipcourse.ports.EngineOrder`
         """
         self.order_count = order.expected_order_count + 1
         if order.operation is OrderOperation.JOIN:
             rank = order.members.index(self.id)
-            self.counted_membership = GroupMembership(
+            self.confirmed_membership = GroupMembership(
                 order.group, order.epoch, rank, GroupState.JOINING, order.model
             )
-            # Whether what it was loading stays on its host, its reports will tell.
-            self.staging = None
+            # Its reports will show whether the staged model stays on its host.
+            self.staging_model = None
         elif (
             order.operation is OrderOperation.OPEN
-            and self.counted_membership is not None
+            and self.confirmed_membership is not None
         ):
-            opened = self.counted_membership._replace(state=GroupState.OPEN)
-            self.counted_membership = opened
+            opened = self.confirmed_membership._replace(state=GroupState.OPEN)
+            self.confirmed_membership = opened
         elif (
             order.operation is OrderOperation.CLOSE
-            and self.counted_membership is not None
+            and self.confirmed_membership is not None
         ):
-            closing = self.counted_membership._replace(state=GroupState.CLOSING)
-            self.counted_membership = closing
+            closing = self.confirmed_membership._replace(state=GroupState.CLOSING)
+            self.confirmed_membership = closing
         elif order.operation is OrderOperation.LEAVE:
-            self.counted_membership = None
+            self.confirmed_membership = None
 
     @property
-    def away_s(self):
-        """Seconds for which reports say that it is in no group and took no order.
+    def ungrouped_s(self):
+        """Seconds for which reports show it in no group, with an unchanged order count.
 
-        Orders count up when they begin, so the same count proves that no late order
-        has brought it into a group between two reports.
+        Each started order increments the count, so an unchanged count proves that no
+        late order joined it to a group between two reports.
         """
-        if self.away_from is None:
+        if self.ungrouped_since is None:
             return 0.0
-        return self.reported_at - self.away_from
+        return self.report_requested_at - self.ungrouped_since
 
     def was_ready(self, group):
-        """Whether it was seen ready in a planned group with its present members.
+        """Whether it was seen ready in a planned group with its current members.
 
-        In its own place among them: a report may come from another engine that has
-        its address now, and be a member too.
+        Its own rank must match: a report may come from another member that now has its
+        address.
         """
         rank = group.members.index(self.id)
-        return (group.name, group.epoch, rank) in self._was_ready
+        return (group.name, group.epoch, rank) in self._ready_memberships
 
     def is_joining(self, group):
-        """Whether it was last seen on its way into a planned group."""
-        found = self.membership
+        """Whether it was last seen joining a planned group."""
+        membership = self.membership
         return (
-            found is not None
-            and (found.group, found.epoch) == (group.name, group.epoch)
-            and found.state is GroupState.JOINING
+            membership is not None
+            and (membership.group, membership.epoch) == (group.name, group.epoch)
+            and membership.state is GroupState.JOINING
         )
 
     def ready_in_s(self, group, now):
         """Return the expected seconds until it is ready in a planned group."""
-        joined_at = self.joined_at.get(group.epoch)
-        if joined_at is None or self.was_ready(group):
+        join_sent_at = self.join_sent_at.get(group.epoch)
+        if join_sent_at is None or self.was_ready(group):
             return 0.0
-        return max(0.0, joined_at + self.join_s.get(group.epoch, 0.0) - now)
+        return max(0.0, join_sent_at + self.expected_join_s.get(group.epoch, 0.0) - now)
 
     def state_in(self, group):
         """Return its last seen state in a planned group, or ``None``."""
-        found = self.membership
-        if found is None or (found.group, found.epoch) != (group.name, group.epoch):
+        membership = self.membership
+        if membership is None or (membership.group, membership.epoch) != (
+            group.name,
+            group.epoch,
+        ):
             return None
-        return found.state
+        return membership.state
 
-    def _see_staged(self, staged):
+    def _update_staged(self, staged):
         self.staged = staged
-        if self.staging in staged:
-            self.staging = None
+        if self.staging_model in staged:
+            self.staging_model = None
 
-    def _note_away(self, report, asked_at):
-        if report.membership is not None or asked_at < self._watched_from:
-            self.away_from = None
-        elif self.away_from is None or report.order_count != self._away_count:
-            self.away_from = asked_at
-            self._away_count = report.order_count
+    def _update_ungrouped(self, report, requested_at):
+        if report.membership is not None or requested_at < self._evidence_since:
+            self.ungrouped_since = None
+        elif (
+            self.ungrouped_since is None
+            or report.order_count != self._ungrouped_order_count
+        ):
+            self.ungrouped_since = requested_at
+            self._ungrouped_order_count = report.order_count
 
     def _is_older(self, membership):
-        """Whether the list or a report lags behind what is known already."""
+        """Whether a membership is older than the known one of the same group."""
         known = self.membership
         if known is None or membership is None or known.group != membership.group:
             return False
         return membership.epoch < known.epoch
 
-    def _note(self, membership):
+    def _record_membership(self, membership):
         if membership is not None and membership.model:
             self.joined_model = membership.model
-        if membership is not None and membership.state in _WAS_READY:
-            place = membership.group, membership.epoch, membership.rank
-            self._was_ready.add(place)
+        if membership is not None and membership.state in _READY_STATES:
+            ready_membership = membership.group, membership.epoch, membership.rank
+            self._ready_memberships.add(ready_membership)
             self._loaded_model = membership.model or self.joined_model
 
 
-class DomainKnowledge:
-    """The engines of one domain."""
+class ObservedDomain:
+    """Observed state of the engines of one domain."""
 
     def __init__(self):
         self.engines = {}
         self.data_centre = None
         self._plan = None
 
-    def see_entry(self, entry):
-        """Take in an entry of the list.
+    def update_from_entry(self, entry):
+        """Apply an entry of the target list.
 
-        One of an earlier life than is known says nothing; one of a later life ends what
-        was known: order count, evidence, silence, pace, what the engine was told. One
-        that does not tell its life is of the life that is known.
+        An entry of an earlier incarnation is ignored; one of a later incarnation resets
+        order count, evidence, silence, pace and sent orders. An entry without an
+        incarnation is taken to be of the known one.
         """
         self.data_centre = entry.data_centre
         known = self.engines.get(entry.id)
         if known is None or known.incarnation < entry.incarnation:
-            self.engines[entry.id] = EngineKnowledge(entry)
+            self.engines[entry.id] = ObservedEngine(entry)
         elif entry.incarnation in (UNKNOWN_INCARNATION, known.incarnation):
-            known.see_entry(entry._replace(incarnation=known.incarnation))
+            known.update_from_entry(entry._replace(incarnation=known.incarnation))
 
-    def see_report(self, engine_id, report, asked_at):
-        """Take in a report, which may tell of another life than the list.
+    def update_from_report(self, engine_id, report, requested_at):
+        """Apply a report, whose incarnation may differ from the list's.
 
-        :param asked_at: when it was asked for.
+        :param requested_at: loop time of the request.
         """
         known = self.engines.get(engine_id)
         if known is None:
             return
         if report.incarnation > known.incarnation:
-            known = known.next_life(report.incarnation)
+            known = known.next_incarnation(report.incarnation)
             self.engines[engine_id] = known
         if report.incarnation in (UNKNOWN_INCARNATION, known.incarnation):
-            known.see_report(report, asked_at)
+            known.update_from_report(report, requested_at)
 
-    def see_plan(self, plan, now, is_own=False):
-        """Note who serves in no group any more, and lives that the list has not told.
+    def update_from_plan(self, plan, now, is_own=False):
+        """Apply a plan: released engines, and incarnations newer than the list's.
 
-        What proves that such an engine has left must be newer than that.
+        Evidence that a released engine has left must be newer than the plan.
 
         :param plan: :class:`~cowslipcourse.groups.DomainPlan` of the domain.
-        :param now: loop time at which the plan was known.
-        :param is_own: whether this daemon wrote it in place of the one that it knew.
+        :param now: loop time at which the plan was read.
+        :param is_own: whether this daemon wrote it to replace the known plan.
         """
         for group in plan.groups:
-            self._see_lives(group)
+            self._apply_planned_incarnations(group)
         for engine in self.engines.values():
             if self._is_released(plan, engine, is_own):
-                engine.watch_from(now)
+                engine.require_evidence_since(now)
         self._plan = plan
 
     def _is_released(self, plan, engine, is_own):
-        """Whether an engine serves in no group, and may have done so until now."""
+        """Whether an engine is no longer in an active group but may have been."""
         known = self._plan
         group = plan.group_of(engine.id, engine.incarnation)
         if known is not None and known.version == plan.version:
@@ -328,33 +339,33 @@
                 known is not None and group in known.groups
             )
         if not is_own:
-            # Whom the versions between held, unseen here, is not known.
+            # Members of intermediate versions, not seen here, are unknown.
             return True
-        before = known and known.group_of(engine.id, engine.incarnation)
-        return before is not None and not before.is_retired
+        previous_group = known and known.group_of(engine.id, engine.incarnation)
+        return previous_group is not None and not previous_group.is_retired
 
-    def _see_lives(self, group):
+    def _apply_planned_incarnations(self, group):
         for member in group.members:
             known = self.engines.get(member)
-            meant = group.incarnation_of(member)
-            if known is not None and known.incarnation < meant:
-                self.engines[member] = known.next_life(meant)
+            planned_incarnation = group.incarnation_of(member)
+            if known is not None and known.incarnation < planned_incarnation:
+                self.engines[member] = known.next_incarnation(planned_incarnation)
 
-    def see_gone(self, engine_id):
-        """Note that the list no longer holds an engine."""
+    def mark_unlisted(self, engine_id):
+        """Record that an engine is no longer on the target list."""
         known = self.engines.get(engine_id)
         if known is not None:
-            known.listed = False
+            known.is_listed = False
 
-    def forget(self, keep):
-        """Drop engines that are not listed, but for those of which ``keep`` is true.
+    def remove_unlisted(self, keep):
+        """Drop engines that are not listed, except those for which ``keep`` is true.
 
-        :returns: ids of what was dropped.
+        :returns: ids of the dropped engines.
         """
         dropped = [
             engine_id
             for engine_id, known in self.engines.items()
-            if not known.listed and not keep(engine_id)
+            if not known.is_listed and not keep(engine_id)
         ]
         for engine_id in dropped:
             del self.engines[engine_id]
--- a/cowslipcourse/groups/loads.py
+++ b/cowslipcourse/groups/loads.py
@@ -1,33 +1,37 @@
-"""Limit on the loads from the weight store that a coordinator begins."""
+"""Rate limit on the weight-store loads that a coordinator starts."""
 
-__all__ = ["LoadLimit"]
+__all__ = ["LoadRateLimiter"]
 
 WINDOW_S = 5.0
 """Window in which the platform counts loads."""
-SHARE = 0.5
-"""Share of the permitted loads that a single coordinator begins: while another takes
-over, both may do so."""
-SHARED = 0.75
-"""Share that several coordinators begin together: while one takes over the domains of
-another, a part may be begun twice."""
+SINGLE_COORDINATOR_SHARE = 0.5
+"""Share of the permitted loads that a single coordinator starts: during a takeover two
+coordinators may start loads."""
+TOTAL_COORDINATOR_SHARE = 0.75
+"""Share that several coordinators start together: while one takes over the domains of
+another, some loads may be started twice."""
 
 
-class LoadLimit:
-    """Counts loads in a sliding window."""
+class LoadRateLimiter:
+    """Limits load starts in a sliding window."""
 
     def __init__(self):
-        self._begun_at = []
+        self._started_at = []
 
-    def take(self, loads_per_s, coordinators, now):
-        """Take one load and return whether it may begin now.
+    def try_acquire(self, loads_per_s, coordinators, now):
+        """Acquire a permit for one load; return whether it may start now.
 
-        :param loads_per_s: loads that all daemons may begin in a second.
-        :param coordinators: number of daemons that begin loads.
+        :param loads_per_s: loads that all daemons together may start per second.
+        :param coordinators: number of daemons that start loads.
         :param now: loop time.
         """
-        self._begun_at = [at for at in self._begun_at if now - at < WINDOW_S]
-        share = SHARE if coordinators < 2 else SHARED / coordinators
-        if len(self._begun_at) >= loads_per_s * WINDOW_S * share:
+        self._started_at = [at for at in self._started_at if now - at < WINDOW_S]
+        share = (
+            SINGLE_COORDINATOR_SHARE
+            if coordinators < 2
+            else TOTAL_COORDINATOR_SHARE / coordinators
+        )
+        if len(self._started_at) >= loads_per_s * WINDOW_S * share:
             return False
-        self._begun_at.append(now)
+        self._started_at.append(now)
         return True
--- a/cowslipcourse/groups/orders.py
+++ b/cowslipcourse/groups/orders.py
@@ -1,38 +1,38 @@
-"""Which orders carry out a plan, given what is known of the engines."""
+"""Derives the orders that carry out a plan from the observed engines."""
 
 from typing import NamedTuple
 
-from cowslipcourse.groups.knowledge import REPORT_LAG_S
-from cowslipcourse.groups.practice import is_practice, practises
+from cowslipcourse.groups.knowledge import MAX_REPORT_LAG_S
+from cowslipcourse.groups.practice import is_warming_up, is_warmup_group
 from cowslipcourse.groups.steps import Step, StepKind
 from cowslipcourse.ports import EngineOrder, GroupState, OrderOperation
 
 __all__ = ["is_present", "next_steps"]
 
-JOIN_AGAIN_S = 1.0
-"""Time after which a join that shows no effect is looked into; a list lags less."""
-OPEN_AGAIN_S = 1.5
+JOIN_RETRY_S = 1.0
+"""Time after which a join without visible effect is checked; the list lags less."""
+OPEN_RETRY_S = 1.5
 """The same for an open order, which takes effect after the opening time."""
-ASK_AGAIN_S = 0.5
-"""Interval at which engines are asked that still have to leave a group."""
-ASK_MARGIN_S = 0.02
-"""Asked that much after an engine may have been away for long enough."""
-HEAD_AWAY_S = REPORT_LAG_S
-"""Time for which a head's reports must say that it has left: they may be that old."""
-DRAIN_S = 2.5
-"""Time for the requests of a group that is given up for another model; most streams
-end within two seconds, and the callers of that model have no group meanwhile."""
+REPORT_REQUEST_INTERVAL_S = 0.5
+"""Interval of report requests to engines that still have to leave a group."""
+REPORT_REQUEST_MARGIN_S = 0.02
+"""Delay of a report request after an engine can be ungrouped for long enough."""
+HEAD_UNGROUPED_S = MAX_REPORT_LAG_S
+"""Time for which a head's reports must show it ungrouped: they may be that old."""
+DRAIN_TIMEOUT_S = 2.5
+"""Drain time of a group that is reassigned to another model; most streams end within
+two seconds, and callers of the other model have no group meanwhile."""
 STALL_MARGIN_S = 0.5
-"""More than the stall limit before a head counts as broken: clocks and reports lag."""
+"""Margin on the stall limit before a head counts as broken: clocks and reports lag."""
 REJOIN_S = 0.2
-"""Time of a join if the engine served that model last."""
+"""Duration of a join if the engine served that model last."""
 
 
 def next_steps(plan, engines, models, stall_s, now):
     """Return the steps that a domain needs now.
 
     :param plan: :class:`~cowslipcourse.groups.DomainPlan`
-    :param engines: :class:`~cowslipcourse.groups.EngineKnowledge` by id.
+    :param engines: :class:`~cowslipcourse.groups.ObservedEngine` by id.
     :param models: :class:`~cowslipcourse.routes.EngineModel` by name.
     :param stall_s: time after which a head that lacks a member is broken.
     :param now: loop time.
@@ -43,31 +43,34 @@
             steps += _retire(group, engines, stall_s, now)
         elif all(is_present(group, member, engines) for member in group.members):
             steps += _form(group, engines, models, now)
-    steps += _free_strays(plan, engines)
-    steps += _ask_for_evidence(plan, engines)
-    return [step for step in steps if now >= engines[step.engine].ask_from]
+    steps += _leave_unplanned_groups(plan, engines)
+    steps += _request_evidence(plan, engines)
+    return [step for step in steps if now >= engines[step.engine].report_request_after]
 
 
 def is_present(group, member, engines):
-    """Whether the life of a member that a group means can be given work.
+    """Whether the planned incarnation of a member can be given work.
 
     :param group: :class:`~cowslipcourse.groups.PlannedGroup`
     :param member: id of a member.
-    :param engines: :class:`~cowslipcourse.groups.EngineKnowledge` by id.
+    :param engines: :class:`~cowslipcourse.groups.ObservedEngine` by id.
     """
     engine = engines.get(member)
     return (
         engine is not None
         and engine.is_live
-        and group.holds(member, engine.incarnation)
+        and group.has_member(member, engine.incarnation)
     )
 
 
 def _form(group, engines, models, now):
     members = [engines[member] for member in group.members]
-    busy = _serving_elsewhere(group, members, engines)
-    if busy:
-        return [_order(e, OrderOperation.LEAVE, _Stray.of(found)) for e, found in busy]
+    must_leave = _serving_elsewhere(group, members, engines)
+    if must_leave:
+        return [
+            _order(e, OrderOperation.LEAVE, _UnplannedGroup.of(found))
+            for e, found in must_leave
+        ]
     waiting = [engine for engine in members if not engine.was_ready(group)]
     if waiting:
         steps = (_join(group, engine, models, now) for engine in waiting)
@@ -76,27 +79,27 @@
 
 
 def _serving_elsewhere(group, members, engines):
-    """Return who must leave another group first, each with its membership there.
+    """Return engines that must leave another group first, with their memberships.
 
-    They are the members that are in one by their order count, and heads of such groups
-    that serve. What was known when the plan was made may have been outdated: a
-    coordinator that had told a head to open joined it to another group 0.6 s later, as
-    another coordinator's plan said, and no report had said yet that it was open.
+    These are members with a confirmed membership in another group, and the serving
+    heads of such groups. The plan may rest on outdated observations: a coordinator that
+    had ordered a head to open joined it to another group 0.6 s later, as the plan of
+    another coordinator said, before any report showed that it was open.
     """
     found = [
-        (engine, engine.counted_membership)
+        (engine, engine.confirmed_membership)
         for engine in members
-        if _is_elsewhere(engine.counted_membership, group)
+        if _is_elsewhere(engine.confirmed_membership, group)
     ]
     others = {
         (membership.group, membership.epoch)
         for engine in members
-        for membership in (engine.membership, engine.counted_membership)
+        for membership in (engine.membership, engine.confirmed_membership)
         if _is_elsewhere(membership, group)
     }
     leaving = {engine.id for engine, _ in found}
     for engine in engines.values():
-        served = _served_one_of(engine, others)
+        served = _head_membership_in(engine, others)
         if served is not None and engine.id not in leaving:
             found.append((engine, served))
     return found
@@ -106,15 +109,15 @@
     return (
         membership is not None
         and membership.group != group.name
-        and not is_practice(membership)
+        and not is_warmup_group(membership)
     )
 
 
-def _served_one_of(engine, groups):
-    """Return the membership by which a head serves one of some groups, or ``None``."""
+def _head_membership_in(engine, groups):
+    """Return the membership as the serving head of one of ``groups``, or ``None``."""
     if not engine.is_live:
         return None
-    for found in (engine.counted_membership, engine.membership):
+    for found in (engine.confirmed_membership, engine.membership):
         if (
             found is not None
             and found.rank == 0
@@ -126,33 +129,35 @@
 
 
 def _join(group, engine, models, now):
-    joined_at = engine.joined_at.get(group.epoch)
-    if joined_at is not None:
-        due_at = joined_at + _join_s(group, engine, models)
-        asked_at = engine.reported_at or 0.0
-        if now < due_at or (asked_at > due_at and now - asked_at < JOIN_AGAIN_S):
+    join_sent_at = engine.join_sent_at.get(group.epoch)
+    if join_sent_at is not None:
+        due_at = join_sent_at + _expected_join_s(group, engine, models)
+        requested_at = engine.report_requested_at or 0.0
+        if now < due_at or (
+            requested_at > due_at and now - requested_at < JOIN_RETRY_S
+        ):
             return None
-        if asked_at <= due_at or now - asked_at >= JOIN_AGAIN_S:
-            if asked_at > joined_at and engine.state_in(group) is None:
+        if requested_at <= due_at or now - requested_at >= JOIN_RETRY_S:
+            if requested_at > join_sent_at and engine.state_in(group) is None:
                 return _order(engine, OrderOperation.JOIN, group)
             return Step(StepKind.ASK, engine.id)
     return _order(engine, OrderOperation.JOIN, group)
 
 
-def _join_s(group, engine, models):
-    """Return the seconds after which a join should have led to ready."""
+def _expected_join_s(group, engine, models):
+    """Return the seconds after which a joined engine should be ready."""
     model = models.get(group.model)
     if model is None:
-        return JOIN_AGAIN_S
-    return engine.join_s.get(group.epoch, REJOIN_S)
+        return JOIN_RETRY_S
+    return engine.expected_join_s.get(group.epoch, REJOIN_S)
 
 
 def _open(group, head, now):
     state = head.state_in(group)
     if state in (GroupState.OPEN, GroupState.CLOSING):
         return []
-    opened_at = head.opened_at.get(group.epoch)
-    if opened_at is not None and now - opened_at < OPEN_AGAIN_S:
+    open_sent_at = head.open_sent_at.get(group.epoch)
+    if open_sent_at is not None and now - open_sent_at < OPEN_RETRY_S:
         return []
     if state is GroupState.READY:
         return [_order(head, OrderOperation.OPEN, group)]
@@ -160,7 +165,7 @@
 
 
 def _order(engine, operation, group):
-    """Return the order, or the question for the count that it must carry."""
+    """Return the order, or a report request if its order count is unknown."""
     if engine.order_count is None:
         return Step(StepKind.ASK, engine.id)
     is_join = operation is OrderOperation.JOIN
@@ -178,26 +183,28 @@
 def _retire(group, engines, stall_s, now):
     """Make the head leave, which frees the members.
 
-    If the head does not answer, the others leave: then it breaks by itself.
+    If the head does not answer, the other members leave, and it becomes broken.
     """
     head = engines.get(group.head)
     if head is not None and head.silent_since is None:
         if group.successor and not _is_drained(group, head, now):
             return _drain(group, head, now)
-        return _leave(group, head, HEAD_AWAY_S, now) + _release(group, engines, now)
-    away_s = stall_s + STALL_MARGIN_S
+        return _leave(group, head, HEAD_UNGROUPED_S, now) + _release(
+            group, engines, now
+        )
+    ungrouped_s = stall_s + STALL_MARGIN_S
     steps = []
     for member in group.members:
         engine = engines.get(member)
         if engine is not None and engine is not head and engine.is_live:
-            steps += _leave(group, engine, away_s, now)
+            steps += _leave(group, engine, ungrouped_s, now)
     return steps
 
 
 def _release(group, engines, now):
-    """Make the others of a group leave that is to serve another model next.
+    """Make the other members leave a group that is reassigned to another model.
 
-    Its head has left by then, or is leaving; nothing is served that they could break.
+    Its head has left or is leaving, so nothing that they could interrupt is served.
     """
     head = engines[group.head]
     if not group.successor or head.state_in(group) is not None:
@@ -208,34 +215,37 @@
 
 
 def _is_drained(group, head, now):
-    """Whether a head has finished its requests, or had the time to."""
-    closed_at = head.closed_at.get(group.epoch)
-    if closed_at is not None and now - closed_at >= DRAIN_S:
+    """Whether a head has finished its requests, or its drain time is over."""
+    close_sent_at = head.close_sent_at.get(group.epoch)
+    if close_sent_at is not None and now - close_sent_at >= DRAIN_TIMEOUT_S:
         return True
     return head.state_in(group) not in (GroupState.OPEN, GroupState.CLOSING)
 
 
 def _drain(group, head, now):
-    """Let a head that serves finish what it has and take no more."""
-    if head.state_in(group) is GroupState.OPEN and group.epoch not in head.closed_at:
+    """Let a serving head finish its requests and accept no more."""
+    if (
+        head.state_in(group) is GroupState.OPEN
+        and group.epoch not in head.close_sent_at
+    ):
         return [_order(head, OrderOperation.CLOSE, group)]
-    is_due = now - (head.reported_at or 0.0) >= ASK_AGAIN_S
+    is_due = now - (head.report_requested_at or 0.0) >= REPORT_REQUEST_INTERVAL_S
     return [Step(StepKind.ASK, head.id)] if is_due else []
 
 
-def _leave(group, engine, away_s, now):
-    """Make an engine leave a group, and ask it when it may have been away for long."""
+def _leave(group, engine, ungrouped_s, now):
+    """Make an engine leave a group, or request the report that may prove it left."""
     if engine.state_in(group) is not None:
         return [_order(engine, OrderOperation.LEAVE, group)]
-    if engine.away_from is not None and engine.away_s <= away_s:
-        due_at = engine.away_from + away_s + ASK_MARGIN_S
+    if engine.ungrouped_since is not None and engine.ungrouped_s <= ungrouped_s:
+        due_at = engine.ungrouped_since + ungrouped_s + REPORT_REQUEST_MARGIN_S
     else:
-        due_at = (engine.reported_at or 0.0) + ASK_AGAIN_S
+        due_at = (engine.report_requested_at or 0.0) + REPORT_REQUEST_INTERVAL_S
     return [Step(StepKind.ASK, engine.id)] if now >= due_at else []
 
 
-def _free_strays(plan, engines):
-    """Make engines leave groups that no plan holds them in."""
+def _leave_unplanned_groups(plan, engines):
+    """Make engines leave groups in which no plan has them."""
     steps = []
     for engine in engines.values():
         found = engine.membership
@@ -243,14 +253,14 @@
             continue
         if plan.group_of(engine.id, engine.incarnation) is not None:
             continue
-        if practises(engine):
+        if is_warming_up(engine):
             continue
-        steps.append(_order(engine, OrderOperation.LEAVE, _Stray.of(found)))
+        steps.append(_order(engine, OrderOperation.LEAVE, _UnplannedGroup.of(found)))
     return steps
 
 
-def _ask_for_evidence(plan, engines):
-    """Ask engines that no plan holds and that may be free: only a report proves it."""
+def _request_evidence(plan, engines):
+    """Request reports of unplanned engines: only a report proves that they are free."""
     return [
         Step(StepKind.ASK, engine.id)
         for engine in engines.values()
@@ -260,8 +270,8 @@
     ]
 
 
-class _Stray(NamedTuple):
-    """A group that an engine is in, whatever the plan says."""
+class _UnplannedGroup(NamedTuple):
+    """A group that an engine is in although it is not planned there."""
 
     name: str
     epoch: int
--- a/cowslipcourse/groups/plan.py
+++ b/cowslipcourse/groups/plan.py
@@ -1,7 +1,7 @@
-"""The plan of a fabric domain, kept as one row of the store.
+"""The plan of a fabric domain, stored as one row.
 
-An engine belongs to one domain and a domain has one row, so replacing the row under the
-condition of its version is enough to keep an engine out of two groups.
+An engine belongs to one domain and a domain has one row, so a conditional replacement
+of the row by version is enough to keep an engine out of two groups.
 """
 
 from typing import Annotated, NamedTuple
@@ -20,19 +20,19 @@
 
 
 class PlannedGroup(NamedTuple):
-    """A group as planned.
+    """A planned group.
 
-    :param name: never used for another group.
+    :param name: unique; never reused for another group.
     :param model: model that it serves.
-    :param epoch: one more than the point of the row that was replaced to give it
+    :param epoch: one more than the version of the row that was replaced to give it
         these members. Only one transaction replaces a row, so it is unique.
     :param members: ids of the engines, the head first.
-    :param is_retired: whether it is given up; its members are free once its head
-        cannot be serving.
-    :param incarnations: lives of the members that are meant, in their order. An engine
-        that has started again since knows nothing of the group and is no member.
-    :param successor: model that its engines shall serve once they are free, if it is
-        given up for that; empty otherwise.
+    :param is_retired: whether it is to end; its members are free once its head cannot
+        be serving.
+    :param incarnations: planned incarnations of the members, in their order. An engine
+        that has restarted since knows nothing of the group and is no member.
+    :param successor: model that its engines are reassigned to once they are free; empty
+        if none.
     """
 
     name: _Name
@@ -50,54 +50,55 @@
 
     def incarnation_of(self, engine):
         """Return a member's incarnation, or ``UNKNOWN_INCARNATION`` for any."""
-        lives = dict(zip(self.members, self.incarnations, strict=False))
-        return lives.get(engine, UNKNOWN_INCARNATION)
+        incarnations = dict(zip(self.members, self.incarnations, strict=False))
+        return incarnations.get(engine, UNKNOWN_INCARNATION)
 
-    def holds(self, engine, incarnation):
-        """Whether a life of an engine is a member.
+    def has_member(self, engine, incarnation):
+        """Whether an incarnation of an engine is a member.
 
         :param engine: id of the engine.
-        :param incarnation: life that is asked about.
+        :param incarnation: incarnation to look up.
         """
-        meant = self.incarnation_of(engine)
-        return engine in self.members and meant in (UNKNOWN_INCARNATION, incarnation)
+        planned = self.incarnation_of(engine)
+        return engine in self.members and planned in (UNKNOWN_INCARNATION, incarnation)
 
 
 class DomainPlan(NamedTuple):
     """All groups of a fabric domain.
 
     :param domain: name of the domain.
-    :param version: point of the row; 0 if there is none.
+    :param version: store version of the row; 0 if there is none.
     :param groups: tuple of :class:`PlannedGroup`.
-    :param decided_at: the next epoch of the plan that these groups took the place of. A
-        row that is written again, after the store has lost it, keeps it.
-    :param absent_at: point at which the store had no row; 0 if it has one.
+    :param decided_at: next epoch of the plan that these groups replaced. A row that is
+        rewritten after the store has lost it keeps this value.
+    :param absent_at_version: store version at which there was no row; 0 if
+        there is one.
     """
 
     domain: str
     version: int = 0
     groups: tuple[PlannedGroup, ...] = ()
     decided_at: int = 0
-    absent_at: int = 0
+    absent_at_version: int = 0
 
     @property
     def next_epoch(self):
-        """Epoch of the groups in whatever takes the place of this plan."""
-        return max(self.version, self.absent_at) + 1
+        """Epoch of new or changed groups in the plan that replaces this one."""
+        return max(self.version, self.absent_at_version) + 1
 
     def group_of(self, engine, incarnation):
-        """Return the :class:`PlannedGroup` that holds a life of an engine, or ``None``.
+        """Return the :class:`PlannedGroup` of an engine's incarnation, or ``None``.
 
         :param engine: id of the engine.
-        :param incarnation: life that is asked about.
+        :param incarnation: incarnation to look up.
         """
         for group in self.groups:
-            if group.holds(engine, incarnation):
+            if group.has_member(engine, incarnation):
                 return group
         return None
 
-    def names(self, engine):
-        """Whether any life of an engine is in a group."""
+    def contains_engine(self, engine):
+        """Whether any incarnation of an engine is in a group."""
         return any(engine in group.members for group in self.groups)
 
 
@@ -109,7 +110,7 @@
     decided_at: Annotated[int, msgspec.Meta(ge=0)]
 
 
-# A daemon of an earlier release writes the groups alone.
+# Earlier releases write the groups without ``decided_at``.
 _decoder = msgspec.json.Decoder(_Row | _Groups)
 
 
@@ -131,7 +132,9 @@
     if not isinstance(row, _Row):
         row = _Row(row, 0)
     groups = row.groups
-    lives = [(m, group.incarnation_of(m)) for group in groups for m in group.members]
-    if len(set(lives)) != len(lives):
-        raise MalformedAnswer(f"unreadable plan of {domain}: an engine stands twice")
+    planned = [(m, group.incarnation_of(m)) for group in groups for m in group.members]
+    if len(set(planned)) != len(planned):
+        raise MalformedAnswer(
+            f"unreadable plan of {domain}: an engine is planned twice"
+        )
     return DomainPlan(domain, version, groups, row.decided_at)
--- a/cowslipcourse/placement/absence.py
+++ b/cowslipcourse/placement/absence.py
@@ -1,14 +1,14 @@
-"""How long an absent VM is likely to stay away.
+"""Model of how long an absent VM is likely to stay absent.
 
 Absences are a mixture: short pauses, after which the weights are still loaded,
-restarts, after which they are not, and failures. The longer a VM has been away,
-the less likely it is that it only paused.
+restarts, after which they are not, and failures. The longer a VM has been absent, the
+less likely it is a pause.
 """
 
 import math
 from typing import NamedTuple
 
-__all__ = ["TODAY", "AbsenceKind", "AbsenceModel"]
+__all__ = ["DEFAULT_ABSENCES", "AbsenceKind", "AbsenceModel"]
 
 
 class AbsenceKind(NamedTuple):
@@ -75,11 +75,11 @@
         )
 
 
-TODAY = AbsenceModel(
+DEFAULT_ABSENCES = AbsenceModel(
     (
         AbsenceKind(share=0.50, mean_s=8.0, keeps_weights=True),
         AbsenceKind(share=0.38, mean_s=240.0, keeps_weights=False),
         AbsenceKind(share=0.12, mean_s=14_400.0, keeps_weights=False),
     )
 )
-"""Used until a site has measured its own; restarts to failures are as 98 to 31."""
+"""Default until a site has measured its own; restarts to failures are as 98 to 31."""
--- a/features/steps/variant_steps.py
+++ b/features/steps/variant_steps.py
@@ -47,14 +47,14 @@
 
 def _proofs():
     error = TargetUnreachable("reset", sent=True)
-    route = SimpleNamespace(may_repeat=False, max_attempts=2)
+    route = SimpleNamespace(is_retryable=False, max_attempts=2)
     assert not outcomes.may_retry(route, 1, error)
 
 
 def _budget():
     settings = RetrySettings(ratio=0.0, slack=80.0, window_s=10.0)
     budgets = [SharedRetryBudget(settings) for _ in range(8)]
-    taken = sum(budget.take("s", 0.0) for budget in budgets for _ in range(80))
+    taken = sum(budget.try_take("s", 0.0) for budget in budgets for _ in range(80))
     assert taken <= settings.slack, taken
 
 
@@ -98,11 +98,11 @@
 
 
 def _alone(self, service, now):
-    self.daemons = 1
-    return _take(self, service, now)
+    self.daemon_count = 1
+    return _try_take(self, service, now)
 
 
-_take = SharedRetryBudget.take
+_try_take = SharedRetryBudget.try_take
 CHECKS = {
     "the answer to another request": _other_request,
     "the answer that ends with a reset": _reset,
@@ -122,7 +122,9 @@
     "telling what was sent from what was not": lambda: mock.patch.object(
         outcomes, "may_have_run", lambda error: False
     ),
-    "dividing the slack": lambda: mock.patch.object(SharedRetryBudget, "take", _alone),
+    "dividing the slack": lambda: mock.patch.object(
+        SharedRetryBudget, "try_take", _alone
+    ),
     "comparing configuration versions": _without_versions,
 }
 
