--- a/cowslipcourse/entry/peer_reading.py
+++ b/cowslipcourse/entry/peer_reading.py
@@ -61,7 +61,7 @@
             )
         if replica.is_current:
             return []
-        others = [digest.reporter for digest in self._registry.digests(now)]
+        others = [digest.reporter for digest in self._registry.remote_digests(now)]
         return self._shuffled([h.member for h in local_heartbeats]) + others
 
     def record_result(self, succeeded, now):
--- a/features/steps/spread_steps.py
+++ b/features/steps/spread_steps.py
@@ -16,7 +16,7 @@
     context.scenario = SpreadScenario(
         NetworkShape(places, daemons, loss_rate=lost / 100)
     )
-    context.repeat = Quarantine._repeat
+    context.repeat = Quarantine._repeat_verdicts
 
 
 @when("nobody repeats what it has told")
@@ -42,7 +42,7 @@
 
 
 def _play(context):
-    with mock.patch.object(Quarantine, "_repeat", context.repeat):
+    with mock.patch.object(Quarantine, "_repeat_verdicts", context.repeat):
         context.spread = simulate_spread(context.scenario)
 
 
--- a/features/support/spread_runs.py
+++ b/features/support/spread_runs.py
@@ -4,11 +4,10 @@
 from types import SimpleNamespace
 from typing import NamedTuple
 
-from cowslipcourse.links import encode
-
 from cowslipcourse.emulator.clock import run_paused
 from cowslipcourse.entry.attempts import TargetRun
 from cowslipcourse.entry.fleet import FleetView
+from cowslipcourse.peers import encode
 from cowslipcourse.ports import RowChanges, TargetEntry
 from cowslipcourse.quarantine import VerdictStore
 from cowslipcourse.quarantining import Quarantine, TargetExitDetector
