--- a/features/steps/booking_steps.py
+++ b/features/steps/booking_steps.py
@@ -65,10 +65,10 @@
 @when("the first attempt breaks off after it ran and the gateway then stops")
 def step_stops_between(context):
     async def scenario():
-        gateway = context.small.gateways["g1"]
-        await context.small.until(lambda: gateway.view.services("svc"))
+        gateway = context.in_process_site.gateways["g1"]
+        await context.in_process_site.wait_until(lambda: gateway.view.services("svc"))
         for name in ("s1", "s2"):
-            context.small.world.targets[name].faults["drop_before_answer"] = 1
+            context.in_process_site.world.targets[name].faults["drop_before_answer"] = 1
         checks = iter((True, False))
 
         def require_serving():
--- a/features/steps/edit_steps.py
+++ b/features/steps/edit_steps.py
@@ -19,7 +19,7 @@
 from cowslipcourse.fleet import VM, TargetKind, VmState
 from features.steps.outage_steps import granted, run
 from features.support.edit_runs import EditRun
-from features.support.group_runs import Load, fixed_secrets
+from features.support.group_runs import RequestLoad, fixed_secrets
 from features.support.small_site import base_changes, change
 
 ROLL_LIMIT_S = 120.0
@@ -79,7 +79,7 @@
 
 
 def _try(context, confirm):
-    edits = context.small.controllers["c1"].edits
+    edits = context.in_process_site.controllers["c1"].edits
 
     async def attempt():
         number, _ = await edits.revision()
@@ -135,8 +135,8 @@
 @when("the model's version changes under load")
 def step_roll(context):
     async def roll():
-        site = context.small
-        load = Load(site, every_s=0.5)
+        site = context.in_process_site
+        load = RequestLoad(site, interval_s=0.5)
         task = asyncio.create_task(load.run())
         await asyncio.sleep(2.0)
         model = change("model", "m", version="2", weights_bytes=100_000_000)
--- a/features/steps/gateway_ending_steps.py
+++ b/features/steps/gateway_ending_steps.py
@@ -13,8 +13,8 @@
 from cowslipcourse.gateway.callers import Call
 from cowslipcourse.gateway.generation import Generation
 from features.support.fakes import FakeTargets
-from features.support.group_runs import vms
-from features.support.small_site import SmallSite, base_changes
+from features.support.group_runs import vm_specs
+from features.support.small_site import InProcessSite, base_changes
 from harness.callers import chat_body
 
 ENDS = b"this ends its engine"
@@ -75,7 +75,7 @@
 
 def _run(context, every, for_s, again_s=0, first=None, then=None):
     async def story():
-        site = SmallSite(1, vms(False), ("c1",), context.gateways)
+        site = InProcessSite(1, vm_specs(False), ("c1",), context.gateways)
         await site.start()
         try:
             await site.edit("c1", *base_changes(2, 4))
--- a/features/steps/group_steps.py
+++ b/features/steps/group_steps.py
@@ -58,13 +58,13 @@
     assert max(run.last_new_work_s for run in context.runs) <= limit_s
 
 
-@then("every answer was whole and its caller's own")
+@then("every answer was complete and belonged to its request")
 def step_answers(context):
     violations = found(context, "answer", "not run")
     assert not violations, violations[:3]
 
 
-@then("every site came back to serving")
+@then("every site served all possible groups again")
 def step_settled(context):
     assert all(run.settled for run in context.runs), [
         run.seed for run in context.runs if not run.settled
@@ -87,7 +87,7 @@
 @when("the gateway is paused there while a member dies, {check}")
 def step_paused_send(context, check):
     async def scenario():
-        site, gateway = context.small, context.small.gateways["g1"]
+        site, gateway = context.in_process_site, context.in_process_site.gateways["g1"]
         site.world.leaders_notice = False
         gateway.gate.shut()
         call = Call("r", "crew", Priority.NORMAL, None, "", False)
--- a/features/steps/outage_steps.py
+++ b/features/steps/outage_steps.py
@@ -7,8 +7,8 @@
 
 from cowslipcourse.daemon import now
 from cowslipcourse.emulator.clock import PausedLoop
-from features.support.group_runs import fixed_secrets, vms
-from features.support.small_site import SmallSite, base_changes
+from features.support.group_runs import fixed_secrets, vm_specs
+from features.support.small_site import InProcessSite, base_changes
 
 LOOK_S = 0.25
 
@@ -26,15 +26,15 @@
     context.runner = context.resources.enter_context(runner)
 
     async def start():
-        site = SmallSite(1, vms(True), ("c1", "c2", "c3"), ("g1",))
+        site = InProcessSite(1, vm_specs(True), ("c1", "c2", "c3"), ("g1",))
         site.repair["loads_at_once"] = 4
         await site.start()
         await site.edit("c1", *base_changes(2, number))
         context.view = site.gateways["g1"].view
-        await site.until(lambda: granted(context) == number)
+        await site.wait_until(lambda: granted(context) == number)
         return site
 
-    context.small = run(context, start())
+    context.in_process_site = run(context, start())
 
 
 def granted(context):
@@ -52,16 +52,16 @@
 @when("the table goes down for good and the holder of each shard crashes")
 def step_outage(context):
     async def outage():
-        context.small.world.table.faults["down"] = True
+        context.in_process_site.world.table.faults["down"] = True
         await asyncio.sleep(10.0)
-        await _crash_holders(context.small)
+        await _crash_holders(context.in_process_site)
 
     run(context, outage())
 
 
 @when("the holder of each shard crashes")
 def step_crash(context):
-    run(context, _crash_holders(context.small))
+    run(context, _crash_holders(context.in_process_site))
 
 
 @then("groups stay granted for {seconds:d} s, with gaps of {gap_s:d} s at most")
@@ -82,7 +82,7 @@
 def step_dies(context, limit_s):
     async def die():
         spec = context.view.grants(["grp"])[0].report.spec
-        context.small.world.targets[spec.vm_names[1]].faults["dead"] = True
+        context.in_process_site.world.targets[spec.vm_names[1]].faults["dead"] = True
         await asyncio.sleep(limit_s)
         return [g.report.spec.group for g in context.view.grants(["grp"])], spec.group
 
@@ -94,7 +94,7 @@
 @when("domain {domain} goes dark for {seconds:d} seconds and comes back")
 def step_dark(context, domain, seconds):
     async def dark():
-        world = context.small.world
+        world = context.in_process_site.world
         names = [n for n, t in world.targets.items() if t.vm["domain"] == domain]
         for name in names:
             world.targets[name].faults["dead"] = True
@@ -108,9 +108,9 @@
 
 @then("{number:d} groups are granted again")
 def step_again(context, number):
-    run(context, context.small.until(lambda: granted(context) == number))
+    run(context, context.in_process_site.wait_until(lambda: granted(context) == number))
 
 
 @then("no more than {most:d} loads ran at once")
 def step_loads(context, most):
-    assert context.small.world.weights.most_at_once <= most
+    assert context.in_process_site.world.weights.most_at_once <= most
--- a/features/support/booking_runs.py
+++ b/features/support/booking_runs.py
@@ -14,8 +14,8 @@
 from cowslipcourse.gateway.callers import Call
 from cowslipcourse.gateway.sealing import seal_outcomes
 from cowslipcourse.requests.keys import key_prefix
-from features.support.group_runs import vms
-from features.support.small_site import SmallSite, base_changes
+from features.support.group_runs import vm_specs
+from features.support.small_site import InProcessSite, base_changes
 
 GATEWAYS = ("g1", "g2", "g3")
 SETTLE_S = 30.0
@@ -52,12 +52,12 @@
     async def run(self, events=50):
         """Run and return the violations found."""
         random.seed(self.seed)
-        self._site = site = SmallSite(self.seed, vms(True), ("c1",), GATEWAYS)
+        self._site = site = InProcessSite(self.seed, vm_specs(True), ("c1",), GATEWAYS)
         site.gateway_limits = {"key_window_s": 8.0, "key_windows": 2}
         await site.start()
         await site.edit("c1", *base_changes(2, 4))
         views = [g.view for g in site.gateways.values()]
-        await site.until(lambda: all(len(v.services("svc")) == 2 for v in views))
+        await site.wait_until(lambda: all(len(v.services("svc")) == 2 for v in views))
         for _ in range(events):
             self._book()
             if self._rng.random() < 0.5:
--- a/features/support/edit_runs.py
+++ b/features/support/edit_runs.py
@@ -10,8 +10,8 @@
     ReplyLost,
     StoreUnavailable,
 )
-from features.support.group_runs import vms
-from features.support.small_site import SmallSite, base_changes, change
+from features.support.group_runs import vm_specs
+from features.support.small_site import InProcessSite, base_changes, change
 
 OPERATORS = ("a", "b", "c")
 OBJECTS = tuple(f"rule{i}" for i in range(4))
@@ -34,7 +34,7 @@
         """Run and return the violations found."""
         rng = self._rng
         random.seed(self._seed)
-        site = self._site = SmallSite(self._seed, vms(True), ("c1", "c2"), ())
+        site = self._site = InProcessSite(self._seed, vm_specs(True), ("c1", "c2"), ())
         await site.start()
         await site.edit("c1", *base_changes(2, 2))
         for _ in range(rounds):
--- a/features/support/group_runs.py
+++ b/features/support/group_runs.py
@@ -19,7 +19,7 @@
 from cowslipcourse.gateway.callers import Call
 from cowslipcourse.gateway.generation import Generation
 from cowslipcourse.standin.engine import answer_words
-from features.support.small_site import SmallSite, base_changes, change
+from features.support.small_site import InProcessSite, base_changes, change
 from harness.callers import chat_body
 
 LOOK_S = 0.1
@@ -31,7 +31,7 @@
 class Oracle:
     """Watches the world and notes violations.
 
-    :param site: :class:`SmallSite`
+    :param site: :class:`InProcessSite`
     """
 
     def __init__(self, site):
@@ -127,15 +127,15 @@
                 self._note("new work on a leaving VM", name, took_s)
 
 
-class Load:
+class RequestLoad:
     """Callers of one gateway; checks each answer.
 
-    :param site: :class:`SmallSite`
+    :param site: :class:`InProcessSite`
     """
 
-    def __init__(self, site, every_s=0.2):
+    def __init__(self, site, interval_s=0.2):
         self._site = site
-        self._every_s = every_s
+        self._interval_s = interval_s
         self._running = set()
         self.outcomes = {}
         self.violations = []
@@ -151,7 +151,7 @@
                 task = asyncio.create_task(self._request(gateway, f"r{number}"))
                 self._running.add(task)
                 task.add_done_callback(self._running.discard)
-            await asyncio.sleep(self._every_s)
+            await asyncio.sleep(self._interval_s)
 
     async def finish(self):
         """Wait for the requests under way."""
@@ -189,7 +189,7 @@
     return chunk["choices"][0]["delta"]["content"]
 
 
-def vms(fenced):
+def vm_specs(fenced):
     """Return the VMs of a run: two domains that hold four groups of two."""
     labels = {"pool": "large"}
     return [
@@ -217,7 +217,7 @@
 class Faults:
     """Random faults over a site.
 
-    :param site: :class:`SmallSite`
+    :param site: :class:`InProcessSite`
     :param rng: :class:`random.Random`
     """
 
@@ -375,17 +375,17 @@
     rng = random.Random(seed)
     random.seed(seed)
     fenced = rng.random() < 0.5 if fenced is None else fenced
-    site = SmallSite(seed, vms(fenced), ("c1", "c2", "c3"), ("g1",))
+    site = InProcessSite(seed, vm_specs(fenced), ("c1", "c2", "c3"), ("g1",))
     site.world.leaders_notice = False
     await site.start()
     changes = base_changes(2, 4)
     if not fenced:
         changes += (change("site", "site", unfenced_targets="pool"),)
-    oracle, load = Oracle(site), Load(site)
+    oracle, load = Oracle(site), RequestLoad(site)
     tasks = [asyncio.create_task(oracle.run())]
     await site.edit("c1", *changes)
     view = site.gateways["g1"].view
-    await site.until(lambda: len(view.grants(["grp"])) == 4)
+    await site.wait_until(lambda: len(view.grants(["grp"])) == 4)
     tasks.append(asyncio.create_task(load.run()))
     faults = faults_type(site, rng)
     happened = []
@@ -433,7 +433,7 @@
         return len(view.grants(["grp"])) >= min(wanted, room)
 
     try:
-        await site.until(good, SETTLE_LIMIT_S)
+        await site.wait_until(good, SETTLE_LIMIT_S)
     except TimeoutError:
         return False
     return True
--- a/features/support/group_variants.py
+++ b/features/support/group_variants.py
@@ -91,5 +91,5 @@
     "grants that never end": _grants_for_ever,
     "no check between the send and the answer": _no_check_after_send,
     "departures from the holder only": _no_departures,
-    "a relay that does not look": _blind_relay,
+    "a relay that ignores attempt and offset": _blind_relay,
 }
--- a/features/support/small_site.py
+++ b/features/support/small_site.py
@@ -33,7 +33,7 @@
     Gate,
 )
 
-__all__ = ["SmallSite", "base_changes", "change"]
+__all__ = ["InProcessSite", "base_changes", "change"]
 
 TIMES = {"address_ttl_s": 1.0, "drain_limit_s": 60.0}
 KEY_SHA256 = "0" * 64
@@ -168,7 +168,7 @@
             await asyncio.sleep(self.agent.times.heartbeat_s)
 
 
-class SmallSite:
+class InProcessSite:
     """Daemons, a world, and faults.
 
     :param seed: seed of everything random.
@@ -206,7 +206,7 @@
             await self.start_daemon(name)
         for name in self._names[1]:
             await self.start_daemon(name)
-        await self.until(lambda: all(d.agent.may_serve() for d in self.daemons()))
+        await self.wait_until(lambda: all(d.agent.may_serve() for d in self.daemons()))
 
     def daemons(self):
         """Return all running daemons."""
@@ -235,7 +235,7 @@
             await daemon.stop()
         self._refresh.cancel()
 
-    async def until(self, condition, limit_s=120.0):
+    async def wait_until(self, condition, limit_s=120.0):
         """Let time pass until a condition holds.
 
         :raises TimeoutError: it did not hold in time.
--- a/features/whole_answers/answers.feature
+++ b/features/whole_answers/answers.feature
@@ -4,11 +4,11 @@
 
   Scenario: Spoiled answers under load
     When 8 answer runs are made from seed 0
-    Then every answer was whole and its caller's own
-    And every site came back to serving
+    Then every answer was complete and belonged to its request
+    And every site served all possible groups again
 
   Scenario: The check fails without the relay's checks
-    When answer runs are made with a relay that does not look at seeds 0
+    When answer runs are made with a relay that ignores attempt and offset at seeds 0
     Then a violation was found
 
   Scenario: The relay passes on a prefix of the truth whatever the engines send
--- a/features/whole_groups/groups.feature
+++ b/features/whole_groups/groups.feature
@@ -9,8 +9,8 @@
     Then no request was served without all members of its group
     And no VM belonged to two groups
     And no leaving VM got new work after 6 seconds
-    And every answer was whole and its caller's own
-    And every site came back to serving
+    And every answer was complete and belonged to its request
+    And every site served all possible groups again
 
   Scenario Outline: The check fails without a mechanism
     When group runs are made with <variant> at seeds <seeds>
