--- a/features/steps/accounting_steps.py
+++ b/features/steps/accounting_steps.py
@@ -1,4 +1,4 @@
-"""Steps over the account of what became of requests."""
+"""Steps for the causes of lost requests, and for counts of groups."""
 
 import asyncio
 import logging
@@ -24,7 +24,7 @@
 from measurements.class_account import account, main, read_ends
 
 SLOTS = 10
-LINES = [
+LOG_LINES = [
     "  1.2 f-1 time=2026-01-01T00:00:01 event=streamed request=a route=r late=None",
     "  1.9 f-2 time=2026-01-01T00:00:01 event=no-place request=b cause=no-group",
     "  2.0 f-2 time=2026-01-01T00:00:02 event=request-failed request=b route=r"
@@ -36,28 +36,28 @@
 
 
 def _entry(target, state=GroupState.OPEN):
-    found = GroupMembership(f"g-{target}", 3, 0, state, "small")
+    membership = GroupMembership(f"g-{target}", 3, 0, state, "small")
     return TargetEntry(
-        target, "llm", f"{target}:1", "n", SLOTS, domain="d", membership=found
+        target, "llm", f"{target}:1", "n", SLOTS, domain="d", membership=membership
     )
 
 
 @given(
-    "{number:d} groups that serve its model, of which {full:d} are full and {tried:d} "
-    "were tried"
+    "{number:d} groups that serve its model, of which {full:d} are full and "
+    "{tried_count:d} were tried"
 )
-def step_places(context, number, full, tried):
-    # Those that were tried come last.
-    context.places = [
+def step_candidates(context, number, full, tried_count):
+    # The tried targets are the last ones.
+    context.candidates = [
         Candidate(_entry(f"t{n}"), 2 * SLOTS if n < full else 0, SLOTS)
         for n in range(number)
     ]
-    context.tried = {f"t{n}" for n in range(number - tried, number)}
+    context.tried_ids = {f"t{n}" for n in range(number - tried_count, number)}
 
 
-@then('a request that finds no place is lost to "{cause}"')
-def step_shortage(context, cause):
-    assert no_target_cause(context.places, context.tried) == cause
+@then('a request that finds no target has the cause "{cause}"')
+def step_no_target_cause(context, cause):
+    assert no_target_cause(context.candidates, context.tried_ids) == cause
 
 
 @given("a route with an objective of {objective:f} s and pauses of {pause:f} s")
@@ -75,48 +75,48 @@
 
 
 @when(
-    "a stream waits {place:f} s for a place and takes {first:f} s to its first event "
-    "with pauses of {pause:f} s and {attempts:d} attempts"
+    "a stream waits {slot:f} s for a slot and takes {first_event:f} s to its first "
+    "event with pauses of {pause:f} s and {attempts:d} attempts"
 )
-def step_stream(context, place, first, pause, attempts):
-    times = StreamTimes(place, first, pause, attempts)
+def step_stream_times(context, slot, first_event, pause, attempts):
+    times = StreamTimes(slot, first_event, pause, attempts)
     context.cause = late_cause(context.route, times)
 
 
-@then('it is lost to "{cause}"')
-def step_late(context, cause):
+@then('the cause of its delay is "{cause}"')
+def step_late_cause(context, cause):
     assert str(context.cause) == cause, context.cause
 
 
 @given(
-    "logs in which 4 requests end once each, for the causes served, no-group, "
+    "logs in which 4 requests end once each, with the causes served, no-group, "
     "late-pause and caller-gone"
 )
-def step_logs(context):
-    context.lines = LINES
+def step_log_lines(context):
+    context.lines = LOG_LINES
 
 
 @then("the account has each of them once, by route and second")
-def step_account(context):
-    ends, without = read_ends(context.lines)
-    assert not without
-    found = account(ends)
-    assert found["r"] == {"served": 1, "no-group": 1, "caller-gone": 1}, found
-    assert found["s"] == {"late-pause": 1}, found
+def step_account_is_complete(context):
+    ends, unfinished = read_ends(context.lines)
+    assert not unfinished
+    causes = account(ends)
+    assert causes["r"] == {"served": 1, "no-group": 1, "caller-gone": 1}, causes
+    assert causes["s"] == {"late-pause": 1}, causes
     assert [end.second for end in ends] == [1, 2, 2, 3]
 
 
-@then("a request that ends twice, or never, is told")
-def step_told(context):
-    folder = Path(context.resources.enter_context(tempfile.TemporaryDirectory()))
-    for name, lines, code in (
-        ("whole", LINES, 0),
-        ("twice", [*LINES, LINES[0]], 1),
-        ("never", LINES[:2], 1),
+@then("a request that ends twice, or never, is reported")
+def step_wrong_counts_reported(context):
+    directory = Path(context.resources.enter_context(tempfile.TemporaryDirectory()))
+    for name, lines, exit_code in (
+        ("whole", LOG_LINES, 0),
+        ("twice", [*LOG_LINES, LOG_LINES[0]], 1),
+        ("never", LOG_LINES[:2], 1),
     ):
-        log = folder / name
+        log = directory / name
         log.write_text("\n".join(lines))
-        assert main([str(log)]) == code, name
+        assert main([str(log)]) == exit_code, name
 
 
 def _spec():
@@ -125,57 +125,59 @@
 
 
 @given("a daemon that sees 2 groups of a model")
-def step_sees(context):
+def step_fleet(context):
     context.fleet = FleetView()
     context.fleet.apply([_entry("a"), _entry("b")], ())
     context.routes = RouteTable(1, (), (_spec(),), CallerLimits(), {})
 
 
-@when("both groups end, and one comes back after {seconds:d} s")
-def step_end(context, seconds):
+@when("both groups end, and one returns after {seconds:d} s")
+def step_groups_end(context, seconds):
     context.seconds = seconds
-    context.said = []
+    context.logged = []
 
-    class Keep(logging.Handler):
+    class RecordingHandler(logging.Handler):
         def emit(self, record):
-            context.said.append((record.getMessage(), record.fields))
+            context.logged.append((record.getMessage(), record.fields))
 
-    async def look():
-        watch = GroupCountMonitor()
-        watch.count(context.routes, context.fleet)
+    async def observe():
+        monitor = GroupCountMonitor()
+        monitor.count(context.routes, context.fleet)
         broken = [_entry(target, GroupState.BROKEN) for target in ("a", "b")]
         context.fleet.apply(broken, ())
-        watch.count(context.routes, context.fleet)
+        monitor.count(context.routes, context.fleet)
         await asyncio.sleep(seconds)
         context.fleet.apply([_entry("a")], ())
-        context.census = watch.count(context.routes, context.fleet)
+        context.counts = monitor.count(context.routes, context.fleet)
 
-    handler = Keep()
+    handler = RecordingHandler()
     logger = logging.getLogger("cowslipcourse.entry.census")
     logger.addHandler(handler)
-    before = logger.level
+    previous_level = logger.level
     logger.setLevel(logging.INFO)
     try:
-        run_paused(look())
+        run_paused(observe())
     finally:
         logger.removeHandler(handler)
-        logger.setLevel(before)
+        logger.setLevel(previous_level)
 
 
 @then("the log says that the model is unserved, and served again after {seconds:d} s")
-def step_said(context, seconds):
-    events = [event for event, _ in context.said]
-    assert events == ["model-unserved", "model-served"], context.said
-    assert context.said[1][1]["seconds"] == seconds, context.said
+def step_transitions_logged(context, seconds):
+    events = [event for event, _ in context.logged]
+    assert events == ["model-unserved", "model-served"], context.logged
+    assert context.logged[1][1]["seconds"] == seconds, context.logged
 
 
-@then("the numbers of groups and engines are on the metrics address")
-def step_metrics(context):
+@then("the metrics contain the numbers of groups and engines")
+def step_metrics_contain_counts(context):
     metrics = EntryMetrics()
-    metrics.set_group_counts(context.census)
+    metrics.set_group_counts(context.counts)
     metrics.count_cause("r", "small", "no-group")
     text = metrics.render().decode()
     assert 'cowslip_groups{model="small"} 1.0' in text
     assert 'cowslip_engines{model="small",state="broken"} 1.0' in text
-    counted = 'cowslip_account_total{cause="no-group",model="small",route="r"} 1.0'
-    assert counted in text, text
+    account_sample = (
+        'cowslip_account_total{cause="no-group",model="small",route="r"} 1.0'
+    )
+    assert account_sample in text, text
--- a/features/steps/forwarding_steps.py
+++ b/features/steps/forwarding_steps.py
@@ -1,4 +1,4 @@
-"""Steps over decisions about requests under way."""
+"""Steps for decisions about requests in progress."""
 
 import logging
 import queue
@@ -33,21 +33,21 @@
     return getattr(exceptions, name)("x")
 
 
-@given("a route that {may} be repeated, with 2 attempts")
+@given("a route whose requests {may} be retried, with 2 attempts")
 def step_route(context, may):
     kind = RequestKind.IDEMPOTENT if may == "may" else RequestKind.NON_IDEMPOTENT
     context.route = Route("r", "h", "/", kind, (("s", 1.0),), 5.0, 1.0, 1, 2)
 
 
-@when("the attempt ends with {error} after {runs:d} runs")
-def step_attempt(context, error, runs):
-    context.again = may_retry(context.route, runs, _error(error))
-    context.status = final_error(runs).status
+@when("an attempt fails with {error} after {possible_runs:d} possible runs")
+def step_attempt(context, error, possible_runs):
+    context.retry = may_retry(context.route, possible_runs, _error(error))
+    context.status = final_error(possible_runs).status
 
 
-@then("it may go on elsewhere: {again}, and the caller is told {status:d} if not")
-def step_again(context, again, status):
-    assert context.again == (again == "yes")
+@then("a retry is allowed: {retry}, and the status without one is {status:d}")
+def step_retry_allowed(context, retry, status):
+    assert context.retry == (retry == "yes")
     assert context.status == status
 
 
@@ -61,91 +61,95 @@
         budget.daemon_count = number
 
 
-@when("each gets {number:d} requests for one service in 10 s and tries to repeat all")
-def step_repeat(context, number):
-    context.repeats = 0
+@when(
+    "each receives {number:d} requests for one service in 10 s and tries to retry all"
+)
+def step_retries(context, number):
+    context.retries = 0
     context.requests = number * len(context.budgets)
     for budget in context.budgets:
         for index in range(number):
             now = index * 10.0 / number
             budget.record_request("one", now)
-            context.repeats += budget.try_take("one", now)
+            context.retries += budget.try_take("one", now)
 
 
-@then("together they repeat at most 0.2 of the requests and 134 more")
-def step_within(context):
-    assert 0 < context.repeats <= 0.2 * context.requests + 134, context.repeats
+@then("the total of retries is at most 0.2 of the requests plus 134")
+def step_total_within_budget(context):
+    assert 0 < context.retries <= 0.2 * context.requests + 134, context.retries
 
 
-@then("another service still has a budget of its own")
-def step_other(context):
+@then("another service still has its own budget")
+def step_other_service(context):
     assert context.budgets[0].try_take("other", 10.0)
 
 
 def _entry(target, epoch=3, rank=0, group="g1"):
-    found = GroupMembership(group, epoch, rank, GroupState.OPEN, "large")
+    membership = GroupMembership(group, epoch, rank, GroupState.OPEN, "large")
     return TargetEntry(
-        target, SERVICE, f"{target}:1", "n", SLOTS, domain="d", membership=found
+        target, SERVICE, f"{target}:1", "n", SLOTS, domain="d", membership=membership
     )
 
 
 class _Connection:
-    """A connection of which only its silence matters."""
+    """A connection that only records its last receipt and its abortion."""
 
-    def __init__(self, heard_at):
-        self.last_received_at = heard_at
+    def __init__(self, last_received_at):
+        self.last_received_at = last_received_at
         self.error = None
 
     def abort(self, error):
         self.error = error
 
 
-def _stream(target, heard_at, begun):
-    stream = WatchedStream(Attempt(_entry(target), _Connection(heard_at), 10.0), "r1")
-    stream.has_events = begun
+def _stream(target, last_received_at, has_events):
+    stream = WatchedStream(
+        Attempt(_entry(target), _Connection(last_received_at), 10.0), "r1"
+    )
+    stream.has_events = has_events
     return stream
 
 
-@given("a target with 13 slots and two streams, of which one has begun")
-def step_watched(context):
+@given("a target with 13 slots and two streams, one of which has started")
+def step_streams(context):
     context.fleet = FleetView()
     context.fleet.apply([_entry("t"), _entry("busy", group="g2")], ())
-    context.watch = SilenceDetector(context.fleet, lambda: None)
-    context.begun = _stream("t", 10.0, begun=True)
-    context.waiting = _stream("t", 0.0, begun=False)
-    for stream in (context.begun, context.waiting):
-        context.watch.add(stream)
+    context.detector = SilenceDetector(context.fleet, lambda: None)
+    context.started_stream = _stream("t", 10.0, has_events=True)
+    context.queued_stream = _stream("t", 0.0, has_events=False)
+    for stream in (context.started_stream, context.queued_stream):
+        context.detector.add(stream)
 
 
-@then("after 0.2 s of silence both go on")
-def step_go_on(context):
-    context.watch.check(10.2)
-    assert context.begun.attempt.connection.error is None
-    assert context.waiting.attempt.connection.error is None
+@then("after 0.2 s of silence neither stream is aborted")
+def step_not_aborted(context):
+    context.detector.check(10.2)
+    assert context.started_stream.attempt.connection.error is None
+    assert context.queued_stream.attempt.connection.error is None
 
 
-@then("after 0.4 s of silence the begun one is ended and the target suspected")
-def step_ended(context):
-    context.watch.check(10.4)
-    assert context.begun.attempt.connection.error is not None
-    assert context.waiting.attempt.connection.error is None
+@then("after 0.4 s of silence the started stream is aborted and the target suspected")
+def step_started_aborted(context):
+    context.detector.check(10.4)
+    assert context.started_stream.attempt.connection.error is not None
+    assert context.queued_stream.attempt.connection.error is None
     assert "t" in context.fleet.suspects(10.4)
 
 
-@then("a stream that waits behind others is given 3 s")
-def step_waits(context):
+@then("a stream that is queued behind others is given 3 s")
+def step_queued_aborted(context):
     context.fleet.set_peers_in_flight({"busy": SLOTS + 3})
-    queued = _stream("busy", 0.0, begun=False)
-    context.watch.add(queued)
-    context.watch.check(12.9)
+    queued = _stream("busy", 0.0, has_events=False)
+    context.detector.add(queued)
+    context.detector.check(12.9)
     assert queued.attempt.connection.error is None
-    context.watch.check(13.1)
+    context.detector.check(13.1)
     assert queued.attempt.connection.error is not None
 
 
 def _chosen(context, now=11.0):
-    places = context.fleet.group_candidates(SERVICE, "large", SLOTS, now)
-    return sorted(place.entry.id for place in places)
+    candidates = context.fleet.group_candidates(SERVICE, "large", SLOTS, now)
+    return sorted(candidate.entry.id for candidate in candidates)
 
 
 @given("a suspected head of group g1 at epoch 3")
@@ -155,13 +159,13 @@
     context.fleet.suspect("t", 10.0)
 
 
-@then("it is not chosen while another serves")
+@then("it is not chosen while another target serves")
 def step_not_chosen(context):
     assert _chosen(context, 10.5) == ["other"]
 
 
-@then("it is chosen if no other serves")
-def step_last(context):
+@then("it is chosen if no other target serves")
+def step_chosen_as_last(context):
     context.fleet.apply((), ("other",))
     assert _chosen(context, 10.5) == ["t"]
     context.fleet.apply([_entry("other", group="g2")], ())
@@ -181,98 +185,109 @@
 def step_three_times(context):
     context.fleet = FleetView()
     context.fleet.apply([_entry("t"), _entry("other", group="g2")], ())
-    context.lengths = []
+    context.durations_s = []
     now = 10.0
     for _ in range(3):
         context.fleet.suspect("t", now)
-        start = now
+        suspected_at = now
         while "t" in context.fleet.suspects(now):
             now += 0.5
-        context.lengths.append(now - start)
+        context.durations_s.append(now - suspected_at)
 
 
 @then("it is avoided for 1 s, 2 s and 4 s")
-def step_lengths(context):
-    assert context.lengths == [1.0, 2.0, 4.0], context.lengths
+def step_suspicion_durations(context):
+    assert context.durations_s == [1.0, 2.0, 4.0], context.durations_s
 
 
-@given("two heads that say they are open for g1, at epochs 3 and 5")
-def step_two_heads(context):
+@given("two heads that are listed as open for g1, at epochs 3 and 5")
+def step_two_epochs(context):
     context.fleet = FleetView()
     context.fleet.apply([_entry("old", epoch=3), _entry("new", epoch=5)], ())
 
 
 @then("only the one at epoch 5 is chosen")
-def step_only_new(context):
+def step_newer_epoch_chosen(context):
     assert _chosen(context) == ["new"]
 
 
-# A burst, played without a network.
+# Simulation of a burst, without a network.
 
 
 @given(
-    "{daemons:d} daemons that know each other's counts {age:f} s late, before "
+    "{daemons:d} daemons that see each other's counts {delay:f} s late, and "
     "{groups:d} groups"
 )
-def step_burst_fleet(context, daemons, age, groups):
-    context.shape = daemons, age, groups
+def step_burst_fleet(context, daemons, delay, groups):
+    context.burst_fleet = daemons, delay, groups
 
 
-def _play_burst(shape, rate, length_s, answer_s, sample):
-    """Return the largest share that a group had of what ran, by the even share."""
-    daemons, age_s, groups = shape
+def _simulate_burst(burst_fleet, rate, duration_s, answer_s, sample_size):
+    """Return the largest load of a group, relative to an even share."""
+    daemon_count, delay_s, group_count = burst_fleet
     rng = random.Random(5)
-    entries = [_entry(f"t{number}", group=f"g{number}") for number in range(groups)]
-    running, worst = [], 0.0
+    entries = [
+        _entry(f"t{number}", group=f"g{number}") for number in range(group_count)
+    ]
+    running, max_load_ratio = [], 0.0
     history = []
-    for step in range(int(rate * length_s)):
+    for step in range(int(rate * duration_s)):
         now = step / rate
-        running = [item for item in running if item[0] > now]
-        history.append((now, [(d, t) for _, d, t in running]))
-        while history[0][0] < now - age_s:
+        running = [run for run in running if run[0] > now]
+        history.append((now, [(owner, target) for _, owner, target in running]))
+        while history[0][0] < now - delay_s:
             history.pop(0)
-        daemon = rng.randrange(daemons)
-        counts = [0] * groups
+        daemon = rng.randrange(daemon_count)
+        counts = [0] * group_count
         for owner, target in history[0][1]:
             counts[target] += owner != daemon
         for _, owner, target in running:
             counts[target] += owner == daemon
-        places = [
+        candidates = [
             Candidate(entry, count, 1000)
             for entry, count in zip(entries, counts, strict=True)
         ]
-        chosen = choosing.choose_group(places, set(), rng, sample)
+        chosen = choosing.choose_group(candidates, set(), rng, sample_size)
         running.append((now + answer_s, daemon, entries.index(chosen.entry)))
         if now > answer_s:
             loads = [
-                sum(t == target for _, _, t in running) for target in range(groups)
+                sum(other == target for _, _, other in running)
+                for target in range(group_count)
             ]
-            worst = max(worst, max(loads) * groups / len(running))
-    return worst
+            max_load_ratio = max(
+                max_load_ratio, max(loads) * group_count / len(running)
+            )
+    return max_load_ratio
 
 
-@when("{rate:d} requests a second arrive for {length:d} s, each for {answer:f} s")
-def step_burst(context, rate, length, answer):
-    shape = context.shape
-    context.sampled = _play_burst(shape, rate, length, answer, choosing.SAMPLE_SIZE)
-    context.greedy = _play_burst(shape, rate, length, answer, shape[2])
+@when(
+    "{rate:d} requests a second arrive for {duration:d} s, each for {answer_time:f} s"
+)
+def step_burst(context, rate, duration, answer_time):
+    burst_fleet = context.burst_fleet
+    context.sampled = _simulate_burst(
+        burst_fleet, rate, duration, answer_time, choosing.SAMPLE_SIZE
+    )
+    context.greedy = _simulate_burst(
+        burst_fleet, rate, duration, answer_time, burst_fleet[2]
+    )
 
 
 @then("no group ever has more than twice its even share")
-def step_even(context):
+def step_even_share(context):
     assert context.sampled <= 2.0, context.sampled
 
 
-@then("choosing the least loaded of all would have given some group more than that")
-def step_greedy(context):
+@then("choosing the least loaded of all groups would have exceeded that share")
+def step_greedy_exceeds(context):
     assert context.greedy > context.sampled, (context.greedy, context.sampled)
 
 
 @given("settings of cowslip-entry without a store and with an unknown key")
 def step_settings(context):
     address = "127.0.0.1:1"
-    with tempfile.TemporaryDirectory() as folder:
-        path = Path(folder) / "entry.toml"
+    with tempfile.TemporaryDirectory() as directory:
+        path = Path(directory) / "entry.toml"
         path.write_text(
             f'name = "a"\ndata_centre = "n"\naddress_ttl = 2\n[listen]\n'
             f'front = "{address}"\ndirectory = "{address}"\n'
@@ -284,19 +299,19 @@
             context.problems = [str(problem) for problem in error.problems]
 
 
-@then("the error names the missing section and suggests the key that was meant")
+@then("the error names the missing section and suggests the intended key")
 def step_problems(context):
     text = "\n".join(context.problems)
     assert "store: Field required" in text, text
     assert "address_ttl: unknown key; did you mean 'address_ttl_s'?" in text, text
 
 
-@given("a log whose reader stands still, with room for {room:d} lines")
-def step_log(context, room):
-    context.handler = BoundedQueueHandler(queue.Queue(room))
+@given("a log queue of {capacity:d} lines whose reader has stopped")
+def step_log_queue(context, capacity):
+    context.handler = BoundedQueueHandler(queue.Queue(capacity))
 
 
-@when("{number:d} events are logged and the reader goes on")
+@when("{number:d} events are logged and the reader resumes")
 def step_logged(context, number):
     def log(index):
         context.handler.handle(logging.makeLogRecord({"msg": f"event-{index}"}))
@@ -308,11 +323,18 @@
         for _ in range(context.handler.queue.qsize())
     ]
     log(number)
-    last = [context.handler.queue.get_nowait() for _ in range(2)]
-    context.last = [(r.getMessage(), getattr(r, "fields", {})) for r in last]
+    last_lines = [context.handler.queue.get_nowait() for _ in range(2)]
+    context.last_lines = [
+        (r.getMessage(), getattr(r, "fields", {})) for r in last_lines
+    ]
 
 
-@then("the first {kept:d} lines are there, and then that {lost:d} were dropped")
-def step_dropped(context, kept, lost):
-    assert context.lines == [f"event-{index}" for index in range(kept)]
-    assert context.last[1] == ("lines-dropped", {"number": lost}), context.last
+@then(
+    "the first {retained:d} lines are read, and then a line that {dropped:d} were "
+    "dropped"
+)
+def step_drop_reported(context, retained, dropped):
+    assert context.lines == [f"event-{index}" for index in range(retained)]
+    assert context.last_lines[1] == ("lines-dropped", {"number": dropped}), (
+        context.last_lines
+    )
--- a/features/steps/head_steps.py
+++ b/features/steps/head_steps.py
@@ -1,4 +1,4 @@
-"""Steps over heads of groups, as the list and news tell of them."""
+"""Steps for heads of groups, from the target list and group updates."""
 
 from behave import given, then, when
 
@@ -6,11 +6,11 @@
 from cowslipcourse.peers import GroupUpdate, OpenedHead
 from cowslipcourse.ports import GroupMembership, GroupState, TargetEntry
 
-FIRST, SECOND = 100, 200
+FIRST_INCARNATION, SECOND_INCARNATION = 100, 200
 OPENS_IN_S = 0.05
 
 
-def _entry(engine, group, epoch, state, incarnation=FIRST):
+def _entry(engine, group, epoch, state, incarnation=FIRST_INCARNATION):
     return TargetEntry(
         engine,
         "llm",
@@ -23,7 +23,7 @@
     )
 
 
-def _show(context, entry):
+def _list_entry(context, entry):
     context.entries[entry.id] = entry
     context.heads.update_entries(context.entries.values())
 
@@ -34,116 +34,125 @@
 )
 def step_list(context):
     context.entries, context.heads = {}, GroupHeads()
-    _show(context, _entry("h1", "g1", 5, "open"))
-    _show(context, _entry("h2", "g2", 7, "ready"))
+    _list_entry(context, _entry("h1", "g1", 5, "open"))
+    _list_entry(context, _entry("h2", "g2", 7, "ready"))
 
 
-def _tell(context, news, now):
-    context.heads.apply_group_update(news, context.entries.values(), now)
+def _apply_update(context, update, now):
+    context.heads.apply_group_update(update, context.entries.values(), now)
 
 
-@when("news comes at {now:f} s that {group} is given up")
+@when("an update at {now:f} s gives up {group}")
 def step_given_up(context, now, group):
-    _tell(context, GroupUpdate(group, 6), now)
+    _apply_update(context, GroupUpdate(group, 6), now)
 
 
-@when("news comes at {now:f} s that {group} is formed anew at epoch {epoch:d}")
-def step_formed_anew(context, now, group, epoch):
-    _tell(context, GroupUpdate(group, epoch), now)
+@when("an update at {now:f} s forms {group} again at epoch {epoch:d}")
+def step_formed_again(context, now, group, epoch):
+    _apply_update(context, GroupUpdate(group, epoch), now)
 
 
 @when(
-    "news comes at {now:f} s that {engine} opens {group} at epoch {epoch:d} in "
-    "{seconds:f} s"
+    "an update at {now:f} s says that {engine} opens {group} at epoch {epoch:d} in "
+    "{serves_in_s:f} s"
 )
-def step_opens(context, now, engine, group, epoch, seconds):
-    head = OpenedHead(engine, FIRST, "large", seconds)
-    _tell(context, GroupUpdate(group, epoch, head), now)
+def step_opens(context, now, engine, group, epoch, serves_in_s):
+    head = OpenedHead(engine, FIRST_INCARNATION, "large", serves_in_s)
+    _apply_update(context, GroupUpdate(group, epoch, head), now)
 
 
 @when("the list shows {engine} as {state} head of {group} at epoch {epoch:d}")
-def step_shows(context, engine, state, group, epoch):
-    _show(context, _entry(engine, group, epoch, state))
+def step_listed(context, engine, state, group, epoch):
+    _list_entry(context, _entry(engine, group, epoch, state))
 
 
-@when("h2 starts again")
-def step_again(context):
-    _show(context, _entry("h2", "g2", 7, "ready", SECOND))
+@when("h2 restarts")
+def step_restarts(context):
+    _list_entry(context, _entry("h2", "g2", 7, "ready", SECOND_INCARNATION))
 
 
 def _serving(context, now):
     return {entry.id for entry in context.heads.serving_heads("llm", "large", now)}
 
 
-@then("nobody serves at {now:f} s")
-def step_nobody(context, now):
+@then("no head serves at {now:f} s")
+def step_no_head_serves(context, now):
     assert not _serving(context, now)
 
 
 @then("{engine} serves at {now:f} s")
-def step_one(context, engine, now):
+def step_one_head_serves(context, engine, now):
     assert _serving(context, now) == {engine}, _serving(context, now)
 
 
 @then("h1 and h2 serve at {now:f} s")
-def step_two(context, now):
+def step_both_heads_serve(context, now):
     assert _serving(context, now) == {"h1", "h2"}, _serving(context, now)
 
 
 @given(
-    "a load of {rate:d} requests a second for {length:f} s while g1 ends at {ended:f} "
-    "s and g2 opens at {opened:f} s"
+    "a load of {rate:d} requests a second for {duration:f} s while g1 ends at "
+    "{ended:f} s and g2 opens at {opened:f} s"
 )
-def step_load(context, rate, length, ended, opened):
-    context.times = [number / rate for number in range(int(rate * length))]
+def step_request_load(context, rate, duration, ended, opened):
+    context.request_times = [number / rate for number in range(int(rate * duration))]
     context.ended_s, context.opened_s = ended, opened
 
 
-@given("a list that is {late:f} s late")
-def step_late(context, late):
-    context.late_s = late
+@given("a list that is {delay:f} s late")
+def step_list_delay(context, delay):
+    context.list_delay_s = delay
 
 
-def _play(context, with_news):
-    """Return the numbers of requests to an ended group, and g2's first time."""
+def _simulate(context, with_updates):
+    """Return the number of requests to an ended group, and g2's first serving time."""
     step_list(context)
-    told, wrong, first = set(), 0, None
+    applied, misrouted, first_at = set(), 0, None
     changes = [
         (context.ended_s, "list", _entry("h1", "g1", 5, "broken")),
         (context.opened_s, "list", _entry("h2", "g2", 7, "open")),
-        (context.ended_s, "news", GroupUpdate("g1", 6)),
+        (context.ended_s, "update", GroupUpdate("g1", 6)),
         (
             context.opened_s - OPENS_IN_S,
-            "news",
-            GroupUpdate("g2", 7, OpenedHead("h2", FIRST, "large", OPENS_IN_S)),
+            "update",
+            GroupUpdate(
+                "g2", 7, OpenedHead("h2", FIRST_INCARNATION, "large", OPENS_IN_S)
+            ),
         ),
     ]
-    for now in context.times:
-        for number, (at, kind, change) in enumerate(changes):
-            due_at = at + (context.late_s if kind == "list" else 0.0)
-            if now < due_at or number in told or (kind == "news" and not with_news):
+    for now in context.request_times:
+        for number, (changed_at, kind, change) in enumerate(changes):
+            due_at = changed_at + (context.list_delay_s if kind == "list" else 0.0)
+            if (
+                now < due_at
+                or number in applied
+                or (kind == "update" and not with_updates)
+            ):
                 continue
-            told.add(number)
+            applied.add(number)
             if kind == "list":
-                _show(context, change)
+                _list_entry(context, change)
             else:
-                _tell(context, change, now)
+                _apply_update(context, change, now)
         serving = _serving(context, now)
-        wrong += "h1" in serving and now >= context.ended_s
-        if "h2" in serving and first is None:
-            first = now
-    return wrong, first
+        misrouted += "h1" in serving and now >= context.ended_s
+        if "h2" in serving and first_at is None:
+            first_at = now
+    return misrouted, first_at
 
 
 @then(
-    "without news {number:d} requests go to a group that has ended and g2 takes none "
-    "until {first:f} s"
+    "without updates {number:d} requests go to an ended group and g2 gets none until "
+    "{first_at:f} s"
 )
-def step_without(context, number, first):
-    assert _play(context, False) == (number, first), _play(context, False)
+def step_without_updates(context, number, first_at):
+    assert _simulate(context, False) == (number, first_at), _simulate(context, False)
 
 
-@then("with news none goes there and g2 takes its first by {first:f} s")
-def step_with(context, first):
-    wrong, found = _play(context, True)
-    assert wrong == 0 and found <= first, (wrong, found)
+@then(
+    "with updates no request goes to an ended group and g2 gets its first by "
+    "{first_at:f} s"
+)
+def step_with_updates(context, first_at):
+    misrouted, first_served_at = _simulate(context, True)
+    assert misrouted == 0 and first_served_at <= first_at, (misrouted, first_served_at)
--- a/features/steps/placing_steps.py
+++ b/features/steps/placing_steps.py
@@ -1,4 +1,4 @@
-"""Steps over the places of streams, with a play of more requests than groups run."""
+"""Steps for the choice of slots for streams, with a simulation of overload."""
 
 import heapq
 import itertools
@@ -13,9 +13,9 @@
 from cowslipcourse.entry.urgency import can_meet_objective
 from cowslipcourse.routes import RequestKind, Route
 
-LOOK_AGAIN_S = 0.02
-GIVE_UP_S = 1.5
-DEEP_QUEUE = 13
+RETRY_INTERVAL_S = 0.02
+MAX_WAIT_S = 1.5
+DEEP_QUEUE_LENGTH = 13
 
 
 @given("a route with {timeout:d} s for an answer and an objective of {objective:f} s")
@@ -30,55 +30,57 @@
         objective,
     )
 
-    context.patience = PriorWaitEstimator()
+    context.wait_estimator = PriorWaitEstimator()
 
 
 def _budgets(number, low, high):
-    return [low + (high - low) * each / number for each in range(number)]
+    return [low + (high - low) * index / number for index in range(number)]
 
 
 @when("{number:d} new requests come with budgets from {low:f} to {high:f} s")
 def step_new_requests(context, number, low, high):
     for budget_s in _budgets(number, low, high):
-        context.patience.observe(context.route, budget_s)
+        context.wait_estimator.observe(context.route, budget_s)
 
 
 @when(
-    "{number:d} requests come again with budgets from {low:f} to {high:f} s, one "
+    "{number:d} retried requests come with budgets from {low:f} to {high:f} s, one "
     "new one to each three"
 )
-def step_old_requests(context, number, low, high):
-    for each, budget_s in enumerate(_budgets(number, low, high)):
-        context.patience.observe(context.route, budget_s)
-        if each % 3 == 0:
-            context.patience.observe(context.route, context.route.timeout_s)
+def step_retried_requests(context, number, low, high):
+    for index, budget_s in enumerate(_budgets(number, low, high)):
+        context.wait_estimator.observe(context.route, budget_s)
+        if index % 3 == 0:
+            context.wait_estimator.observe(context.route, context.route.timeout_s)
 
 
-def _can_be_on_time(context, budget_s):
-    waited_elsewhere_s = context.patience.observe(context.route, budget_s)
-    return can_meet_objective(context.route, waited_elsewhere_s)
+def _can_meet_objective(context, budget_s):
+    prior_wait_s = context.wait_estimator.observe(context.route, budget_s)
+    return can_meet_objective(context.route, prior_wait_s)
 
 
-@then("a new request with a budget of {budget:f} s can be on time")
-def step_new(context, budget):
-    assert _can_be_on_time(context, budget)
+@then("a new request with a budget of {budget:f} s can meet the objective")
+def step_new_can_meet_objective(context, budget):
+    assert _can_meet_objective(context, budget)
 
 
-@then("a request that comes again with a budget of {budget:f} s cannot")
-def step_again(context, budget):
-    assert not _can_be_on_time(context, budget)
+@then("a retried request with a budget of {budget:f} s cannot")
+def step_retried_cannot_meet_objective(context, budget):
+    assert not _can_meet_objective(context, budget)
 
 
 @when("requests of {number:d} routes come, one after the other")
-def step_many_routes(context, number):
-    context.patience = PriorWaitEstimator()
-    for each in range(number):
-        context.patience.observe(SimpleNamespace(name=f"r{each}", timeout_s=5.0), 5.0)
+def step_requests_of_many_routes(context, number):
+    context.wait_estimator = PriorWaitEstimator()
+    for index in range(number):
+        context.wait_estimator.observe(
+            SimpleNamespace(name=f"r{index}", timeout_s=5.0), 5.0
+        )
 
 
 @then("budgets of {number:d} routes are kept")
-def step_kept_routes(context, number):
-    assert len(context.patience) == number, len(context.patience)
+def step_retained_route_count(context, number):
+    assert len(context.wait_estimator) == number, len(context.wait_estimator)
 
 
 @given("a group that runs {slots:d} requests at once")
@@ -87,26 +89,27 @@
 
 
 def _is_sent(context, in_flight, is_late):
-    place = Candidate(SimpleNamespace(id="head"), in_flight, context.slots)
+    candidate = Candidate(SimpleNamespace(id="head"), in_flight, context.slots)
     rng = random.Random(1)
-    return choose_group([place], set(), rng, is_late=is_late) is not None
+    return choose_group([candidate], set(), rng, is_late=is_late) is not None
 
 
 @then(
-    "a late request is sent to it while it has {few:d}, and not while it has {many:d}"
+    "a late request is sent to it while it has {below_limit:d}, and not while it has "
+    "{limit:d}"
 )
-def step_late(context, few, many):
-    assert _is_sent(context, few, True)
-    assert not _is_sent(context, many, True)
+def step_late_sent(context, below_limit, limit):
+    assert _is_sent(context, below_limit, True)
+    assert not _is_sent(context, limit, True)
 
 
 @then(
-    "one that can be on time is sent to it while it has {few:d}, and not while it has "
-    "{many:d}"
+    "one that can meet its objective is sent to it while it has {below_limit:d}, and "
+    "not while it has {limit:d}"
 )
-def step_on_time(context, few, many):
-    assert _is_sent(context, few, False)
-    assert not _is_sent(context, many, False)
+def step_on_time_sent(context, below_limit, limit):
+    assert _is_sent(context, below_limit, False)
+    assert not _is_sent(context, limit, False)
 
 
 @given(
@@ -119,84 +122,100 @@
     )
 
 
-class _Play:
-    """Requests at groups that take the most urgent first; counts are known at once.
+class _OverloadSimulation:
+    """Simulates requests at groups that run the most urgent first.
 
-    :param load: groups, slots, seconds of a run, objective in seconds.
-    :param choose: callable that takes places, a generator and whether it is late.
+    In-flight counts are known without delay.
+
+    :param load: has ``groups``, ``slots``, ``run_s`` and ``objective_s``.
+    :param choose: called with candidates, a random generator and whether the request
+        is late.
     """
 
     def __init__(self, load, choose):
         self._load = load
         self._choose = choose
         self._rng = random.Random(7)
-        self._numbers = itertools.count()
+        self._sequence = itertools.count()
         self._events = []
         self._running = [0] * load.groups
         self._queues = [[] for _ in range(load.groups)]
         self.waits = []
 
-    def run(self, rate, length_s):
-        """Play requests that come at random; return the waits of those answered."""
+    def run(self, rate, duration_s):
+        """Simulate random arrivals; return the waits in seconds of answered requests.
+
+        :param rate: requests per second.
+        """
         now = 0.0
-        while (now := now + self._rng.expovariate(rate)) < length_s:
-            self._at(now, "came", now)
+        while (now := now + self._rng.expovariate(rate)) < duration_s:
+            self._schedule(now, "arrival", now)
         while self._events:
             now, _, kind, value = heapq.heappop(self._events)
-            if kind == "came":
-                self._place(now, value)
+            if kind == "arrival":
+                self._dispatch(now, value)
             else:
-                self._end(now, value)
+                self._complete(now, value)
         return self.waits
 
-    def _at(self, when, kind, value):
-        heapq.heappush(self._events, (when, next(self._numbers), kind, value))
+    def _schedule(self, due_at, kind, value):
+        heapq.heappush(self._events, (due_at, next(self._sequence), kind, value))
 
-    def _place(self, now, came_at):
-        is_late = now - came_at > self._load.objective_s / 2
-        places = [
-            Candidate(SimpleNamespace(id=each), running + len(queue), self._load.slots)
-            for each, (running, queue) in enumerate(
+    def _dispatch(self, now, arrived_at):
+        is_late = now - arrived_at > self._load.objective_s / 2
+        candidates = [
+            Candidate(SimpleNamespace(id=index), running + len(queue), self._load.slots)
+            for index, (running, queue) in enumerate(
                 zip(self._running, self._queues, strict=True)
             )
         ]
-        chosen = self._choose(places, self._rng, is_late)
+        chosen = self._choose(candidates, self._rng, is_late)
         if chosen is not None:
             group = chosen.entry.id
-            heapq.heappush(self._queues[group], (is_late, next(self._numbers), came_at))
-            self._begin(now, group)
-        elif now - came_at < GIVE_UP_S:
-            self._at(now + LOOK_AGAIN_S, "came", came_at)
+            heapq.heappush(
+                self._queues[group], (is_late, next(self._sequence), arrived_at)
+            )
+            self._start_next(now, group)
+        elif now - arrived_at < MAX_WAIT_S:
+            self._schedule(now + RETRY_INTERVAL_S, "arrival", arrived_at)
 
-    def _begin(self, now, group):
+    def _start_next(self, now, group):
         if self._queues[group] and self._running[group] < self._load.slots:
-            _, _, came_at = heapq.heappop(self._queues[group])
+            _, _, arrived_at = heapq.heappop(self._queues[group])
             self._running[group] += 1
-            self.waits.append(now - came_at)
+            self.waits.append(now - arrived_at)
             run_s = self._load.run_s * self._rng.uniform(0.5, 1.5)
-            self._at(now + run_s, "ended", group)
+            self._schedule(now + run_s, "completion", group)
 
-    def _end(self, now, group):
+    def _complete(self, now, group):
         self._running[group] -= 1
-        self._begin(now, group)
+        self._start_next(now, group)
 
 
-def _by_rule(places, rng, is_late):
-    return choose_group(places, set(), rng, is_late=is_late)
+def _choose_by_rule(candidates, rng, is_late):
+    return choose_group(candidates, set(), rng, is_late=is_late)
 
 
-def _deep(places, rng, is_late):
-    found = [place for place in places if place.in_flight < place.slots + DEEP_QUEUE]
-    sampled = rng.sample(found, min(2, len(found)))
-    return min(sampled, key=lambda place: place.in_flight, default=None)
+def _choose_with_deep_queue(candidates, rng, is_late):
+    with_room = [
+        candidate
+        for candidate in candidates
+        if candidate.in_flight < candidate.slots + DEEP_QUEUE_LENGTH
+    ]
+    sampled = rng.sample(with_room, min(2, len(with_room)))
+    return min(sampled, key=lambda candidate: candidate.in_flight, default=None)
 
 
-@when("{factor:f} times as many requests come as they run, for {length:d} s")
-def step_overload(context, factor, length):
+@when(
+    "{factor:f} times as many requests come as the groups can run, for {duration:d} s"
+)
+def step_overload(context, factor, duration):
     load = context.load
     rate = factor * load.groups * load.slots / load.run_s
-    context.waits = _Play(load, _by_rule).run(rate, length)
-    context.deep = _Play(load, _deep).run(rate, length)
+    context.waits = _OverloadSimulation(load, _choose_by_rule).run(rate, duration)
+    context.deep_queue_waits = _OverloadSimulation(load, _choose_with_deep_queue).run(
+        rate, duration
+    )
 
 
 @then(
@@ -204,13 +223,13 @@
 )
 def step_more_on_time(context, factor):
     limit_s = context.load.objective_s / 2
-    by_rule, deep = (
+    rule_count, deep_queue_count = (
         sum(wait <= limit_s for wait in waits)
-        for waits in (context.waits, context.deep)
+        for waits in (context.waits, context.deep_queue_waits)
     )
-    assert by_rule >= factor * deep, (by_rule, deep)
+    assert rule_count >= factor * deep_queue_count, (rule_count, deep_queue_count)
 
 
-@then("at most a sixth fewer are answered in all")
-def step_answered(context):
-    assert len(context.waits) >= 5 / 6 * len(context.deep)
+@then("at most a sixth fewer are answered in total")
+def step_answered_in_total(context):
+    assert len(context.waits) >= 5 / 6 * len(context.deep_queue_waits)
--- a/features/steps/stopping_steps.py
+++ b/features/steps/stopping_steps.py
@@ -1,4 +1,4 @@
-"""Steps over requests that come while a daemon stops."""
+"""Steps for requests that arrive while a daemon stops."""
 
 import asyncio
 
@@ -21,24 +21,24 @@
 )
 
 
-class _Tools:
+class _Context:
     table = RouteTable(1, (ROUTE,), (), CallerLimits(), {})
 
 
 class _Forwarder:
-    """Answers at once, or after the time that it is told."""
+    """Answers after a set time."""
 
     def __init__(self):
-        self.takes_s = 0.0
+        self.answer_time_s = 0.0
 
     async def forward(self, call, responder):
-        await asyncio.sleep(self.takes_s)
+        await asyncio.sleep(self.answer_time_s)
         await responder.start(200, [])
         await responder.finish(b"done")
 
 
-async def _call(app):
-    status = []
+async def _send_request(app):
+    starts = []
     scope = {
         "type": "http",
         "method": "POST",
@@ -56,10 +56,10 @@
 
     async def send(message):
         if message["type"] == "http.response.start":
-            status.append(message)
+            starts.append(message)
 
     await app(scope, receive, send)
-    return status[0]
+    return starts[0]
 
 
 @given("a daemon whose streams took up to {longest} s")
@@ -67,37 +67,37 @@
     context.longest_s = None if longest == "unknown" else float(longest)
 
 
-def _play(context, left_s):
+def _run_daemon(context, remaining_s):
     async def run():
         forwarder = _Forwarder()
-        app = FrontApp(_Tools(), forwarder, EntryMetrics())
+        app = FrontApp(_Context(), forwarder, EntryMetrics())
         if context.longest_s is not None:
-            for share in (0.3, 1.0, 0.5):
-                forwarder.takes_s = share * context.longest_s
-                await _call(app)
-        forwarder.takes_s = 0.0
-        if left_s is not None:
-            app.drain(asyncio.get_running_loop().time() + left_s)
-        context.answer = await _call(app)
+            for fraction in (0.3, 1.0, 0.5):
+                forwarder.answer_time_s = fraction * context.longest_s
+                await _send_request(app)
+        forwarder.answer_time_s = 0.0
+        if remaining_s is not None:
+            app.drain(asyncio.get_running_loop().time() + remaining_s)
+        context.response = await _send_request(app)
 
     run_paused(run())
 
 
-@when("it stops, with {left:f} s left, and a stream comes")
-def step_late(context, left):
-    _play(context, left)
+@when("it stops, with {remaining:f} s left, and a stream comes")
+def step_stream_while_stopping(context, remaining):
+    _run_daemon(context, remaining)
 
 
-@when("a stream comes and nothing stops")
-def step_calm(context):
-    _play(context, None)
+@when("a stream comes to the running daemon")
+def step_stream_while_running(context):
+    _run_daemon(context, None)
 
 
 @then("the stream is {outcome}")
 def step_outcome(context, outcome):
-    headers = {name.lower() for name, _ in context.answer["headers"]}
+    headers = {name.lower() for name, _ in context.response["headers"]}
     if outcome == "served":
-        assert context.answer["status"] == 200, context.answer
+        assert context.response["status"] == 200, context.response
     else:
-        assert context.answer["status"] == 503, context.answer
+        assert context.response["status"] == 503, context.response
         assert b"retry-after" in headers and b"connection" in headers, headers
--- a/features/steps/urgency_steps.py
+++ b/features/steps/urgency_steps.py
@@ -1,4 +1,4 @@
-"""Steps over the urgency of requests, and a play of a load with and without it."""
+"""Steps for the urgency of requests, and a simulation with and without it."""
 
 import heapq
 import itertools
@@ -13,7 +13,7 @@
 OBJECTIVE_S = 0.5
 
 
-def _route(rank):
+def _route(priority):
     return Route(
         "draft",
         "h",
@@ -22,28 +22,30 @@
         (("llm", 1.0),),
         TIMEOUT_S,
         OBJECTIVE_S,
-        rank,
+        priority,
         2,
     )
 
 
-def _number(text, kind=float):
-    return None if text == "none" else kind(text)
+def _parse_number(text, type_=float):
+    return None if text == "none" else type_(text)
 
 
-@given("a route of rank {rank:d} with 8 s for an answer and an objective of 0.5 s")
-def step_route(context, rank):
-    context.route = _route(rank)
+@given(
+    "a route of priority {priority:d} with 8 s for an answer and an objective of 0.5 s"
+)
+def step_route(context, priority):
+    context.route = _route(priority)
 
 
-@given("a workspace whose rank is {rank}")
-def step_workspace(context, rank):
-    context.workspace = Workspace("crew", _number(rank, int))
+@given("a workspace of priority {priority}")
+def step_workspace(context, priority):
+    context.workspace = Workspace("crew", _parse_number(priority, int))
 
 
 @when("a request with a budget of {budget} s has waited {waited:f} s")
-def step_waited(context, budget, waited):
-    waited_s = _learned().observe(context.route, _number(budget)) + waited
+def step_request_waited(context, budget, waited):
+    waited_s = _make_estimator().observe(context.route, _parse_number(budget)) + waited
     context.urgency = urgency(context.route, context.workspace, waited_s)
 
 
@@ -52,70 +54,76 @@
     assert context.urgency == expected, context.urgency
 
 
-@given("{places:d} requests at once run for {seconds:f} s each at one group")
-def step_group(context, places, seconds):
-    context.places = places
-    context.run_s = seconds
+@given("a group that runs {slots:d} requests at once for {run:f} s each")
+def step_group(context, slots, run):
+    context.slots = slots
+    context.run_s = run
 
 
 @when(
-    "{late:d} callers of an outage of {outage:f} s come back and {new:d} new ones come "
-    "in the next second"
+    "{retrying:d} callers retry after an outage of {outage:f} s and {new:d} new ones "
+    "come in the next second"
 )
-def step_load(context, late, outage, new):
-    # Seconds of arrival, and of waiting before that.
-    back = [(0.0, outage * (1 - number / late)) for number in range(late)]
-    fresh = [(number / new, 0.0) for number in range(new)]
-    context.load = sorted(back + fresh)
+def step_arrivals(context, retrying, outage, new):
+    # Time of arrival and prior wait, in seconds.
+    retries = [(0.0, outage * (1 - number / retrying)) for number in range(retrying)]
+    new_requests = [(number / new, 0.0) for number in range(new)]
+    context.arrivals = sorted(retries + new_requests)
+
 
+def _simulate(context, level):
+    """Return the total waits in seconds, prior ones included, until requests start.
 
-def _play(context, level):
-    """Return the total waits until requests begin, admitted by level, then arrival."""
-    free = [0.0] * context.places
+    Requests are admitted by level, then by arrival.
+    """
+    free_at = [0.0] * context.slots
     waiting, waits = [], []
-    load = iter([*context.load, None])
-    numbers = itertools.count()
-    upcoming = next(load)
+    arrivals = iter([*context.arrivals, None])
+    sequence = itertools.count()
+    upcoming = next(arrivals)
     while waiting or upcoming:
-        now = heapq.heappop(free)
+        now = heapq.heappop(free_at)
         if not waiting:
             now = max(now, upcoming[0])
         while upcoming and upcoming[0] <= now:
-            heapq.heappush(waiting, (level(upcoming), next(numbers), upcoming))
-            upcoming = next(load)
-        _, _, (came_at, before_s) = heapq.heappop(waiting)
-        waits.append(before_s + now - came_at)
-        heapq.heappush(free, now + context.run_s)
+            heapq.heappush(waiting, (level(upcoming), next(sequence), upcoming))
+            upcoming = next(arrivals)
+        _, _, (arrived_at, prior_wait_s) = heapq.heappop(waiting)
+        waits.append(prior_wait_s + now - arrived_at)
+        heapq.heappush(free_at, now + context.run_s)
     return waits
 
 
-def _learned():
-    """Return what a daemon knows of callers that all wait as long as the route says."""
-    patience = PriorWaitEstimator()
+def _make_estimator():
+    """Return an estimator that has observed only the route's own time-out."""
+    estimator = PriorWaitEstimator()
     for _ in range(MAX_BUDGETS_PER_ROUTE):
-        patience.observe(_route(1), TIMEOUT_S)
-    return patience
+        estimator.observe(_route(1), TIMEOUT_S)
+    return estimator
 
 
-def _level(request):
+def _urgency_level(request):
     return urgency(
-        _route(1), None, _learned().observe(_route(1), TIMEOUT_S - request[1])
+        _route(1), None, _make_estimator().observe(_route(1), TIMEOUT_S - request[1])
     )
 
 
-def _on_time(waits):
+def _count_on_time(waits):
     return sum(wait <= OBJECTIVE_S for wait in waits)
 
 
 @then("by urgency at least twice as many are on time as in the order of arrival")
-def step_more(context):
-    context.waits = [_play(context, _level), _play(context, lambda request: 0)]
-    by_urgency, by_arrival = map(_on_time, context.waits)
+def step_more_on_time(context):
+    context.waits = [
+        _simulate(context, _urgency_level),
+        _simulate(context, lambda request: 0),
+    ]
+    by_urgency, by_arrival = map(_count_on_time, context.waits)
     assert by_urgency >= 2 * by_arrival, (by_urgency, by_arrival)
 
 
-@then("all are served within their time in either order")
-def step_all(context):
+@then("all are served before their time-out in either order")
+def step_all_in_time(context):
     for waits in context.waits:
-        assert len(waits) == len(context.load)
+        assert len(waits) == len(context.arrivals)
         assert max(waits) < TIMEOUT_S, max(waits)
