--- a/cowslipcourse/leases/held.py
+++ b/cowslipcourse/leases/held.py
@@ -1,4 +1,4 @@
-"""The holder's view of a lease."""
+"""A lease as its holder sees it."""
 
 from typing import NamedTuple
 
@@ -6,11 +6,11 @@
 
 
 class LeaseTerms(NamedTuple):
-    """How long a lease lasts.
+    """Durations of a lease.
 
-    :param term_s: seconds that a renewal is worth.
-    :param margin_s: seconds that the holder stops early and a taker waits longer,
-        which covers clocks that run at different rates.
+    :param term_s: seconds for which a renewal is valid.
+    :param margin_s: seconds by which the holder stops early and an acquirer waits
+        longer, which covers clocks that run at different rates.
     """
 
     term_s: float
@@ -18,10 +18,10 @@
 
 
 class HeldLease(NamedTuple):
-    """A lease that this process took.
+    """A lease that this process holds.
 
-    :param shard: what is leased.
-    :param fence: fencing token; grows with every holder.
+    :param shard: name of the leased shard.
+    :param fence: fencing token; increases with every holder.
     :param renewed_at: loop time just before the last successful renewal was sent.
     :param terms: :class:`LeaseTerms`
     """
--- a/cowslipcourse/leases/observed.py
+++ b/cowslipcourse/leases/observed.py
@@ -1,4 +1,4 @@
-"""A taker's view of somebody else's lease."""
+"""A lease of another process, as a process that may acquire it sees it."""
 
 from typing import NamedTuple
 
@@ -8,10 +8,10 @@
 
 
 class ObservedLease(NamedTuple):
-    """What a process saw of a lease that it does not hold.
+    """What a process has read of a lease that it does not hold.
 
-    A taker cannot know when the holder renewed, only that the row has not changed
-    since the taker first read it. It therefore waits the whole term from then.
+    A reader cannot know when the holder renewed, only that the row has not changed
+    since it was first read. It therefore waits for the whole term from then on.
 
     :param row_versions: row versions that change with each holder and each renewal.
     :param unchanged_since: loop time of the answer that first showed ``row_versions``.
@@ -23,7 +23,7 @@
     terms: LeaseTerms
 
     def observed(self, row_versions, now):
-        """Return the view after another read.
+        """Return the observation updated by another read.
 
         :param row_versions: row versions read.
         :param now: loop time after the read was answered.
@@ -33,6 +33,6 @@
         return ObservedLease(row_versions, now, self.terms)
 
     def may_acquire(self, now):
-        """Return whether the lease has lapsed for certain."""
+        """Return whether the lease has expired for certain."""
         waited = now - self.unchanged_since
         return waited > self.terms.term_s + self.terms.margin_s
--- a/cowslipcourse/membership/acceptance.py
+++ b/cowslipcourse/membership/acceptance.py
@@ -1,10 +1,10 @@
-"""When a revision is in force everywhere: when no older one can be served any more.
+"""Acceptance of revisions: a revision is accepted once no older one can be served.
 
 A daemon serves an older revision only while at least half of the members of *that*
-revision vouch for it, by answering without knowing a newer one. A run of a daemon
-never goes back to an older revision. So once more than half of the members of an old
-revision are past it, or gone, and the last answer that they gave before has run out,
-nobody can serve it, for good. A revision is accepted when that holds for every older
+revision confirm it, by answering without knowing a newer one. A process never goes back
+to an older revision. So once more than half of the members of an old revision have
+moved past it, or are gone, and the last answer that they gave before has expired,
+nobody can ever serve it again. A revision is accepted when that holds for every older
 revision since the last accepted one.
 """
 
@@ -13,7 +13,7 @@
 __all__ = ["AcceptanceRule"]
 
 MAX_CANDIDATE_REVISIONS = 50
-"""Revisions before the newest that are considered."""
+"""Number of revisions, counted back from the newest, that are considered."""
 
 
 class AcceptanceRule:
@@ -42,7 +42,7 @@
     def newest_accepted(self, revision: Revision, last_accepted, now):
         """Return the newest revision number before which nothing can be served.
 
-        A change of members that comes while an edit waits does not make it wait anew.
+        A change of members during the wait of an edit does not restart that wait.
 
         :param revision: newest revision.
         :param last_accepted: number of the last accepted revision.
@@ -55,7 +55,7 @@
         return last_accepted
 
     def _accepted(self, number, revision, last_accepted, now):
-        """Return whether every revision before a number is extinct."""
+        """Return whether no revision before a number can be served."""
         following = [item.first for item in revision.lists[1:]]
         for listed, next_first in zip(
             revision.lists, [*following, number], strict=True
@@ -68,7 +68,7 @@
         return True
 
     def _cannot_be_served(self, runs, number, revision, now):
-        """Return whether nobody can serve a revision that listed certain runs."""
+        """Return whether nobody can serve a revision with these incarnations."""
         past = [
             self._contacts.moved_past_at(incarnation, number)
             for incarnation, _ in runs.values()
@@ -83,10 +83,10 @@
         return 2 * gone > len(runs)
 
     def _has_moved_past(self, run, number, revision, moved_before):
-        """Return whether a run has been past a revision, or gone, for long enough.
+        """Return whether an incarnation moved past a revision, or is gone, long enough.
 
-        A run is gone if another one answers at its address: two processes cannot
-        both be reached there.
+        An incarnation is gone if another one answers at its address: two processes
+        cannot both be reached there.
         """
         incarnation, address = run
         since = self._contacts.moved_past_at(incarnation, number)
--- a/cowslipcourse/membership/contacts.py
+++ b/cowslipcourse/membership/contacts.py
@@ -1,18 +1,18 @@
-"""What a daemon knows of its peers from answered heartbeats."""
+"""State of peers as known from answered heartbeats."""
 
 from typing import NamedTuple
 
 __all__ = ["Contact", "Contacts"]
 
 MAX_TRACKED_INCARNATIONS = 4096
-"""Runs of daemons whose revisions are remembered."""
+"""Incarnations of daemons whose revisions are remembered."""
 
 
 class Contact(NamedTuple):
     """The newest answered heartbeat to one peer.
 
     :param sent_at: loop time just before the heartbeat was sent.
-    :param incarnation: the run of the peer that answered.
+    :param incarnation: incarnation of the peer that answered.
     :param revision: revision that the peer runs.
     :param stopped: whether the peer takes no new work.
     :param silent: names of members that the peer itself cannot reach.
@@ -26,10 +26,10 @@
 
 
 class Contacts:
-    """Newest contact by peer name, and what every run is known to have reached.
+    """Newest contact by peer name, and the revisions that each incarnation has reached.
 
-    :param memory_s: seconds for which the time of a step to a newer revision is kept;
-        after that only that it was taken at least so long ago.
+    :param memory_s: seconds for which the time of a change to a newer revision is kept;
+        after that it is only known to be at least that long ago.
     """
 
     def __init__(self, memory_s):
@@ -39,11 +39,11 @@
         self._expected_since = {}
 
     def record_answer(self, name, contact, now):
-        """Take in an answered heartbeat.
+        """Record an answered heartbeat.
 
         :param name: peer name.
         :param contact: :class:`Contact`
-        :param now: loop time when the answer was taken in.
+        :param now: loop time at which the answer is recorded.
         """
         self.record_revision(contact.incarnation, contact.revision, now)
         known = self._contacts.get(name)
@@ -51,9 +51,9 @@
             self._contacts[name] = contact
 
     def record_revision(self, incarnation, revision, now):
-        """Note that a run has reached a revision; a run never goes back.
+        """Record that an incarnation has reached a revision; it never goes back.
 
-        :param incarnation: the run.
+        :param incarnation: incarnation of the daemon.
         :param revision: revision number.
         :param now: loop time.
         """
@@ -67,9 +67,9 @@
             del self._steps[next(iter(self._steps))]
 
     def moved_past_at(self, incarnation, revision):
-        """Return since when a run is known to be past a revision.
+        """Return since when an incarnation is known to run a newer revision.
 
-        :returns: loop time, or ``None`` if it is not known to be past it.
+        :returns: loop time, or ``None`` if it is not known to run a newer one.
         """
         for number, since in self._steps.get(incarnation, ()):
             if number > revision:
@@ -81,10 +81,10 @@
         return self._contacts.get(name)
 
     def confirms_revision(self, member, revision, now, within_s):
-        """Return whether a member vouches for a revision.
+        """Return whether a member confirms that a revision is the newest it knows.
 
-        It does if it answered a heartbeat that was sent lately, takes work itself
-        and knows no newer revision.
+        It does if it answered a heartbeat sent within the last ``within_s`` seconds,
+        accepts work itself and knows no newer revision.
         """
         contact = self._contacts.get(member.name)
         if contact is None or contact.stopped or contact.revision > revision:
@@ -94,9 +94,9 @@
         return now - contact.sent_at <= within_s
 
     def silent_members(self, members, now, after_s):
-        """Return the names of members that have not answered for some time.
+        """Return the names of members that have not answered for ``after_s`` seconds.
 
-        A member that was never heard counts from when it was first expected.
+        For a member that has never answered, the time counts from when it was listed.
         """
         names = set()
         for member in members:
@@ -109,7 +109,7 @@
         return frozenset(names)
 
     def set_members(self, members, now):
-        """Take in who the members are; contacts with others are dropped.
+        """Set the current members; contacts with other daemons are dropped.
 
         :param members: iterable of :class:`~cowslipcourse.membership.Member`
         :param now: loop time.
--- a/cowslipcourse/membership/serving.py
+++ b/cowslipcourse/membership/serving.py
@@ -1,8 +1,8 @@
-"""Whether a daemon may take new work.
+"""Rule that decides whether a daemon may accept new work.
 
-A daemon that is cut off must stop before anybody can be told that a revision it
-has not seen is in force everywhere. It may serve while the table service, or at
-least half of the members it knows, vouch for its revision.
+A partitioned daemon must stop before anybody can be told that a revision it has not
+seen is in force everywhere. It may serve while the table service, or at least half of
+the members it knows, confirm its revision.
 """
 
 from typing import NamedTuple
@@ -44,7 +44,7 @@
 
     @property
     def stopped(self):
-        """Whether the daemon takes no new work, as of the last judgement."""
+        """Whether the daemon accepts no new work, as of the last update."""
         return self._stopped
 
     @property
@@ -53,7 +53,7 @@
         return self._revision
 
     def update(self, now):
-        """Stop if contact was lost; call it before taking in anything new.
+        """Stop if contact was lost; call it before processing any message.
 
         :param now: loop time.
         :returns: whether the daemon may serve.
@@ -78,7 +78,7 @@
         return True
 
     def record_table_confirmation(self, number, sent_at, now):
-        """Take in an answered read of the newest revision's number.
+        """Record an answered read of the newest revision number.
 
         :param number: newest revision in the table.
         :param sent_at: loop time just before the read was sent.
@@ -92,10 +92,10 @@
             self._stopped = False
 
     def record_peer_confirmation(self, number, now):
-        """Take in a running peer's word that a revision is the newest it knows.
+        """Record that a serving peer knows no revision newer than this one.
 
-        Contact with one peer does not restart a stopped daemon unless, with it, the
-        daemon counts half of the members again.
+        Contact with one peer resumes a stopped daemon only if at least half of the
+        members then confirm its revision again.
         """
         self.update(now)
         if self._stopped and self._runs_at_least(number) and self._has_quorum(now):
--- a/cowslipcourse/peers/digests.py
+++ b/cowslipcourse/peers/digests.py
@@ -1,9 +1,10 @@
-"""What a reporter tells of its data centre, and when.
+"""Content and timing of the digests that a reporter sends for its data centre.
 
-One daemon speaks for a data centre. In a large one it also tells its own daemons, four
-times a second, what all of them have in flight and which of them live: heartbeats from
-each to each come only every 1.2 s there, by when most requests that they tell of have
-ended, and callers would be sent to a daemon that is gone for 3 s.
+One daemon is the active reporter of a data centre. In a large one it also sends digests
+to its own daemons, four times a second, with the requests in flight of all of them and
+the daemons that are alive: heartbeats between all pairs come only every 1.2 s there, by
+which time most requests that they list have ended, and callers would be sent to a
+daemon that has been gone for up to 3 s.
 """
 
 from cowslipcourse.peers.messages import Digest
@@ -12,12 +13,12 @@
 
 MEMBER_LIST_INTERVAL_S = 2.0
 """Interval at which digests list all members although none has changed: a datagram may
-be lost, two in a hundred on a bad link. The members are most of a digest, which goes to
-every daemon, and bytes between data centres are paid for."""
+be lost, 2 % of them on a bad link. The member list is most of a digest, which goes to
+every daemon, and traffic between data centres is billed."""
 
 
 class DigestWriter:
-    """Writes the digests of a daemon.
+    """Builds the digests of a daemon.
 
     :param settings: :class:`~cowslipcourse.entry.settings.PeerSettings`
     :param registry: :class:`~cowslipcourse.peers.PeerRegistry`
@@ -33,7 +34,7 @@
         self._reported_suspects = set()
 
     def build_local_digest(self, own, now):
-        """Return the digest for the own data centre, or ``None`` if it needs none.
+        """Return the digest for the own data centre, or ``None`` if none is needed.
 
         :param own: this daemon's own :class:`~cowslipcourse.peers.Heartbeat`.
         :param now: loop time.
@@ -45,10 +46,11 @@
         return self._content(own, now, self._local_members)
 
     def build_remote_digest(self, own, now):
-        """Return the digest for reporters elsewhere: content, or that this one lives.
+        """Return the digest for reporters of other data centres.
 
-        When both reporters told everything, four times a second and uncompressed, a
-        link that handed that on to 38 daemons carried 1.9 MB/s of it.
+        Without content it only says that this daemon is alive. When both reporters
+        sent the whole content, four times a second and uncompressed, a link over which
+        it was relayed to 38 daemons carried 1.9 MB/s of it.
         """
         if self._registry.is_active_reporter(own, now) and self._is_due(own, now):
             return self._content(own, now, self._remote_members)
@@ -56,7 +58,7 @@
         return Digest(own.member, self._sequence, None, None, {})
 
     def _is_due(self, own, now):
-        """Whether it is time for content, or a suspicion is to be told at once."""
+        """Return whether content is due, or a new suspicion must be sent at once."""
         suspects = set(own.suspects)
         for heartbeat in self._registry.local_heartbeats(now):
             suspects |= set(heartbeat.suspects)
@@ -65,7 +67,7 @@
         content_age_s = (
             None if self._last_content_at is None else now - self._last_content_at
         )
-        # Digests go with heartbeats, so the next chance is one interval later.
+        # Digests are sent along with heartbeats, so the next one is an interval later.
         margin_s = self._settings.interval_s / 2
         if not has_new_suspects and content_age_s is not None:
             if content_age_s < self._registry.digest_interval_s(now) - margin_s:
@@ -87,14 +89,14 @@
 
 
 class _MemberListTracker:
-    """The members that were listed last, and when."""
+    """Tracks the member list sent last and when it was sent."""
 
     def __init__(self):
         self._members = ()
         self._listed_at = None
 
     def changed_members(self, members, now):
-        """Return the members, or ``None`` if they were listed a moment ago."""
+        """Return the members, or ``None`` if the same list was sent recently."""
         is_recent = (
             self._listed_at is not None
             and now - self._listed_at < MEMBER_LIST_INTERVAL_S
--- a/cowslipcourse/peers/load.py
+++ b/cowslipcourse/peers/load.py
@@ -1,4 +1,4 @@
-"""The sum of what other daemons have in flight at targets."""
+"""Sum of the requests that other daemons have in flight at targets."""
 
 __all__ = ["PeerLoad"]
 
@@ -6,8 +6,8 @@
 class PeerLoad:
     """Requests in flight by target id, summed over senders.
 
-    A message replaces what its sender told before, so taking it in costs what it says
-    and not what all have said.
+    A message replaces the counts of its sender, so applying it costs time proportional
+    to that message and not to all counts.
     """
 
     def __init__(self):
@@ -21,18 +21,18 @@
 
     @property
     def senders(self):
-        """Who has told something."""
+        """Senders whose counts are included."""
         return self._by_sender.keys()
 
     def replace(self, sender, in_flight):
-        """Take what a sender has in flight, in place of what it told before."""
+        """Replace the counts of a sender."""
         self.drop(sender)
         self._by_sender[sender] = in_flight
         for target, number in in_flight.items():
             self._total[target] = self._total.get(target, 0) + number
 
     def drop(self, sender):
-        """Forget what a sender told."""
+        """Remove the counts of a sender."""
         for target, number in self._by_sender.pop(sender, {}).items():
             left = self._total[target] - number
             if left:
@@ -41,7 +41,7 @@
                 del self._total[target]
 
     def retain(self, senders):
-        """Forget all senders but those."""
+        """Remove the counts of all senders except the given ones."""
         for sender in list(self._by_sender):
             if sender not in senders:
                 self.drop(sender)
--- a/cowslipcourse/peers/pace.py
+++ b/cowslipcourse/peers/pace.py
@@ -1,9 +1,9 @@
-"""How often daemons tell each other that they live; pure decisions.
+"""Intervals and timeouts of heartbeats and digests; pure functions.
 
-Inside a data centre each daemon tells all others, so what one hears grows with their
-number while its budget does not. The time between heartbeats grows instead. Reporters
-keep the shortest time: the reading of the store and the forming of groups depend on
-them, and there are two at most.
+Inside a data centre each daemon sends heartbeats to all others, so the traffic that one
+receives would grow with their number while its budget does not. The heartbeat interval
+grows instead. Reporters keep the shortest interval, since reading the store and forming
+groups depend on them, and there are two at most.
 """
 
 __all__ = [
@@ -14,14 +14,15 @@
 ]
 
 FULL_RATE_DAEMONS = 8
-"""Daemons in a data centre up to which none slows down: 32 heartbeats a second."""
+"""Daemons in a data centre up to which all send at the full rate: 32 heartbeats/s."""
 FULL_DIGEST_RATE_DAEMONS = 16
-"""Daemons in a data centre beyond which its digests become rarer: they name what all of
-them have in flight, and every daemon elsewhere gets a copy."""
+"""Daemons in a data centre beyond which its digests are sent less often: they list the
+requests in flight of all of them, and every daemon elsewhere gets a copy."""
 MAX_DIGEST_INTERVAL_S = 0.5
-"""Two digests may be lost before a data centre counts as gone."""
+"""Allows for two lost digests before a data centre is considered gone."""
 MAX_MISSED_HEARTBEATS = 2.5
-"""Heartbeats after whose absence callers are sent elsewhere: one may be lost."""
+"""Heartbeat intervals without a message after which callers are sent elsewhere; allows
+for one lost heartbeat."""
 
 
 def heartbeat_interval_s(settings, local_daemon_count, is_reporter):
@@ -37,7 +38,7 @@
 
 
 def digest_interval_s(settings, local_daemon_count):
-    """Return the seconds between digests that say what a data centre has in flight.
+    """Return the seconds between digests that list the requests in flight.
 
     :param settings: :class:`~cowslipcourse.entry.settings.PeerSettings`
     :param local_daemon_count: daemons in the data centre.
@@ -49,7 +50,7 @@
 
 
 def liveness_timeout_s(settings, heartbeat):
-    """Return the silence after which the sender of a heartbeat counts as gone.
+    """Return the seconds of silence after which a daemon is considered gone.
 
     :param heartbeat: its last :class:`~cowslipcourse.peers.Heartbeat`.
     """
@@ -57,7 +58,7 @@
 
 
 def routable_timeout_s(settings, heartbeat):
-    """Return the silence after which callers are no longer sent to a daemon.
+    """Return the seconds of silence after which callers are not sent to a daemon.
 
     :param heartbeat: its last :class:`~cowslipcourse.peers.Heartbeat`.
     """
--- a/cowslipcourse/peers/packing.py
+++ b/cowslipcourse/peers/packing.py
@@ -1,8 +1,8 @@
-"""Shorter bytes between daemons: what is long enough is compressed.
+"""Compression of messages between daemons.
 
-Entries of targets and lists of daemons repeat names and addresses. Uncompressed, the
-whole list of 930 targets has 304 KB, and daemons that read it anew after a loss filled
-the links of 20 Mbit/s of those that they read from.
+Entries of targets and lists of daemons repeat names and addresses. Uncompressed, a list
+of 930 targets takes 304 KB, and daemons that read it again after a loss saturated the
+20 Mbit/s links of the daemons that they read from.
 """
 
 import zlib
@@ -12,26 +12,26 @@
 __all__ = ["pack", "unpack"]
 
 MIN_COMPRESSED_BYTES = 300
-"""Shorter content fits one packet as it is."""
+"""Shorter content fits one packet uncompressed."""
 COMPRESSION_LEVEL = 1
-"""Fastest: 4 ms for 300 KB on a whole core, so 30 ms on the smallest VMs."""
+"""Fastest level: 4 ms for 300 KB on a whole core, hence 30 ms on the smallest VMs."""
 MAX_UNPACKED_BYTES = 64 * 1024 * 1024
-"""Longest content that is unpacked: far beyond the list of any site, and less than
-what would end a daemon."""
+"""Limit on unpacked content: far more than the list of any site, and less than what
+would exhaust the memory of a daemon."""
 _PACKED, _PLAIN = b"Z", b"P"
 
 
 def pack(content):
-    """Return bytes from which :func:`unpack` returns the content."""
+    """Return content in the form that :func:`unpack` reads, compressed if long."""
     if len(content) < MIN_COMPRESSED_BYTES:
         return _PLAIN + content
     return _PACKED + zlib.compress(content, COMPRESSION_LEVEL)
 
 
 def unpack(content):
-    """Return what was packed.
+    """Return the content of packed bytes.
 
-    :raises MalformedAnswer: it was not packed, was cut short or is too long.
+    :raises MalformedAnswer: the bytes are not packed, truncated or too long.
     """
     kind, rest = content[:1], content[1:]
     if kind == _PLAIN:
--- a/cowslipcourse/peers/registry.py
+++ b/cowslipcourse/peers/registry.py
@@ -74,7 +74,7 @@
         return self._load.total
 
     def add_address(self, address, data_centre, now):
-        """Write to a daemon that was learnt of elsewhere, for a while at least."""
+        """Add an address known from elsewhere; it expires like any other."""
         self._addresses.setdefault(address, (data_centre, now))
 
     def is_unknown(self, member):
@@ -222,7 +222,7 @@
         ]
 
     def _recent_digests(self, now):
-        """Return what was received lately from every reporter of other data centres."""
+        """Return the recent digests of every reporter of other data centres."""
         return [
             received
             for received in self._digests.values()
@@ -252,7 +252,7 @@
     def remote_addresses(self, now):
         """Return the addresses that a digest goes to: reporters elsewhere.
 
-        Of a data centre that is not received from, every daemon is written to.
+        For a data centre without a recent digest, the addresses of all its daemons.
         """
         self._forget_addresses(now)
         received = {}
@@ -303,7 +303,7 @@
         """Return the reporter of each data centre that registered first.
 
         :param own: this daemon's own :class:`~cowslipcourse.peers.Heartbeat`.
-        :returns: :class:`Member` by data centre; none where no reporter is received.
+        :returns: :class:`Member` by data centre; none where no reporter is known.
         """
         first = self.reporters(own, now)[:1]
         eligible = [
--- a/cowslipcourse/peers/splitting.py
+++ b/cowslipcourse/peers/splitting.py
@@ -1,20 +1,20 @@
-"""Changes of the list of targets in datagrams that are short enough."""
+"""Splitting of changes of the target list into datagrams of bounded size."""
 
 from cowslipcourse.peers.messages import TargetChanges
 
 __all__ = ["split_changes"]
 
 MAX_DATAGRAM_ENTRIES = 64
-"""Entries in one datagram: 64 of 300 bytes are 20 KB, or 2 to 4 KB packed. At a site's
-start hundreds change within a quarter of a second."""
+"""Entries in one datagram: 64 of 300 bytes are 20 KB, or 2 to 4 KB packed. When a site
+starts, hundreds change within a quarter of a second."""
 
 
 def split_changes(changes, versions):
-    """Return :class:`TargetChanges` that follow on each other in place of one.
+    """Split :class:`TargetChanges` into a list of consecutive ones.
 
     Each but the last ends with the store version of its last entry, so a reader that
-    has taken the first ones knows all changes up to there. Entries of one version stay
-    together.
+    has applied the first ones has all changes up to that version. Entries of one
+    version stay together.
 
     :param changes: :class:`TargetChanges`
     :param versions: store version of each entry's change, by target id.
--- a/cowslipcourse/quarantining/crash_reporting.py
+++ b/cowslipcourse/quarantining/crash_reporting.py
@@ -1,8 +1,8 @@
-"""What the ends of targets say of requests, and to whom it is told.
+"""Reports of target exits to the daemons that evaluate the affected requests.
 
-It goes to a few daemons, the judges of a request: those that come first by a hash of
-request and address. They are the same whoever asks, so three ends that three daemons
-saw are counted together.
+The evaluators of a request are the daemons that come first by a hash of request and
+address. All daemons compute the same ones, so that exits seen by three daemons are
+counted together.
 """
 
 import asyncio
@@ -17,47 +17,47 @@
 __all__ = ["CrashReporting", "QuarantinePeers", "is_first_evaluator"]
 
 EVALUATORS_PER_REQUEST = 8
-"""Daemons that judge a request: on the smallest sites all of them. On larger ones a few
-may differ from daemon to daemon while one starts or ends."""
+"""Daemons that evaluate a request: all of them on the smallest sites. On larger ones
+the sets of two daemons may differ slightly while a daemon starts or stops."""
 HASH_BYTES = 8
 REPORT_RESEND_DELAY_S = 0.4
-"""When a report is sent once more, if its request has not been answered meanwhile. Most
-requests that were only beside an end have been, and bytes between data centres are paid
-for."""
+"""Delay after which a report is sent once more, unless its request has been answered by
+then. Most requests that only ran beside the cause of an exit have been, and traffic
+between data centres is billed."""
 MAX_DATAGRAM_REPORTS = 64
-"""Reports in one datagram, 5 KB; many targets may end at the same moment."""
+"""Reports in one datagram, 5 KB; many targets may exit at the same moment."""
 
 log = get_logger(__name__)
 
 
 class QuarantinePeers(Protocol):
-    """How a daemon reaches the others."""
+    """Messaging between daemons, as the quarantine uses it."""
 
     @property
     def address(self) -> str:
         """This daemon's own address."""
 
     def alive_addresses(self) -> list[str]:
-        """Return the addresses of the other daemons that live."""
+        """Return the addresses of the other daemons that are alive."""
 
     def all_addresses(self) -> list[str]:
         """Return the addresses of all other daemons that are known."""
 
     def repeat_addresses(self) -> list[str]:
-        """Return the addresses that this daemon repeats verdicts to, if it does."""
+        """Return the addresses to repeat verdicts to; empty if another daemon does."""
 
     def send(self, message, addresses) -> None:
         """Send a message to some daemons, once; it may be lost."""
 
 
 class CrashReporting:
-    """Looks into runs that targets broke off, and reports those that ended them.
+    """Checks runs that targets broke off, and reports those whose target has exited.
 
     :param peers: :class:`QuarantinePeers`
     :param exit_detector:
         :class:`~cowslipcourse.quarantining.target_ends.TargetExitDetector`
     :param suspects: :class:`~cowslipcourse.quarantine.Suspects` of this daemon.
-    :param evaluate: takes the reports that this daemon is to judge, one by one.
+    :param evaluate: callable for each report that this daemon is to evaluate.
     """
 
     def __init__(self, peers, exit_detector, suspects, evaluate):
@@ -69,7 +69,7 @@
         self._tasks = set()
 
     def report_if_exited(self, call, run):
-        """Report a run that its target broke off, if the target has ended.
+        """Report a run that its target broke off, if the target has exited.
 
         :param call: :class:`~cowslipcourse.entry.calls.Call`
         :param run: :class:`~cowslipcourse.entry.attempts.TargetRun`
@@ -103,7 +103,7 @@
         if is_cleared:
             return
         if not self._reports:
-            # All requests that were at the target learn of its end in one turn.
+            # All requests at the target learn of its exit in one turn of the loop.
             asyncio.get_running_loop().call_soon(self._send_reports)
         self._reports.append(report)
 
@@ -122,7 +122,7 @@
             )
 
     def _send_to_evaluator(self, evaluator, reports, is_resend=False):
-        """Send reports, and once more those whose requests are not answered by then."""
+        """Send reports, and resend those whose requests are still unanswered."""
         if is_resend:
             now = _now()
             answered = self._suspects.was_answered
@@ -138,7 +138,7 @@
 
 
 def is_first_evaluator(peers, fingerprint):
-    """Whether this daemon is the first of those that judge a request.
+    """Return whether this daemon is the first evaluator of a request.
 
     :param peers: :class:`QuarantinePeers`
     """
@@ -146,7 +146,7 @@
 
 
 def _evaluators(peers, fingerprint):
-    """Return the addresses of the daemons that judge a request, the first first."""
+    """Return the addresses of the evaluators of a request, in order of rank."""
     addresses = [peers.address, *peers.alive_addresses()]
     return sorted(addresses, key=lambda each: _rank(fingerprint, each))[
         :EVALUATORS_PER_REQUEST
--- a/cowslipcourse/quarantining/target_ends.py
+++ b/cowslipcourse/quarantining/target_ends.py
@@ -1,9 +1,9 @@
-"""Tell whether a target has ended, after it closed connections under requests.
+"""Detection of targets whose process has exited while they ran requests.
 
-A connection that breaks says little: it may have been reset on the way, or the target
-may have dropped it. A process that has ended leaves nobody who listens, so its host
-refuses the next connection. A host that is lost or cut off refuses nothing, and a
-target that was about to leave has ended as planned: neither says anything about the
+A broken connection is weak evidence: it may have been reset on the way, or the target
+may have closed it. After a process has exited nothing listens on its port, so its host
+refuses the next connection. A host that is lost or unreachable refuses nothing, and a
+target that was about to leave has exited as planned: neither says anything about the
 requests that it ran.
 """
 
@@ -17,17 +17,18 @@
 __all__ = ["TargetExitDetector", "refuses_connections"]
 
 CONNECT_TIMEOUT_S = 0.4
-"""A host that lives answers within some ms; a lost packet is sent again in a second."""
+"""A live host answers within some ms; a lost packet is retransmitted after a second."""
 MAX_CONNECT_ATTEMPTS = 3
-"""Connections that are tried while there is neither an answer nor a refusal."""
+"""Connection attempts while there is neither an answer nor a refusal."""
 MAX_REMEMBERED_EXITS = 1_000
-"""Lives whose end is remembered, about 200 KB: requests learn of one end together."""
+"""Exited incarnations that are remembered, about 200 KB: several requests ask about the
+same exit."""
 
 log = get_logger(__name__)
 
 
 async def refuses_connections(address):
-    """Whether the host of an address lives, and nobody listens there.
+    """Return whether the host of an address is up and refuses connections there.
 
     :param address: ``ip:port``
     """
@@ -44,11 +45,10 @@
 
 
 class TargetExitDetector:
-    """Looks into broken connections, once for all requests that they broke under.
+    """Checks targets after broken connections, once for all affected requests.
 
     :param is_expected: callable that tells whether a target is listed with this
-        incarnation and is
-        not about to leave.
+        incarnation and is not about to leave.
     :param check_refusal: coroutine function like :func:`refuses_connections`.
     """
 
@@ -59,7 +59,7 @@
         self._ended = OrderedDict()
 
     def detect_exit(self, entry):
-        """Return a task that tells whether this life of a target has ended by itself.
+        """Return a task whose result is whether this incarnation has exited by itself.
 
         :param entry: :class:`~cowslipcourse.ports.TargetEntry`
         """
--- a/cowslipcourse/streams/events.py
+++ b/cowslipcourse/streams/events.py
@@ -1,4 +1,4 @@
-"""Split a stream into whole events (``text/event-stream``)."""
+"""Splitting of a ``text/event-stream`` into complete events."""
 
 import re
 from typing import NamedTuple
@@ -13,10 +13,10 @@
 
 
 class Event(NamedTuple):
-    """A whole event.
+    """A complete event.
 
     :param number: its id, or ``None`` if it has none.
-    :param raw: its bytes with the blank line behind it.
+    :param raw: its bytes including the terminating blank line.
     """
 
     number: int | None
@@ -24,20 +24,20 @@
 
 
 class EventSplitter:
-    """Collects bytes until whole events are there."""
+    """Buffers bytes until events are complete."""
 
     def __init__(self):
         self._rest = b""
 
     @property
     def has_partial_event(self):
-        """Whether an event has begun that is not whole."""
+        """Whether the buffer holds an incomplete event."""
         return bool(self._rest)
 
     def feed(self, content):
-        """Return the list of :class:`Event` that are whole now.
+        """Add bytes and return the list of :class:`Event` that they complete.
 
-        :raises MalformedAnswer: an event is too long.
+        :raises MalformedAnswer: an event exceeds ``MAX_EVENT_BYTES``.
         """
         content = self._rest + content
         events, start = [], 0
--- a/cowslipcourse/streams/position.py
+++ b/cowslipcourse/streams/position.py
@@ -1,4 +1,4 @@
-"""How far a caller's stream has come, over all targets that served it."""
+"""Position of a caller's stream across all targets that have served it."""
 
 from cowslipcourse.exceptions import MalformedAnswer
 
@@ -6,7 +6,7 @@
 
 
 class StreamPosition:
-    """Lets each event pass once and in order.
+    """Relays each event once and in order.
 
     :param resumed_after: id of the last event that the caller has, or ``None``.
     """
@@ -16,11 +16,11 @@
         self.relayed_events = 0
 
     def filter_events(self, events):
-        """Return the bytes of the events that the caller lacks.
+        """Return the bytes of the events that the caller does not have yet.
 
         :param events: list of :class:`~cowslipcourse.streams.Event`
-        :returns: ``(bytes, MalformedAnswer or None)``; what stands before a fault is
-            to be passed on.
+        :returns: ``(bytes, MalformedAnswer or None)``; the bytes before
+            a gap in the event ids are to be relayed.
         """
         wanted = []
         for event in events:
