--- a/features/steps/forwarding_steps.py
+++ b/features/steps/forwarding_steps.py
@@ -234,7 +234,9 @@
     for step in range(int(rate * duration_s)):
         now = step / rate
         running = [run for run in running if run[0] > now]
-        history.append((now, [(owner, target) for _, owner, target in running]))
+        history.append(
+            (now, [(sender, chosen_target) for _, sender, chosen_target in running])
+        )
         while history[0][0] < now - delay_s:
             history.pop(0)
         daemon = rng.randrange(daemon_count)
