--- a/cowslipcourse/controller/acceptor.py
+++ b/cowslipcourse/controller/acceptor.py
@@ -9,7 +9,7 @@
 from cowslipcourse.membership import Role
 from cowslipcourse.ports.platform import ABSENT, Transaction
 
-__all__ = ["Acceptor"]
+__all__ = ["RevisionAcceptor"]
 
 LOOK_S = 0.25
 DELAY_PER_RANK_S = 1.0
@@ -17,7 +17,7 @@
 log = get_logger(__name__)
 
 
-class Acceptor:
+class RevisionAcceptor:
     """Accepts revisions and evicts members that nobody reaches.
 
     Every controller runs one; those of lower rank wait a little, so that usually one
@@ -107,7 +107,7 @@
 
     def _rank(self):
         revision = self._agent.revision
-        silent = self._agent.silent()
+        silent = self._agent.silent_members()
         names = sorted(
             member.name
             for member in revision.members.values()
--- a/cowslipcourse/controller/api.py
+++ b/cowslipcourse/controller/api.py
@@ -59,17 +59,17 @@
 class OperatorApi:
     """Routes of the operators' API.
 
-    :param services: :class:`~cowslipcourse.controller.services.Services`
+    :param context: :class:`~cowslipcourse.controller.services.ControllerContext`
     :param edits: :class:`~cowslipcourse.controller.edits.EditService`
-    :param acceptor: :class:`~cowslipcourse.controller.acceptor.Acceptor`
-    :param keeper: :class:`~cowslipcourse.controller.shards.ShardKeeper`
+    :param acceptor: :class:`~cowslipcourse.controller.acceptor.RevisionAcceptor`
+    :param shard_manager: :class:`~cowslipcourse.controller.shards.ShardManager`
     """
 
-    def __init__(self, services, edits, acceptor, keeper):
-        self._services = services
+    def __init__(self, context, edits, acceptor, shard_manager):
+        self._context = context
         self._edits = edits
         self._acceptor = acceptor
-        self._keeper = keeper
+        self._shard_manager = shard_manager
 
     def app(self):
         """Return the ASGI application."""
@@ -100,7 +100,7 @@
         token = header.removeprefix("Bearer ")
         digest = hashlib.sha256(token.encode()).hexdigest()
         try:
-            text = self._services.settings.operators.tokens_file.read_text()
+            text = self._context.settings.operators.tokens_file.read_text()
         except OSError as error:
             raise NotAuthorised("the tokens file cannot be read") from error
         for line in text.splitlines():
@@ -136,14 +136,16 @@
 
     async def _configuration(self, request, operator):
         number = _number(request, "revision", None)
-        number, configuration = await self._edits.revision(number)
+        number, configuration = await self._edits.read_configuration(number)
         return json_answer({"revision": number, "configuration": configuration})
 
     async def _status(self, request, operator):
-        return json_answer(system_status(self._services, self._acceptor, self._keeper))
+        return json_answer(
+            system_status(self._context, self._acceptor, self._shard_manager)
+        )
 
     async def _audit(self, request, operator):
-        records = await self._edits.audit()
+        records = await self._edits.read_audit_records()
         wanted_operator = request.query_params.get("operator")
         wanted_object = request.query_params.get("object")
         since = _number(request, "since", 0)
--- a/cowslipcourse/controller/changes.py
+++ b/cowslipcourse/controller/changes.py
@@ -5,9 +5,9 @@
 """
 
 from cowslipcourse.adapters.log import get_logger
-from cowslipcourse.controller.health import ANOTHER_ASSIGNMENT, member_fault
+from cowslipcourse.controller.health import REASON_OTHER_ASSIGNMENT, member_fault
 from cowslipcourse.daemon import now
-from cowslipcourse.daemon.reports import CHANGING, GROUP_PREFIX, decode_report
+from cowslipcourse.daemon.reports import GROUP_PREFIX, REASON_CHANGING, decode_report
 from cowslipcourse.placement import LoadNeed, Weights, load_order
 
 __all__ = ["GroupChanges"]
@@ -37,7 +37,7 @@
 
     def withheld(self, spec):
         """Return why a group gets no new requests, or an empty string."""
-        return CHANGING if spec.group in self._quiescing else ""
+        return REASON_CHANGING if spec.group in self._quiescing else ""
 
     def is_quiet(self, spec):
         """Return whether no request can be running in a group."""
@@ -87,7 +87,7 @@
             shard.publisher.publish_gone(spec, shard.lease.fence, now())
             log.info("group-dissolved", group=spec.group)
         elif self._must_reload(spec):
-            model = shard.watch.configuration.model[spec.model]
+            model = shard.fleet.configuration.model[spec.model]
             changed = spec._replace(
                 epoch=spec.epoch + 1,
                 version=model.version,
@@ -100,30 +100,30 @@
 
     def _fault(self, spec, member):
         status = self._shard.status(member.vm)
-        resolved = self._shard.resolved
+        resolved = self._shard.resolved_configuration
         vm = resolved.vms.get(member.vm)
         return member_fault(spec, member, status, vm, resolved.draining)
 
     def _must_go(self, spec):
         shard = self._shard
-        declared = shard.watch.configuration.group.get(spec.declaration)
+        declared = shard.fleet.configuration.group.get(spec.declaration)
         if declared is None or declared.model != spec.model:
             return True
         if declared.vms_per_group != len(spec.members) or spec.group in self._excess:
             return True
-        candidates = shard.resolved.group_vms.get(spec.declaration, ())
+        candidates = shard.resolved_configuration.group_vms.get(spec.declaration, ())
         listed = [name for name in spec.vm_names if name in shard.vms]
         return not set(candidates).issuperset(listed)
 
     def _must_reload(self, spec):
-        model = self._shard.watch.configuration.model.get(spec.model)
+        model = self._shard.fleet.configuration.model.get(spec.model)
         if model is None:
             return False
         return (model.version, tuple(model.adapters)) != (spec.version, spec.adapters)
 
     def _turn(self, spec):
         """Whether this group is the next of its declaration to reload."""
-        model = self._shard.watch.configuration.model[spec.model]
+        model = self._shard.fleet.configuration.model[spec.model]
         reports = self._reports(spec.declaration)
         for report in reports:
             other = report.spec
@@ -150,7 +150,7 @@
             if spec.group in self._quiescing:
                 continue
             faults = {m: self._fault(spec, m) for m in spec.members}
-            wanted = [m for m, f in faults.items() if f == ANOTHER_ASSIGNMENT]
+            wanted = [m for m, f in faults.items() if f == REASON_OTHER_ASSIGNMENT]
             blocked = any(f in ABSENT for f in faults.values())
             loaded = len(spec.members) - len(wanted)
             accelerators = self._accelerators(spec)
@@ -158,14 +158,14 @@
                 LoadNeed(spec.group, len(wanted), loaded, blocked, accelerators)
             )
             lacking[spec.group] = wanted
-        site = shard.watch.configuration.site_policy
+        site = shard.fleet.configuration.site_policy
         weights = Weights(site.downtime_weight, site.stranded_weight)
         for need in load_order(needs, weights):
             await self._load(shard.groups.specs[need.group], lacking[need.group])
 
     async def _load(self, spec, members):
         shard = self._shard
-        model = shard.watch.configuration.model.get(spec.model)
+        model = shard.fleet.configuration.model.get(spec.model)
         size_bytes = model.weights_bytes if model else 1
         for member in members:
             await shard.orders.load(shard.lease, spec, member, size_bytes)
--- a/cowslipcourse/controller/edits.py
+++ b/cowslipcourse/controller/edits.py
@@ -20,7 +20,7 @@
     resolve,
 )
 from cowslipcourse.controller.groups import GROUP_PREFIX
-from cowslipcourse.daemon.revisions import HEAD_KEY, document_key, head_value
+from cowslipcourse.daemon.revisions import HEAD_KEY, document_key, head_row_value
 from cowslipcourse.exceptions import (
     ConditionFailed,
     ConfirmationRequired,
@@ -33,16 +33,16 @@
 from cowslipcourse.membership import Revision
 from cowslipcourse.ports.platform import ABSENT, Transaction
 
-__all__ = ["AUDIT_PREFIX", "Committed", "EditService"]
+__all__ = ["AUDIT_PREFIX", "EditResult", "EditService"]
 
 AUDIT_PREFIX = "audit/"
-COMMIT_TRIES = 20
-READ_BACK_TRIES = 3
+MAX_COMMIT_ATTEMPTS = 20
+MAX_READ_BACK_ATTEMPTS = 3
 
 log = get_logger(__name__)
 
 
-class Committed(NamedTuple):
+class EditResult(NamedTuple):
     """An edit that was made, or that would be made.
 
     :param revision: its revision number; 0 for a trial.
@@ -53,7 +53,7 @@
     plan: Plan
 
 
-class Draft(NamedTuple):
+class EditDraft(NamedTuple):
     """An edit worked out against the newest revision.
 
     :param head: newest :class:`~cowslipcourse.membership.Revision`
@@ -87,25 +87,25 @@
         """Work out an edit without making it.
 
         :param edit: :class:`~cowslipcourse.config.Edit`
-        :returns: :class:`Committed` with revision 0.
+        :returns: :class:`EditResult` with revision 0.
         :raises ConfigurationError: the result would not be valid.
         :raises EditConflict: another edit changed the same objects.
         """
         draft = await self._draft(edit)
-        return Committed(0, draft.plan)
+        return EditResult(0, draft.plan)
 
     async def commit(self, edit):
         """Make an edit.
 
         :param edit: :class:`~cowslipcourse.config.Edit`
-        :returns: :class:`Committed`
+        :returns: :class:`EditResult`
         :raises ConfirmationRequired: destructive and not confirmed.
         :raises StoreUnavailable: nothing was changed.
         :raises ReplyLost: it is not known whether it was made; the same edit may be
             sent again with the same id.
         """
-        for _ in range(COMMIT_TRIES):
-            made = await self._made(edit)
+        for _ in range(MAX_COMMIT_ATTEMPTS):
+            made = await self._read_result(edit)
             if made is not None:
                 return made
             draft = await self._draft(edit)
@@ -116,12 +116,12 @@
             except ConditionFailed:
                 continue
             except ReplyLost:
-                made = await self._read_back(edit)
+                made = await self._resolve_lost_reply(edit)
                 if made is not None:
                     return made
         raise StoreUnavailable("the head row is contended; nothing was changed")
 
-    async def revision(self, number=None):
+    async def read_configuration(self, number=None):
         """Return ``(revision number, configuration)``, the newest by default.
 
         :raises UnknownObject: no edit made that revision.
@@ -134,25 +134,25 @@
             raise UnknownObject(f"revision {number} was not made by an edit")
         return number, row.value["configuration"]
 
-    async def audit(self):
+    async def read_audit_records(self):
         """Return the audit records, newest first."""
         rows = await self._table.scan(AUDIT_PREFIX)
         return [row.value for row in reversed(rows)]
 
-    async def _made(self, edit):
+    async def _read_result(self, edit):
         row = await self._table.read(f"edit/{edit.edit_id}")
         if row is None:
             return None
         plan = msgspec.convert(row.value["plan"], Plan)
-        return Committed(row.value["revision"], plan)
+        return EditResult(row.value["revision"], plan)
 
-    async def _read_back(self, edit):
+    async def _resolve_lost_reply(self, edit):
         """Find out whether a commit whose reply was lost took effect."""
-        for attempt in range(READ_BACK_TRIES):
+        for attempt in range(MAX_READ_BACK_ATTEMPTS):
             try:
-                return await self._made(edit)
+                return await self._read_result(edit)
             except StoreUnavailable:
-                if attempt == READ_BACK_TRIES - 1:
+                if attempt == MAX_READ_BACK_ATTEMPTS - 1:
                     raise ReplyLost("send the edit again with the same id") from None
         return None
 
@@ -175,10 +175,10 @@
         groups = [ExistingGroup(s.group, s.declaration, s.vm_names) for s in specs]
         new_resolved = resolve(new, vms)
         plan = make_plan(old, resolve(old, vms), new, new_resolved, groups)
-        return Draft(head, version, history, new, plan)
+        return EditDraft(head, version, history, new, plan)
 
     async def _commit(self, edit, draft):
-        accepted = await self._revisions.accepted()
+        accepted = await self._revisions.read_accepted_number()
         content = draft.configuration.model_dump(mode="json")
         revision = draft.head.next(draft.head.members, accepted)
         number = revision.number
@@ -197,7 +197,7 @@
             "destructive": draft.plan.destructive,
         }
         writes = {
-            HEAD_KEY: head_value(revision, edit.edit_id),
+            HEAD_KEY: head_row_value(revision, edit.edit_id),
             document_key(number): {
                 "configuration": content,
                 "history": {**draft.history, **touched},
@@ -208,4 +208,4 @@
         conditions = {HEAD_KEY: draft.head_version, f"edit/{edit.edit_id}": ABSENT}
         await self._table.commit(Transaction(conditions, writes))
         log.info("edit", revision=number, operator=edit.operator, edit=edit.edit_id)
-        return Committed(number, draft.plan)
+        return EditResult(number, draft.plan)
--- a/cowslipcourse/controller/fleet_watch.py
+++ b/cowslipcourse/controller/fleet_watch.py
@@ -14,14 +14,14 @@
 from cowslipcourse.exceptions import ConfigurationError, StoreError
 from cowslipcourse.fleet import VmState
 
-__all__ = ["FleetWatch"]
+__all__ = ["FleetMonitor"]
 
-REPEAT_DEPARTURES_S = 5.0
+DEPARTURE_REPORT_INTERVAL_S = 5.0
 
 log = get_logger(__name__)
 
 
-class FleetWatch:
+class FleetMonitor:
     """Polls the VM list and resolves the configuration over it.
 
     :param vm_list: :class:`~cowslipcourse.ports.VmList`
@@ -34,11 +34,11 @@
         self._agent = agent
         self._poll_s = poll_s
         self._vms = []
-        self._listed_at = None
+        self._list_read_at = None
         self._configuration = Configuration()
-        self._resolved = resolve(self._configuration, ())
+        self._resolved_configuration = resolve(self._configuration, ())
         self._problems = ()
-        agent.on_revision(self._take_revision)
+        agent.on_revision(self._apply_revision)
 
     @property
     def configuration(self):
@@ -46,9 +46,9 @@
         return self._configuration
 
     @property
-    def resolved(self):
+    def resolved_configuration(self):
         """The :class:`~cowslipcourse.config.ResolvedConfiguration` of the fleet."""
-        return self._resolved
+        return self._resolved_configuration
 
     @property
     def vms(self):
@@ -56,9 +56,9 @@
         return self._vms
 
     @property
-    def list_age_s(self):
+    def vm_list_age_s(self):
         """Seconds since the list was last read, or ``None``."""
-        return None if self._listed_at is None else now() - self._listed_at
+        return None if self._list_read_at is None else now() - self._list_read_at
 
     @property
     def problems(self):
@@ -70,7 +70,7 @@
         while True:
             try:
                 vms = await self._vm_list.list_vms()
-                self._listed_at = now()
+                self._list_read_at = now()
                 if vms != self._vms:
                     self._vms = vms
                     self._resolve()
@@ -85,7 +85,7 @@
         Whoever sees it first says it, also while another controller, which holds the
         shard, cannot see the list.
         """
-        names = set(self._resolved.draining)
+        names = set(self._resolved_configuration.draining)
         names.update(vm.name for vm in self._vms if vm.state == VmState.LEAVING)
         listed = {vm.name for vm in self._vms}
         for record in self._agent.records.with_prefix(GROUP_PREFIX):
@@ -95,10 +95,10 @@
         report = DepartureReport(member.name, tuple(sorted(names)))
         known = self._agent.records.get(key)
         changed = known is None or decode_report(known) != report
-        if changed or now() - known.observed_at > REPEAT_DEPARTURES_S:
+        if changed or now() - known.observed_at > DEPARTURE_REPORT_INTERVAL_S:
             self._agent.publish(key, report)
 
-    def _take_revision(self, revision):
+    def _apply_revision(self, revision):
         try:
             self._configuration = Configuration.model_validate(revision.configuration)
         except ValueError as error:
@@ -108,7 +108,7 @@
 
     def _resolve(self):
         try:
-            self._resolved = resolve(self._configuration, self._vms)
+            self._resolved_configuration = resolve(self._configuration, self._vms)
             self._problems = ()
         except ConfigurationError as error:
             # New VMs can make selectors overlap; what runs goes on as it is.
--- a/cowslipcourse/controller/formation.py
+++ b/cowslipcourse/controller/formation.py
@@ -9,7 +9,7 @@
 from cowslipcourse.fleet import GroupMember, GroupSpec, VmState
 from cowslipcourse.placement import Demand, allocate
 
-__all__ = ["Formation"]
+__all__ = ["GroupFormation"]
 
 EXCESS_STEADY_S = 10.0
 """Seconds for which a group must have been too many before it is given up."""
@@ -17,7 +17,7 @@
 log = get_logger(__name__)
 
 
-class Formation:
+class GroupFormation:
     """Brings the number of groups in the domain to what is wanted.
 
     :param shard: :class:`~cowslipcourse.controller.worker.Shard`
@@ -30,7 +30,7 @@
     async def run(self):
         """Form groups, and mark groups beyond the number wanted."""
         excess = set()
-        for name, declared in self._shard.watch.configuration.group.items():
+        for name, declared in self._shard.fleet.configuration.group.items():
             formed = self._formed(name)
             wanted = allocate(self._demand(name, declared, formed))
             own = formed.get(self._shard.domain, 0)
@@ -55,7 +55,7 @@
         return counts
 
     def _demand(self, declaration, declared, formed):
-        resolved = self._shard.resolved
+        resolved = self._shard.resolved_configuration
         candidates = {}
         for name in resolved.group_vms.get(declaration, ()):
             vm = resolved.vms[name]
@@ -65,7 +65,7 @@
 
     async def _form(self, declaration, declared, number):
         shard = self._shard
-        model = shard.watch.configuration.model[declared.model]
+        model = shard.fleet.configuration.model[declared.model]
         free = free_vms(shard, declaration)
         size = declared.vms_per_group
         for index in range(min(number, len(free) // size)):
--- a/cowslipcourse/controller/health.py
+++ b/cowslipcourse/controller/health.py
@@ -8,13 +8,13 @@
 from cowslipcourse.fleet import VM, VmState
 from cowslipcourse.ports import EngineStatus
 
-__all__ = ["ANOTHER_ASSIGNMENT", "Health", "Prober", "member_fault"]
+__all__ = ["REASON_OTHER_ASSIGNMENT", "Prober", "TargetHealth", "member_fault"]
 
 
-ANOTHER_ASSIGNMENT = "holds-another-assignment"
+REASON_OTHER_ASSIGNMENT = "holds-another-assignment"
 
 
-class Health(NamedTuple):
+class TargetHealth(NamedTuple):
     """The newest answer of a target.
 
     :param status: what it said of itself.
@@ -42,7 +42,7 @@
         self._missing_since = {}
 
     def get(self, name):
-        """Return the newest :class:`Health` of a VM, or ``None``."""
+        """Return the newest :class:`TargetHealth` of a VM, or ``None``."""
         return self._health.get(name)
 
     def fresh(self, name, since):
@@ -89,7 +89,7 @@
             idle_since = (before.idle_since if same else None) or sent_at
         if status.load.running + status.load.waiting == 0:
             quiet_since = (before.quiet_since if same else None) or sent_at
-        self._health[name] = Health(status, sent_at, idle_since, quiet_since)
+        self._health[name] = TargetHealth(status, sent_at, idle_since, quiet_since)
 
 
 def member_fault(spec, member, status, vm: VM | None, draining):
@@ -113,7 +113,7 @@
         return "drained"
     held = (status.group, status.epoch, status.model, status.version)
     if held != (spec.group, spec.epoch, spec.model, spec.version):
-        return ANOTHER_ASSIGNMENT
+        return REASON_OTHER_ASSIGNMENT
     if status.state != "ready":
         return "loading"
     return ""
--- a/cowslipcourse/controller/main.py
+++ b/cowslipcourse/controller/main.py
@@ -6,13 +6,13 @@
 from cowslipcourse.adapters.platform import HttpPlatform
 from cowslipcourse.adapters.targets import HttpTargets
 from cowslipcourse.adapters.web import WebServer
-from cowslipcourse.controller.acceptor import Acceptor
+from cowslipcourse.controller.acceptor import RevisionAcceptor
 from cowslipcourse.controller.api import OperatorApi
 from cowslipcourse.controller.edits import EditService
-from cowslipcourse.controller.fleet_watch import FleetWatch
+from cowslipcourse.controller.fleet_watch import FleetMonitor
 from cowslipcourse.controller.observer import Observer
-from cowslipcourse.controller.services import Services
-from cowslipcourse.controller.shards import ShardKeeper
+from cowslipcourse.controller.services import ControllerContext
+from cowslipcourse.controller.shards import ShardManager
 from cowslipcourse.daemon import Agent, run_daemon, run_forever
 from cowslipcourse.membership import Role
 from cowslipcourse.settings import ControllerSettings
@@ -39,27 +39,27 @@
         platform = HttpPlatform(settings.platform, settings.daemon.name)
         targets = HttpTargets(settings.target)
         agent = Agent(settings, Role.CONTROLLER, platform)
-        watch = FleetWatch(platform, agent, VM_LIST_POLL_S)
-        services = Services(settings, agent, watch, platform, targets)
-        acceptor = Acceptor(agent, platform)
-        keeper = ShardKeeper(services)
+        fleet = FleetMonitor(platform, agent, VM_LIST_POLL_S)
+        context = ControllerContext(settings, agent, fleet, platform, targets)
+        acceptor = RevisionAcceptor(agent, platform)
+        shard_manager = ShardManager(context)
         edits = EditService(platform, platform, agent.revisions)
-        api = OperatorApi(services, edits, acceptor, keeper)
+        api = OperatorApi(context, edits, acceptor, shard_manager)
         server = WebServer(api.app(), settings.daemon.public_address)
         await agent.start()
         await server.start()
         tasks = [
-            run_forever(watch.run(), "fleet-watch"),
+            run_forever(fleet.run(), "fleet-watch"),
             run_forever(acceptor.run(), "acceptor"),
-            run_forever(keeper.run(), "shard-keeper"),
-            run_forever(Observer(services, keeper).run(), "observer"),
+            run_forever(shard_manager.run(), "shard-keeper"),
+            run_forever(Observer(context, shard_manager).run(), "observer"),
         ]
         log.info("started", daemon=settings.daemon.name)
         await stopping.wait()
         await server.stop()
         for task in tasks:
             task.cancel()
-        await keeper.stop()
+        await shard_manager.stop()
         await agent.leave()
         await agent.stop()
         await targets.close()
--- a/cowslipcourse/controller/observer.py
+++ b/cowslipcourse/controller/observer.py
@@ -9,12 +9,12 @@
 
 import asyncio
 
-from cowslipcourse.controller.health import ANOTHER_ASSIGNMENT, Prober
+from cowslipcourse.controller.health import REASON_OTHER_ASSIGNMENT, Prober
 from cowslipcourse.controller.reports import ReportPublisher, group_fault
 from cowslipcourse.daemon import now
 from cowslipcourse.daemon.reports import (
-    CHANGING,
     GROUP_PREFIX,
+    REASON_CHANGING,
     SERVICE_PREFIX,
     decode_report,
 )
@@ -28,64 +28,66 @@
 class Observer:
     """Reports for shards that this controller does not hold.
 
-    :param services: :class:`~cowslipcourse.controller.services.Services`
-    :param keeper: :class:`~cowslipcourse.controller.shards.ShardKeeper`
+    :param context: :class:`~cowslipcourse.controller.services.ControllerContext`
+    :param shard_manager: :class:`~cowslipcourse.controller.shards.ShardManager`
     """
 
-    def __init__(self, services, keeper):
-        self._services = services
-        self._keeper = keeper
-        self._prober = Prober(services.targets)
+    def __init__(self, context, shard_manager):
+        self._context = context
+        self._shard_manager = shard_manager
+        self._prober = Prober(context.targets)
         self._publisher = ReportPublisher(
-            services.agent, self._prober, services.watch, observes=True
+            context.agent, self._prober, context.fleet, observes=True
         )
 
     async def run(self):
         """Look for ever."""
-        interval_s = self._services.settings.repair.probe_s
+        interval_s = self._context.settings.repair.probe_s
         while True:
             started_at = now()
-            if self._services.agent.may_serve():
+            if self._context.agent.may_serve():
                 await self._round()
             await asyncio.sleep(max(0.05, started_at + interval_s / 2 - now()))
 
     async def _round(self):
         groups = self._neglected(GROUP_PREFIX)
-        services = self._neglected(SERVICE_PREFIX)
+        service_records = self._neglected(SERVICE_PREFIX)
         reports = {record.key: decode_report(record) for record in groups}
         addresses = {}
         for report in reports.values():
             addresses |= {m.vm: m.address for m in report.spec.members}
-        for record in services:
+        for record in service_records:
             report = decode_report(record)
             addresses[report.vm] = report.address
         if not addresses:
             return
         probed_at = await self._prober.probe(addresses)
-        if not self._services.agent.may_serve():
+        if not self._context.agent.may_serve():
             return
         for record in groups:
             report = reports[record.key]
             if self._is_outdated(report.spec, probed_at):
                 continue
-            withheld = CHANGING if report.reason == CHANGING else ""
+            withheld = REASON_CHANGING if report.reason == REASON_CHANGING else ""
             self._publisher.publish_group(
                 report.spec, withheld, probed_at, record.fence
             )
-        for record in services:
+        for record in service_records:
             domain = record.key.split("/")[1]
             self._publisher.publish_services(domain, probed_at, record.fence)
 
     def _is_outdated(self, spec, probed_at):
         """Whether the engines know more of a group than this observer does."""
-        resolved = self._services.watch.resolved
+        resolved = self._context.fleet.resolved_configuration
         fault = group_fault(spec, self._prober, probed_at, resolved)
-        return fault.endswith(ANOTHER_ASSIGNMENT)
+        return fault.endswith(REASON_OTHER_ASSIGNMENT)
 
     def _holder_speaks(self, domain, limit_s):
         """Whether the run that holds a shard's lease answered lately."""
-        name, _, incarnation = self._keeper.leases.holder_of(domain).partition("/")
-        agent = self._services.agent
+        name, _, incarnation = self._shard_manager.leases.holder_of(domain).partition(
+            "/"
+        )
+        agent = self._context.agent
         member = agent.revision.members.get(name)
         if (
             member is None
@@ -98,15 +100,17 @@
 
     def _neglected(self, prefix):
         """Return records that nobody else renews and that are this one's to renew."""
-        agent = self._services.agent
+        agent = self._context.agent
         own = agent.member.name
-        limit_s = SILENT_PROBES * self._services.settings.repair.probe_s
+        limit_s = SILENT_PROBES * self._context.settings.repair.probe_s
         found = []
         for record in agent.records.with_prefix(prefix):
             domain = record.key.split("/")[1]
-            if domain in self._keeper.workers or self._holder_speaks(domain, limit_s):
+            if domain in self._shard_manager.workers or self._holder_speaks(
+                domain, limit_s
+            ):
                 continue
-            rank = self._keeper.rank(domain, record.origin, limit_s)
+            rank = self._shard_manager.rank(domain, record.origin, limit_s)
             old = now() - record.observed_at > limit_s
             if rank == 0 and (old or record.origin == own):
                 found.append(record)
--- a/cowslipcourse/controller/orders.py
+++ b/cowslipcourse/controller/orders.py
@@ -5,14 +5,14 @@
 from cowslipcourse.exceptions import LeaseLost, TargetError
 from cowslipcourse.ports import Order, OrderKind
 
-__all__ = ["OrderDesk"]
+__all__ = ["OrderDispatcher"]
 
 REPEAT_AFTER_S = 3.0
 
 log = get_logger(__name__)
 
 
-class OrderDesk:
+class OrderDispatcher:
     """Gives orders, not too often to one engine and not too many loads at once.
 
     :param targets: :class:`~cowslipcourse.ports.TargetClient`
--- a/cowslipcourse/controller/release.py
+++ b/cowslipcourse/controller/release.py
@@ -2,10 +2,10 @@
 
 from cowslipcourse.daemon import now
 
-__all__ = ["Release"]
+__all__ = ["VmRelease"]
 
 
-class Release:
+class VmRelease:
     """Unloads released VMs and frees them after the fact.
 
     :param shard: :class:`~cowslipcourse.controller.worker.Shard`
@@ -36,7 +36,7 @@
         """
         vm = self._shard.vms.get(claim.vm)
         if vm is None:
-            age_s = self._shard.watch.list_age_s
+            age_s = self._shard.fleet.vm_list_age_s
             return age_s is not None and age_s < self._shard.settings.time.lease_term_s
         return self._shard.idle_long_enough(claim.vm)
 
@@ -53,7 +53,7 @@
         shard = self._shard
         if now() - shard.taken_at < shard.settings.repair.order_in_flight_s:
             return
-        for names in shard.resolved.group_vms.values():
+        for names in shard.resolved_configuration.group_vms.values():
             for name in names:
                 if name in shard.vms and name not in shard.groups.claims:
                     await self._unload(name)
--- a/cowslipcourse/controller/repair.py
+++ b/cowslipcourse/controller/repair.py
@@ -11,12 +11,12 @@
     Weights,
 )
 
-__all__ = ["Repair"]
+__all__ = ["GroupRepair"]
 
 log = get_logger(__name__)
 
 
-class Repair:
+class GroupRepair:
     """Takes returned members back in and carries out repair decisions.
 
     :param shard: :class:`~cowslipcourse.controller.worker.Shard`
@@ -34,7 +34,7 @@
             await self._take_back(spec)
         declarations = {s.declaration for s in shard.groups.specs.values()}
         for name in sorted(declarations):
-            if name in shard.watch.configuration.group:
+            if name in shard.fleet.configuration.group:
                 await self._repair(name)
 
     async def _take_back(self, spec):
@@ -81,13 +81,13 @@
 
     def _view(self, declaration):
         shard = self._shard
-        declared = shard.watch.configuration.group[declaration]
+        declared = shard.fleet.configuration.group[declaration]
         broken = self._broken(declaration)
         if not broken:
             return None
         spares = free_vms(shard, declaration)
-        site = shard.watch.configuration.site_policy
-        weights_bytes = shard.watch.configuration.model[declared.model].weights_bytes
+        site = shard.fleet.configuration.site_policy
+        weights_bytes = shard.fleet.configuration.model[declared.model].weights_bytes
         repair = shard.settings.repair
         loading = max(1, repair.loads_at_once - shard.orders.free_loads)
         share_bytes = weights_bytes / declared.vms_per_group
--- a/cowslipcourse/controller/reports.py
+++ b/cowslipcourse/controller/reports.py
@@ -38,15 +38,15 @@
 
     :param agent: :class:`~cowslipcourse.daemon.Agent`
     :param prober: :class:`~cowslipcourse.controller.health.Prober`
-    :param watch: :class:`~cowslipcourse.controller.fleet_watch.FleetWatch`
+    :param fleet: :class:`~cowslipcourse.controller.fleet_watch.FleetMonitor`
     :param observes: whether it publishes in the place of a silent holder.
     """
 
-    def __init__(self, agent, prober, watch, observes=False):
+    def __init__(self, agent, prober, fleet, observes=False):
         self._observes = observes
         self._agent = agent
         self._prober = prober
-        self._watch = watch
+        self._fleet = fleet
 
     def publish_group(self, spec, withheld, probed_at, fence):
         """Publish whether a group may serve and return why it does not.
@@ -56,7 +56,7 @@
         :param probed_at: loop time from which the grant's age counts.
         :param fence: fencing token of the shard.
         """
-        resolved = self._watch.resolved
+        resolved = self._fleet.resolved_configuration
         fault = group_fault(spec, self._prober, probed_at, resolved) or withheld
         leader = self._prober.fresh(spec.leader.vm, probed_at)
         report = GroupReport(
@@ -64,7 +64,7 @@
             serving=not fault,
             reason=fault,
             load=leader.load if leader else EngineLoad(),
-            prefixes=leader.prefixes if leader else (),
+            cached_prefixes=leader.prefixes if leader else (),
         )
         self._publish(
             f"{GROUP_PREFIX}{spec.domain}/{spec.group}", report, fence, probed_at
@@ -80,7 +80,7 @@
 
     def publish_services(self, domain, probed_at, fence):
         """Publish the plain services of a domain."""
-        resolved = self._watch.resolved
+        resolved = self._fleet.resolved_configuration
         for service, names in resolved.service_vms.items():
             for name in names:
                 vm = resolved.vms[name]
--- a/cowslipcourse/controller/services.py
+++ b/cowslipcourse/controller/services.py
@@ -2,21 +2,21 @@
 
 from typing import Any, NamedTuple
 
-__all__ = ["Services"]
+__all__ = ["ControllerContext"]
 
 
-class Services(NamedTuple):
+class ControllerContext(NamedTuple):
     """Ports and state that a controller is built with.
 
     :param settings: :class:`~cowslipcourse.settings.ControllerSettings`
     :param agent: :class:`~cowslipcourse.daemon.Agent`
-    :param watch: :class:`~cowslipcourse.controller.fleet_watch.FleetWatch`
+    :param fleet: :class:`~cowslipcourse.controller.fleet_watch.FleetMonitor`
     :param table: :class:`~cowslipcourse.ports.TableService`
     :param targets: :class:`~cowslipcourse.ports.TargetClient`
     """
 
     settings: Any
     agent: Any
-    watch: Any
+    fleet: Any
     table: Any
     targets: Any
--- a/cowslipcourse/controller/shards.py
+++ b/cowslipcourse/controller/shards.py
@@ -16,7 +16,7 @@
 from cowslipcourse.exceptions import LeaseLost, StoreError
 from cowslipcourse.membership import Role
 
-__all__ = ["ShardKeeper"]
+__all__ = ["ShardManager"]
 
 DELAY_PER_RANK_S = 1.0
 POLL_S = 1.0
@@ -24,18 +24,18 @@
 log = get_logger(__name__)
 
 
-class ShardKeeper:
+class ShardManager:
     """Takes, renews and gives up shards, and runs their workers.
 
-    :param services: :class:`~cowslipcourse.controller.services.Services`
+    :param context: :class:`~cowslipcourse.controller.services.ControllerContext`
     """
 
-    def __init__(self, services):
-        self._services = services
-        member = services.agent.member
+    def __init__(self, context):
+        self._context = context
+        member = context.agent.member
         self._holder = f"{member.name}/{member.incarnation}"
-        times = services.settings.time
-        self._leases = LeaseTable(services.table, self._holder, times)
+        times = context.settings.time
+        self._leases = LeaseTable(context.table, self._holder, times)
         self._renew_s = times.lease_term_s / 3
         self._workers = {}
         self._tasks = {}
@@ -56,7 +56,7 @@
         renewals = run_forever(self._renew_for_ever(), "renewals")
         try:
             while True:
-                if self._services.agent.may_serve():
+                if self._context.agent.may_serve():
                     await self._look()
                 await asyncio.sleep(POLL_S)
         finally:
@@ -85,7 +85,7 @@
                 self._free_since.pop(domain, None)
 
     def _domains(self):
-        return sorted({vm.domain for vm in self._services.watch.vms})
+        return sorted({vm.domain for vm in self._context.fleet.vms})
 
     def rank(self, domain, without="", heard_within_s=None):
         """Return this controller's place in the order of preference for a shard.
@@ -95,17 +95,17 @@
         :param heard_within_s: leave out controllers that did not answer lately; as
             long as a member may be silent if left out.
         """
-        own = self._services.agent.member
+        own = self._context.agent.member
         centres = {
-            vm.data_centre for vm in self._services.watch.vms if vm.domain == domain
+            vm.data_centre for vm in self._context.fleet.vms if vm.domain == domain
         }
-        silent = self._services.agent.silent(heard_within_s)
+        silent = self._context.agent.silent_members(heard_within_s)
 
         def order(member):
             digest = xxhash.xxh3_64_intdigest(f"{domain}/{member.name}".encode())
             return (member.data_centre not in centres, digest)
 
-        members = self._services.agent.revision.members.values()
+        members = self._context.agent.revision.members.values()
         rivals = [
             member
             for member in members
@@ -125,7 +125,7 @@
             log.info("lease-not-taken", shard=domain, code=error.code)
             return
         self._free_since.pop(domain, None)
-        worker = ShardWorker(Shard(domain, lease, self._services))
+        worker = ShardWorker(Shard(domain, lease, self._context))
         self._workers[domain] = worker
         self._tasks[domain] = run_forever(worker.run(), f"shard-{domain}")
 
--- a/cowslipcourse/controller/spares.py
+++ b/cowslipcourse/controller/spares.py
@@ -12,11 +12,11 @@
     :param declaration: group declaration that must select them.
     """
     free = []
-    for name in shard.resolved.group_vms.get(declaration, ()):
+    for name in shard.resolved_configuration.group_vms.get(declaration, ()):
         vm = shard.vms.get(name)
         if vm is None or name in shard.groups.claims:
             continue
-        if vm.state == VmState.LEAVING or name in shard.resolved.draining:
+        if vm.state == VmState.LEAVING or name in shard.resolved_configuration.draining:
             continue
         status = shard.status(name)
         if status is None or status.incarnation != vm.incarnation:
--- a/cowslipcourse/controller/status.py
+++ b/cowslipcourse/controller/status.py
@@ -12,14 +12,14 @@
 __all__ = ["system_status"]
 
 
-def system_status(services, acceptor, keeper):
+def system_status(context, acceptor, shard_manager):
     """Return the state of groups, services, daemons and revisions.
 
-    :param services: :class:`~cowslipcourse.controller.services.Services`
-    :param acceptor: :class:`~cowslipcourse.controller.acceptor.Acceptor`
-    :param keeper: :class:`~cowslipcourse.controller.shards.ShardKeeper`
+    :param context: :class:`~cowslipcourse.controller.services.ControllerContext`
+    :param acceptor: :class:`~cowslipcourse.controller.acceptor.RevisionAcceptor`
+    :param shard_manager: :class:`~cowslipcourse.controller.shards.ShardManager`
     """
-    agent, watch = services.agent, services.watch
+    agent, fleet = context.agent, context.fleet
     revision = agent.revision
     return {
         "from": agent.member.name,
@@ -28,14 +28,14 @@
         "missing": acceptor.members_behind(),
         "serving": agent.may_serve(),
         "table_answers": agent.table_answered,
-        "vm_list_age_s": _rounded(watch.list_age_s),
-        "problems": [str(problem) for problem in watch.problems],
-        "daemons": _daemons(agent),
-        "declarations": _declarations(agent, watch),
-        "groups": _groups(agent, services.settings.time.grant_s),
-        "services": _services(agent),
-        "shards": _shards(watch, keeper),
-        "spares": _spares(keeper),
+        "vm_list_age_s": _rounded(fleet.vm_list_age_s),
+        "problems": [str(problem) for problem in fleet.problems],
+        "daemons": _daemon_statuses(agent),
+        "declarations": _declaration_statuses(agent, fleet),
+        "groups": _group_statuses(agent, context.settings.time.grant_s),
+        "services": _service_statuses(agent),
+        "shards": _shard_holders(fleet, shard_manager),
+        "spares": _free_vm_counts(shard_manager),
     }
 
 
@@ -43,7 +43,7 @@
     return None if seconds is None else round(seconds, 1)
 
 
-def _daemons(agent):
+def _daemon_statuses(agent):
     found = []
     if agent.revision is None:
         return found
@@ -90,17 +90,17 @@
     oldest = now() - agent.times.isolation_s
     seen = {
         daemon["name"]: ()
-        for daemon in _daemons(agent)
+        for daemon in _daemon_statuses(agent)
         if daemon["role"] == Role.GATEWAY and daemon["state"] == "serving"
     }
     for record in agent.records.with_prefix(GATEWAY_PREFIX):
         report = decode_report(record)
         if report.gateway in seen and record.observed_at >= oldest:
-            seen[report.gateway] = report.sees
+            seen[report.gateway] = report.visible_groups
     return seen
 
 
-def _groups(agent, grant_s):
+def _group_statuses(agent, grant_s):
     found = []
     seen = _seen_by_gateway(agent)
     for record in agent.records.with_prefix(GROUP_PREFIX):
@@ -140,15 +140,15 @@
     return f"not-seen-by-{','.join(unseen_by)}"
 
 
-def _services(agent):
+def _service_statuses(agent):
     found = [report._asdict() for report in _reports(agent, SERVICE_PREFIX)]
     return sorted(found, key=lambda item: (item["service"], item["vm"]))
 
 
-def _declarations(agent, watch):
-    groups = _groups(agent, 1e9)
+def _declaration_statuses(agent, fleet):
+    groups = _group_statuses(agent, 1e9)
     found = []
-    for name, declared in sorted(watch.configuration.group.items()):
+    for name, declared in sorted(fleet.configuration.group.items()):
         own = [group for group in groups if group["declaration"] == name]
         found.append(
             {
@@ -156,21 +156,23 @@
                 "wanted": declared.count,
                 "formed": len(own),
                 "serving": sum(group["serving"] for group in own),
-                "vms_selected": len(watch.resolved.group_vms.get(name, ())),
+                "vms_selected": len(
+                    fleet.resolved_configuration.group_vms.get(name, ())
+                ),
             }
         )
     return found
 
 
-def _shards(watch, keeper):
-    domains = sorted({vm.domain for vm in watch.vms})
-    return {domain: keeper.leases.holder_of(domain) for domain in domains}
+def _shard_holders(fleet, shard_manager):
+    domains = sorted({vm.domain for vm in fleet.vms})
+    return {domain: shard_manager.leases.holder_of(domain) for domain in domains}
 
 
-def _spares(keeper):
+def _free_vm_counts(shard_manager):
     """Free VMs by domain, for the shards that this controller holds."""
     found = {}
-    for domain, worker in keeper.workers.items():
+    for domain, worker in shard_manager.workers.items():
         claims = worker.shard.groups.claims
         found[domain] = sum(name not in claims for name in worker.shard.vms)
     return found
--- a/cowslipcourse/controller/worker.py
+++ b/cowslipcourse/controller/worker.py
@@ -10,12 +10,12 @@
 
 from cowslipcourse.adapters.log import get_logger
 from cowslipcourse.controller.changes import GroupChanges
-from cowslipcourse.controller.formation import Formation
+from cowslipcourse.controller.formation import GroupFormation
 from cowslipcourse.controller.groups import GroupTable
 from cowslipcourse.controller.health import Prober
-from cowslipcourse.controller.orders import OrderDesk
-from cowslipcourse.controller.release import Release
-from cowslipcourse.controller.repair import Repair
+from cowslipcourse.controller.orders import OrderDispatcher
+from cowslipcourse.controller.release import VmRelease
+from cowslipcourse.controller.repair import GroupRepair
 from cowslipcourse.controller.reports import ReportPublisher
 from cowslipcourse.daemon import now
 from cowslipcourse.exceptions import ConditionFailed, LeaseLost, StoreError
@@ -30,32 +30,32 @@
 
     :param domain: fabric domain.
     :param lease: :class:`~cowslipcourse.leases.HeldLease`
-    :param services: :class:`~cowslipcourse.controller.services.Services`
+    :param context: :class:`~cowslipcourse.controller.services.ControllerContext`
     """
 
-    def __init__(self, domain, lease, services):
+    def __init__(self, domain, lease, context):
         self.domain = domain
         self.lease = lease
-        self.settings = services.settings
-        self.agent = services.agent
-        self.watch = services.watch
-        self.groups = GroupTable(services.table, domain, lease.fence)
-        self.prober = Prober(services.targets)
-        self.orders = OrderDesk(services.targets, services.settings.repair)
-        self.publisher = ReportPublisher(services.agent, self.prober, services.watch)
+        self.settings = context.settings
+        self.agent = context.agent
+        self.fleet = context.fleet
+        self.groups = GroupTable(context.table, domain, lease.fence)
+        self.prober = Prober(context.targets)
+        self.orders = OrderDispatcher(context.targets, context.settings.repair)
+        self.publisher = ReportPublisher(context.agent, self.prober, context.fleet)
         self.changes = GroupChanges(self)
         self.taken_at = now()
         self.probed_at = now()
 
     @property
-    def resolved(self):
+    def resolved_configuration(self):
         """The configuration over the fleet."""
-        return self.watch.resolved
+        return self.fleet.resolved_configuration
 
     @property
     def vms(self):
         """Listed VMs of the domain by name."""
-        found = self.resolved.vms.items()
+        found = self.resolved_configuration.vms.items()
         return {name: vm for name, vm in found if vm.domain == self.domain}
 
     def status(self, name):
@@ -73,7 +73,7 @@
             return False
         if health.idle_since is None:
             return False
-        if name not in self.resolved.unfenced:
+        if name not in self.resolved_configuration.unfenced:
             return True
         needed_s = self.settings.repair.order_in_flight_s
         return self.probed_at - health.idle_since >= needed_s
@@ -95,9 +95,9 @@
 
     def __init__(self, shard):
         self._shard = shard
-        self._release = Release(shard)
-        self._repair = Repair(shard)
-        self._formation = Formation(shard)
+        self._release = VmRelease(shard)
+        self._repair = GroupRepair(shard)
+        self._formation = GroupFormation(shard)
 
     @property
     def shard(self):
@@ -159,7 +159,7 @@
     def _may_act(self):
         """Whether orders of the holder before can no longer be under way."""
         shard = self._shard
-        if not shard.resolved.unfenced.intersection(shard.vms):
+        if not shard.resolved_configuration.unfenced.intersection(shard.vms):
             return True
         waited_s = now() - shard.taken_at
         return waited_s > shard.settings.repair.order_in_flight_s
--- a/cowslipcourse/daemon/agent.py
+++ b/cowslipcourse/daemon/agent.py
@@ -142,14 +142,14 @@
         if not self.may_serve():
             raise DaemonStopped("cut off from the other daemons", RETRY_S)
 
-    def silent(self, after_s=None):
+    def silent_members(self, silence_limit_s=None):
         """Return the names of members that do not answer this daemon.
 
-        :param after_s: seconds of silence, the eviction time if left out.
+        :param silence_limit_s: seconds of silence, the eviction time if left out.
         """
-        if after_s is None:
-            after_s = self.times.eviction_s
-        return self.contacts.silent_members(self._node.peers, now(), after_s)
+        if silence_limit_s is None:
+            silence_limit_s = self.times.eviction_s
+        return self.contacts.silent_members(self._node.peers, now(), silence_limit_s)
 
     def publish(self, key, value, fence=0, sequence=None, observed_at=None):
         """Spread a record.
@@ -273,7 +273,7 @@
             await asyncio.sleep(max(0.0, sent_at + self.times.table_poll_s - now()))
 
     async def _read_table(self, sent_at):
-        revision = await self._revisions.newest(self.revision)
+        revision = await self._revisions.read_newest(self.revision)
         if not self._table_answered:
             log.info("table-answers")
         self._table_answered = True
--- a/cowslipcourse/daemon/reports.py
+++ b/cowslipcourse/daemon/reports.py
@@ -8,11 +8,11 @@
 from cowslipcourse.ports import EngineLoad
 
 __all__ = [
-    "CHANGING",
     "DEPARTURE_PREFIX",
     "GATEWAY_PREFIX",
     "GROUP_PREFIX",
     "QUARANTINE_PREFIX",
+    "REASON_CHANGING",
     "SERVICE_PREFIX",
     "DepartureReport",
     "GatewayReport",
@@ -26,7 +26,7 @@
 GATEWAY_PREFIX = "gateway/"
 DEPARTURE_PREFIX = "departure/"
 QUARANTINE_PREFIX = "quarantine/"
-CHANGING = "changing"
+REASON_CHANGING = "changing"
 """Reason of a group that is whole, but shall finish what runs before it changes."""
 
 
@@ -37,14 +37,14 @@
     :param serving: whether every member was present when last probed.
     :param reason: why it does not serve, empty if it does.
     :param load: the leader's own load report.
-    :param prefixes: prompt prefixes that the leader lately cached.
+    :param cached_prefixes: prompt prefixes that the leader lately cached.
     """
 
     spec: GroupSpec
     serving: bool
     reason: str
     load: EngineLoad
-    prefixes: tuple[str, ...] = ()
+    cached_prefixes: tuple[str, ...] = ()
 
 
 class ServiceReport(NamedTuple):
@@ -82,16 +82,16 @@
 
     :param gateway: daemon name.
     :param leaving: whether it no longer wants new callers.
-    :param groups: requests in flight by group.
-    :param workspaces: requests in flight by ``workspace``.
-    :param sees: ids of the groups that it knows to serve.
+    :param in_flight_by_group: requests in flight by group.
+    :param in_flight_by_workspace: requests in flight by ``workspace``.
+    :param visible_groups: ids of the groups that it knows to serve.
     """
 
     gateway: str
     leaving: bool
-    groups: dict[str, int]
-    workspaces: dict[str, int]
-    sees: tuple[str, ...] = ()
+    in_flight_by_group: dict[str, int]
+    in_flight_by_workspace: dict[str, int]
+    visible_groups: tuple[str, ...] = ()
 
 
 _TYPES = {
--- a/cowslipcourse/daemon/revisions.py
+++ b/cowslipcourse/daemon/revisions.py
@@ -20,12 +20,12 @@
     "HEAD_KEY",
     "RevisionTable",
     "document_key",
-    "head_value",
+    "head_row_value",
 ]
 
 HEAD_KEY = "config/head"
 ACCEPTED_KEY = "config/accepted"
-COMMIT_TRIES = 20
+MAX_COMMIT_ATTEMPTS = 20
 
 
 def document_key(number):
@@ -33,7 +33,7 @@
     return f"config/document/{number:010d}"
 
 
-def head_value(revision, edit_id):
+def head_row_value(revision, edit_id):
     """Return the value of the head row for a revision."""
     return {
         "number": revision.number,
@@ -53,7 +53,7 @@
     def __init__(self, table):
         self._table = table
 
-    async def newest(self, known):
+    async def read_newest(self, known):
         """Return the newest revision, or ``None`` before the first.
 
         :param known: a revision known here, or ``None``; saves reading the
@@ -73,7 +73,7 @@
             return Revision(0, {}, {}, 0), ABSENT
         return await self._load(row, known), row.version
 
-    async def accepted(self):
+    async def read_accepted_number(self):
         """Return the number of the last accepted revision; 0 before the first."""
         row = await self._table.read(ACCEPTED_KEY)
         return row.value["number"] if row is not None else 0
@@ -86,14 +86,14 @@
         :returns: the newest revision, whether or not it was changed here.
         :raises StoreError: it is not known whether the change was made.
         """
-        for _ in range(COMMIT_TRIES):
+        for _ in range(MAX_COMMIT_ATTEMPTS):
             head, version = await self.read_head(known)
             members = change(dict(head.members))
             if members is None:
                 return head
-            revision = head.next(members, await self.accepted())
+            revision = head.next(members, await self.read_accepted_number())
             transaction = Transaction(
-                {HEAD_KEY: version}, {HEAD_KEY: head_value(revision, "")}
+                {HEAD_KEY: version}, {HEAD_KEY: head_row_value(revision, "")}
             )
             try:
                 await self._table.commit(transaction)
--- a/cowslipcourse/gateway/addresses.py
+++ b/cowslipcourse/gateway/addresses.py
@@ -18,7 +18,7 @@
     """
     agent = tools.agent
     own = agent.member
-    gone = tools.view.leaving_gateways() | agent.silent()
+    gone = tools.view.leaving_gateways() | agent.silent_members()
     usable = []
     for member in agent.revision.members.values() if agent.revision else ():
         if member.role != Role.GATEWAY or member.name in gone or member == own:
--- a/cowslipcourse/gateway/chooser.py
+++ b/cowslipcourse/gateway/chooser.py
@@ -121,8 +121,8 @@
 
     def take_events(self, report):
         """Take in which prefixes a group lately cached."""
-        if report.prefixes:
-            self._prefixes.add(report.spec.group, report.prefixes, now())
+        if report.cached_prefixes:
+            self._prefixes.add(report.spec.group, report.cached_prefixes, now())
 
     def forget_cache(self, group):
         """Drop what was known of a group's cache."""
--- a/cowslipcourse/gateway/fleet_view.py
+++ b/cowslipcourse/gateway/fleet_view.py
@@ -6,10 +6,10 @@
 from cowslipcourse.config import Configuration, resolve
 from cowslipcourse.daemon import now
 from cowslipcourse.daemon.reports import (
-    CHANGING,
     DEPARTURE_PREFIX,
     GATEWAY_PREFIX,
     GROUP_PREFIX,
+    REASON_CHANGING,
     SERVICE_PREFIX,
     decode_report,
 )
@@ -141,7 +141,7 @@
         grant = self._groups.get(spec.group)
         if grant is None or grant.report.spec.epoch != spec.epoch:
             return False
-        whole = grant.report.serving or grant.report.reason == CHANGING
+        whole = grant.report.serving or grant.report.reason == REASON_CHANGING
         return whole and grant.observed_at >= checked_at
 
     def granted_at(self, spec):
@@ -170,9 +170,9 @@
         for grant in self._gateways.values():
             if at - grant.observed_at > self._agent.times.isolation_s:
                 continue
-            for name, count in grant.report.groups.items():
+            for name, count in grant.report.in_flight_by_group.items():
                 groups[name] = groups.get(name, 0) + count
-            for name, count in grant.report.workspaces.items():
+            for name, count in grant.report.in_flight_by_workspace.items():
                 workspaces[name] = workspaces.get(name, 0) + count
         return groups, workspaces
 
--- a/cowslipcourse/gateway/quarantine_ports.py
+++ b/cowslipcourse/gateway/quarantine_ports.py
@@ -118,7 +118,7 @@
 
     def alive_addresses(self):
         """Return the names of the other gateways that answer."""
-        silent = set(self._agent.silent(self._agent.times.isolation_s))
+        silent = set(self._agent.silent_members(self._agent.times.isolation_s))
         return [name for name in self.all_addresses() if name not in silent]
 
     def repeat_addresses(self):
--- a/features/steps/edit_steps.py
+++ b/features/steps/edit_steps.py
@@ -82,7 +82,7 @@
     edits = context.small.controllers["c1"].edits
 
     async def attempt():
-        number, _ = await edits.revision()
+        number, _ = await edits.read_configuration()
         edit = Edit(f"try-{confirm}", "t", "t", number, context.changes, confirm)
         try:
             await edits.commit(edit)
--- a/features/steps/outage_steps.py
+++ b/features/steps/outage_steps.py
@@ -44,7 +44,7 @@
 
 async def _crash_holders(site):
     for name, controller in list(site.controllers.items()):
-        if controller.keeper.workers and len(site.controllers) > 1:
+        if controller.shard_manager.workers and len(site.controllers) > 1:
             await controller.stop()
             del site.controllers[name]
 
--- a/features/steps/status_steps.py
+++ b/features/steps/status_steps.py
@@ -5,7 +5,7 @@
 import msgspec
 from behave import given, then, when
 
-from cowslipcourse.controller.status import _groups
+from cowslipcourse.controller.status import _group_statuses
 from cowslipcourse.daemon.reports import GatewayReport, GroupReport
 from cowslipcourse.emulator.clock import run_paused
 from cowslipcourse.fleet import GroupMember, GroupSpec
@@ -72,7 +72,7 @@
 
 def _status(context):
     async def look():
-        return _groups(context.agent, GRANT_S)
+        return _group_statuses(context.agent, GRANT_S)
 
     (group,) = run_paused(look())
     return group
--- a/features/support/edit_runs.py
+++ b/features/support/edit_runs.py
@@ -82,7 +82,7 @@
     async def _check(self):
         edits = self._site.controllers["c1"].edits
         trail = list(reversed(await edits.audit()))
-        _, configuration = await edits.revision()
+        _, configuration = await edits.read_configuration()
         violations, last = [], {}
         ids = [record["edit_id"] for record in trail]
         if len(ids) != len(set(ids)):
--- a/features/support/small_site.py
+++ b/features/support/small_site.py
@@ -7,12 +7,12 @@
 from cowslipcourse.admission import RetryBudget
 from cowslipcourse.config import Change, Edit, ObjectRef
 from cowslipcourse.config.objects import KINDS
-from cowslipcourse.controller.acceptor import Acceptor
+from cowslipcourse.controller.acceptor import RevisionAcceptor
 from cowslipcourse.controller.edits import EditService
-from cowslipcourse.controller.fleet_watch import FleetWatch
+from cowslipcourse.controller.fleet_watch import FleetMonitor
 from cowslipcourse.controller.observer import Observer
-from cowslipcourse.controller.services import Services
-from cowslipcourse.controller.shards import ShardKeeper
+from cowslipcourse.controller.services import ControllerContext
+from cowslipcourse.controller.shards import ShardManager
 from cowslipcourse.daemon import Agent, now
 from cowslipcourse.daemon.reports import GATEWAY_PREFIX, GatewayReport
 from cowslipcourse.gateway.chooser import Chooser
@@ -91,24 +91,24 @@
 
     def __init__(self, site, name):
         super().__init__(site, name, Role.CONTROLLER)
-        watch = FleetWatch(self.platform, self.agent, 1.0)
-        self.services = Services(
-            self.settings, self.agent, watch, self.platform, self.targets
+        fleet = FleetMonitor(self.platform, self.agent, 1.0)
+        self.context = ControllerContext(
+            self.settings, self.agent, fleet, self.platform, self.targets
         )
-        self.acceptor = Acceptor(self.agent, self.platform)
-        self.keeper = ShardKeeper(self.services)
+        self.acceptor = RevisionAcceptor(self.agent, self.platform)
+        self.shard_manager = ShardManager(self.context)
         self.edits = EditService(self.platform, self.platform, self.agent.revisions)
 
     async def start(self):
         """Start its tasks."""
         await self.agent.start()
-        observer = Observer(self.services, self.keeper)
-        parts = (self.services.watch, self.acceptor, self.keeper, observer)
+        observer = Observer(self.context, self.shard_manager)
+        parts = (self.context.fleet, self.acceptor, self.shard_manager, observer)
         self.tasks = [asyncio.create_task(part.run()) for part in parts]
 
     async def stop(self):
         """Crash."""
-        for worker in self.keeper._tasks.values():
+        for worker in self.shard_manager._tasks.values():
             worker.cancel()
         await super().stop()
 
@@ -249,7 +249,7 @@
     async def edit(self, name, *changes, confirm=True):
         """Make an edit through a controller, confirming whatever it does."""
         edits = self.controllers[name].edits
-        number, _ = await edits.revision()
+        number, _ = await edits.read_configuration()
         edit_id = f"edit-{next(self._edit_ids)}"
         edit = Edit(edit_id, "test", "test", number, changes)
         if confirm:
