--- a/features/support/edit_runs.py
+++ b/features/support/edit_runs.py
@@ -81,8 +81,8 @@
 
     async def _check(self):
         edits = self._site.controllers["c1"].edits
-        trail = list(reversed(await edits.audit()))
-        _, configuration = await edits.revision()
+        trail = list(reversed(await edits.read_audit_records()))
+        _, configuration = await edits.read_configuration()
         violations, last = [], {}
         ids = [record["edit_id"] for record in trail]
         if len(ids) != len(set(ids)):
