--- a/features/exchange/streams.feature
+++ b/features/exchange/streams.feature
@@ -1,12 +1,12 @@
-Feature: Streams that break and go on elsewhere
+Feature: Streams that break and continue at another target
   Scenario: Whatever targets send, the caller gets each event once and in order
-    Then no runs of targets, cut anywhere, make a stream other than a prefix of the truth
+    Then any runs of targets, cut anywhere, are forwarded as a prefix of the reference stream
 
-  Scenario: An event is passed on only when it is whole
+  Scenario: An event is forwarded only once it is complete
     When the bytes of an event arrive one by one
-    Then it is there once, after its last byte
+    Then it is returned once, after its last byte
 
-  Scenario: A run that begins too late is a fault
+  Scenario: A run that skips an event is refused
     Given a caller that has the events up to 4
-    When a target goes on with event 6
-    Then nothing is passed on and the run is refused
+    When a target continues with event 6
+    Then nothing is forwarded and the run is refused
--- a/features/steps/exchange_steps.py
+++ b/features/steps/exchange_steps.py
@@ -1,4 +1,4 @@
-"""Steps over connections to targets that send given bytes."""
+"""Steps for connections to targets that send given bytes."""
 
 import asyncio
 
@@ -7,7 +7,12 @@
 from cowslipcourse.exceptions import TargetUnreachable
 from cowslipcourse.exchange import ConnectionPool, TargetConnection
 from cowslipcourse.exchange import pool as pool_module
-from features.support.scripted_target import SCRIPTS, ScriptedTarget, exchange, play
+from features.support.scripted_target import (
+    SCRIPTS,
+    ScriptedTarget,
+    run_script,
+    send_request,
+)
 from harness.ports import free_ports
 
 
@@ -16,7 +21,7 @@
     context.port = free_ports(1)[0]
     context.address = f"127.0.0.1:{context.port}"
     context.script = SCRIPTS[name]
-    context.extra = False
+    context.sends_stray_data = False
 
 
 @given("no target listens")
@@ -28,13 +33,13 @@
 @when("request a1 is sent to it")
 def step_send(context):
     if context.script is not None:
-        asyncio.run(play(context))
+        asyncio.run(run_script(context))
 
 
 @when("the target sends more bytes")
-def step_more(context):
-    context.extra = True
-    asyncio.run(play(context))
+def step_stray_data(context):
+    context.sends_stray_data = True
+    asyncio.run(run_script(context))
 
 
 @then("the outcome is {outcome}")
@@ -44,39 +49,39 @@
 
 @then("the connection is kept")
 def step_kept(context):
-    assert context.kept
+    assert context.is_kept
 
 
 @then("the connection is not kept")
 def step_not_kept(context):
-    assert not context.kept
+    assert not context.is_kept
 
 
-@then("the pool uses the connection again after {soon:f} s and not after {late:f} s")
-def step_pool(context, soon, late):
-    async def ages():
+@then("the pool reuses the connection after {reused:f} s and not after {expired:f} s")
+def step_pool_reuses(context, reused, expired):
+    async def try_ages():
         target = ScriptedTarget(*context.script)
         server = await asyncio.start_server(target.serve, "127.0.0.1", context.port)
-        found = []
+        is_reused = []
         async with server:
-            for age_s in (soon, late):
+            for age_s in (reused, expired):
                 pool = ConnectionPool(1.0)
                 connection = await pool.acquire("key", context.address)
-                await exchange(connection)
+                await send_request(connection)
                 pool.release("key", connection)
                 connection.idle_since -= age_s
-                again = await pool.acquire("key", context.address)
-                found.append(again is connection)
-                again.abort()
+                acquired = await pool.acquire("key", context.address)
+                is_reused.append(acquired is connection)
+                acquired.abort()
             for writer in target.writers:
                 writer.close()
-        return found
+        return is_reused
 
-    assert asyncio.run(ages()) == [True, False]
+    assert asyncio.run(try_ages()) == [True, False]
     assert pool_module.KEEP_ALIVE_MARGIN_S > 0
 
 
-@then("it is known that nothing was sent")
+@then("the error says that nothing was sent")
 def step_not_sent(context):
     async def connect():
         await TargetConnection.connect(context.address, 1.0)
--- a/features/steps/knowledge_steps.py
+++ b/features/steps/knowledge_steps.py
@@ -14,7 +14,7 @@
 )
 from cowslipcourse.platform.store import CONFIGURATION_TABLE
 from cowslipcourse.ports import RowChanges, pack_version
-from features.support.knowledge import FlakyStore, heartbeat, make_knowledge, member
+from features.support.knowledge import FlakyStore, heartbeat, make_replica, member
 from features.support.wire import entry_content
 
 
@@ -27,7 +27,7 @@
 
 def _play(context, change, looks):
     async def run():
-        knowledge, _, listener = make_knowledge(context.store)
+        knowledge, _, listener = make_replica(context.store)
         context.knowledge = knowledge
         context.pushes = listener.pushes
         tasks = [asyncio.create_task(c) for c in knowledge.coroutines()]
@@ -81,7 +81,7 @@
 
 @then("a resting daemon that took all its pushes knows {targets}")
 def step_pushed(context, targets):
-    rests, _, listener = make_knowledge(FlakyStore())
+    rests, _, listener = make_replica(FlakyStore())
     rests.configuration_version, rests.targets_version = 7, 1
     listener.targets = {"t1", "t2"}
     rests.set_following(False)
@@ -143,7 +143,7 @@
     context.fit = {}
 
     async def run():
-        knowledge, _, _ = make_knowledge(context.store)
+        knowledge, _, _ = make_replica(context.store)
         tasks = [asyncio.create_task(c) for c in knowledge.coroutines()]
         await asyncio.sleep(4.0)
         context.store.is_away = True
@@ -186,7 +186,7 @@
 
 @given("a daemon that rests with targets version 5")
 def step_rests(context):
-    context.knowledge, context.registry, context.listener = make_knowledge(FlakyStore())
+    context.knowledge, context.registry, context.listener = make_replica(FlakyStore())
     context.knowledge.configuration_version = 7
     context.knowledge.targets_version = 5
     context.knowledge.set_following(False)
@@ -251,7 +251,7 @@
 
 @given("a daemon that knows configuration 7")
 def step_knows_seven(context):
-    context.knowledge, _, context.listener = make_knowledge(FlakyStore())
+    context.knowledge, _, context.listener = make_replica(FlakyStore())
     content = FlakyStore().rows(CONFIGURATION_TABLE)
     context.knowledge._on_configuration_rows(RowChanges(content, 1))
 
--- a/features/steps/outside_steps.py
+++ b/features/steps/outside_steps.py
@@ -12,7 +12,7 @@
 from cowslipcourse.entry import target_list
 from cowslipcourse.entry.target_list import TargetList
 from cowslipcourse.platform import decode_configuration
-from features.support.knowledge import FlakyStore, make_knowledge
+from features.support.knowledge import FlakyStore, make_replica
 from features.support.outside import DECODERS, REFUSALS, damaged, lenient_entry
 from features.support.wire import BORN_MS, entry_content, entry_fields
 
@@ -201,7 +201,7 @@
 @when("the store tells a configuration that is a list")
 def step_list_configuration(context):
     async def run():
-        knowledge, _, listener = make_knowledge(context.store)
+        knowledge, _, listener = make_replica(context.store)
         tasks = [asyncio.create_task(c) for c in knowledge.coroutines()]
         await asyncio.sleep(3.0)
         context.before = listener.table
--- a/features/steps/size_steps.py
+++ b/features/steps/size_steps.py
@@ -25,7 +25,7 @@
 from features.support.knowledge import (
     FlakyStore,
     heartbeat,
-    make_knowledge,
+    make_replica,
     member,
 )
 from features.support.wire import entry_content
@@ -326,7 +326,7 @@
 
 
 def _known(contents, version):
-    knowledge, registry, listener = make_knowledge(FlakyStore())
+    knowledge, registry, listener = make_replica(FlakyStore())
     rows = tuple(StoredRow(key, value, version) for key, value in contents.items())
     run_paused(_read_all(knowledge, RowChanges(rows, version)))
     return knowledge, registry, listener
@@ -364,8 +364,8 @@
 @given("a list that changes at random, seed {seed:d}, and a reader that misses pushes")
 def step_random_list(context, seed):
     rng = random.Random(seed)
-    source, _, source_listener = make_knowledge(FlakyStore())
-    reader, _, _ = make_knowledge(FlakyStore())
+    source, _, source_listener = make_replica(FlakyStore())
+    reader, _, _ = make_replica(FlakyStore())
     reader.configuration_version, reader._follows_store = 7, False
     source_listener.push_changes = reader.apply_push
     context.differ, context.whole = [], 0
@@ -447,7 +447,7 @@
 
 @then("a reader that misses the third part stands at the version of the second")
 def step_missed(context):
-    reader, _, _ = make_knowledge(FlakyStore())
+    reader, _, _ = make_replica(FlakyStore())
     reader.configuration_version, reader.targets_version = 7, 100
     reader.set_following(False)
     for number, part in enumerate(context.parts):
--- a/features/steps/stream_steps.py
+++ b/features/steps/stream_steps.py
@@ -1,4 +1,4 @@
-"""Steps over streams of events."""
+"""Steps for streams of events."""
 
 import itertools
 
@@ -9,55 +9,58 @@
 
 from cowslipcourse.streams import Event, EventSplitter, StreamPosition
 
-EXAMPLES = 2000
-TRUTH = [f"id: {number}\ndata: t{number}\n\n".encode() for number in range(1, 9)]
+MAX_EXAMPLES = 2000
+REFERENCE_EVENTS = [
+    f"id: {number}\ndata: t{number}\n\n".encode() for number in range(1, 9)
+]
 
 
 @st.composite
-def runs(draw):
-    """Return runs of targets: pieces of the truth from some event on, cut anywhere."""
-    made = []
+def draw_runs(draw):
+    """Return runs of targets: the chunks of a slice of the reference stream."""
+    target_runs = []
     for _ in range(draw(st.integers(1, 4))):
-        first = draw(st.integers(0, len(TRUTH)))
-        content = b"".join(TRUTH[first:])
+        first = draw(st.integers(0, len(REFERENCE_EVENTS)))
+        content = b"".join(REFERENCE_EVENTS[first:])
         content = content[: draw(st.integers(0, len(content)))]
         cuts = sorted(draw(st.lists(st.integers(0, len(content)), max_size=6)))
         bounds = [0, *cuts, len(content)]
         pairs = itertools.pairwise(bounds)
-        made.append([content[start:end] for start, end in pairs])
-    return made
+        target_runs.append([content[start:end] for start, end in pairs])
+    return target_runs
 
 
 @then(
-    "no runs of targets, cut anywhere, make a stream other than a prefix of the truth"
+    "any runs of targets, cut anywhere, are forwarded as a prefix of the reference "
+    "stream"
 )
 def step_prefix(context):
-    @settings(max_examples=EXAMPLES, derandomize=True, deadline=None, database=None)
-    @given_values(runs())
-    def holds(made):
-        position, passed = StreamPosition(0), b""
-        for pieces in made:
+    @settings(max_examples=MAX_EXAMPLES, derandomize=True, deadline=None, database=None)
+    @given_values(draw_runs())
+    def check_prefix(target_runs):
+        position, forwarded = StreamPosition(0), b""
+        for chunks in target_runs:
             splitter = EventSplitter()
-            for piece in pieces:
-                content, fault = position.filter_events(splitter.feed(piece))
-                passed += content
-                if fault is not None:
+            for chunk in chunks:
+                content, error = position.filter_events(splitter.feed(chunk))
+                forwarded += content
+                if error is not None:
                     break
-        assert b"".join(TRUTH).startswith(passed)
-        assert passed == b"".join(TRUTH[: position.last_event_id])
+        assert b"".join(REFERENCE_EVENTS).startswith(forwarded)
+        assert forwarded == b"".join(REFERENCE_EVENTS[: position.last_event_id])
 
-    holds()
+    check_prefix()
 
 
 @when("the bytes of an event arrive one by one")
 def step_bytes(context):
     splitter = EventSplitter()
-    context.events = [splitter.feed(bytes([byte])) for byte in TRUTH[0]]
+    context.events = [splitter.feed(bytes([byte])) for byte in REFERENCE_EVENTS[0]]
 
 
-@then("it is there once, after its last byte")
-def step_once(context):
-    assert context.events[-1] == [Event(1, TRUTH[0])]
+@then("it is returned once, after its last byte")
+def step_returned_once(context):
+    assert context.events[-1] == [Event(1, REFERENCE_EVENTS[0])]
     assert not any(context.events[:-1])
 
 
@@ -66,13 +69,15 @@
     context.position = StreamPosition(number)
 
 
-@when("a target goes on with event {number:d}")
-def step_goes_on(context, number):
-    context.taken = context.position.filter_events([Event(number, TRUTH[number])])
+@when("a target continues with event {number:d}")
+def step_continues(context, number):
+    context.filtered = context.position.filter_events(
+        [Event(number, REFERENCE_EVENTS[number])]
+    )
 
 
-@then("nothing is passed on and the run is refused")
+@then("nothing is forwarded and the run is refused")
 def step_refused(context):
-    content, fault = context.taken
+    content, error = context.filtered
     assert content == b""
-    assert fault is not None
+    assert error is not None
--- a/features/support/knowledge.py
+++ b/features/support/knowledge.py
@@ -12,7 +12,7 @@
 from cowslipcourse.ports import RowChanges, StoredRow
 from features.support.wire import entry_content
 
-__all__ = ["FlakyStore", "Listener", "heartbeat", "make_knowledge", "member"]
+__all__ = ["FlakyStore", "Listener", "heartbeat", "make_replica", "member"]
 
 
 class FlakyStore:
@@ -87,7 +87,7 @@
     )
 
 
-def make_knowledge(store):
+def make_replica(store):
     """Return knowledge over a store, its registry and its listener."""
     settings = _settings()
     registry = PeerRegistry(settings.peers, settings.data_centre)
