--- a/features/knowledge/outside.feature
+++ b/features/knowledge/outside.feature
@@ -1,11 +1,11 @@
-Feature: Nothing that comes from outside breaks a daemon
-  Entries of the list may come from other writers, and every other answer, row and datagram may
-  be damaged: what does not fit its types is refused with the one typed error.
+Feature: No input from other processes breaks a daemon
+  Entries of the list may come from other writers, and any response, row and datagram may be
+  damaged: input that does not match its types is refused with a typed error.
 
-  Scenario Outline: Whatever comes as <what> is taken in its types or refused
-    When 400 contents are decoded as <what>
-    Then each was refused with the typed error or taken in its types
-    And some were taken and some refused
+  Scenario Outline: Damaged input decoded as <what> matches its types or is refused
+    When 400 inputs are decoded as <what>
+    Then each was refused with the typed error or matches its types
+    And some were accepted and some refused
 
     Examples:
       | what            |
@@ -19,50 +19,50 @@
       | peer state      |
       | store rows      |
 
-  Scenario: A decoder that takes fields as they come is found out
-    When 400 contents are decoded as list entry, fields as they come
-    Then the check finds one that was neither refused nor taken in its types
+  Scenario: The check fails for a decoder that does not check types
+    When 400 inputs are decoded as list entry without type checks
+    Then the check finds one that was neither refused nor matches its types
 
-  Scenario: An entry that cannot be read leaves the others in force
-    Given a list with the good entries t1 and t2
-    When t3 comes with a service that is a number
-    Then the list names t1 and t2
-    And one line says that t3 cannot be read
+  Scenario: An unreadable entry leaves the others in force
+    Given a list with the valid entries t1 and t2
+    When t3 is received with a service that is a number
+    Then the list contains t1 and t2
+    And one line says that t3 is unreadable
 
-  Scenario: An entry that cannot be read is logged once for each change of its bytes
-    Given a list with the good entries t1 and t2
-    When t3 comes with a service that is a number
+  Scenario: An unreadable entry is logged once for each change of its content
+    Given a list with the valid entries t1 and t2
+    When t3 is received with a service that is a number
     And the whole list is read again
-    And t3 comes with slots that are -3
-    Then two lines say that t3 cannot be read
+    And t3 is received with slots that are -3
+    Then two lines say that t3 is unreadable
 
-  Scenario: A target whose entry turns bad takes nothing new until a good one comes
-    Given a list with the good entries t1 and t2
-    When t2 comes with an address that is null
-    Then t2 is named as leaving
-    When t2 comes with its good entry again
-    Then t2 is named as ready
+  Scenario: A target whose entry becomes unreadable gets no new requests until a valid one arrives
+    Given a list with the valid entries t1 and t2
+    When t2 is received with an address that is null
+    Then t2 is listed as leaving
+    When t2 is received with its valid entry again
+    Then t2 is listed as ready
 
-  Scenario: An entry of an earlier life does not come back
-    Given a list with the good entries t1 and t2
-    When t2 comes as it started 5000 ms later
-    And t2 comes as it started 0 ms later
-    Then t2 is known as it started 5000 ms later
-    When t2 is dropped
-    And t2 comes as it started 0 ms later
-    Then the list names t1
+  Scenario: An entry of an earlier incarnation is not restored
+    Given a list with the valid entries t1 and t2
+    When t2 is received as started 5000 ms later
+    And t2 is received as started 0 ms later
+    Then t2 is listed as started 5000 ms later
+    When t2 is removed
+    And t2 is received as started 0 ms later
+    Then the list contains t1
 
-  Scenario: An entry that no longer tells its life is another writer's
-    Given a list with the good entries t1 and t2
-    When t2 comes without the time of its start
-    Then t2 is named as leaving
+  Scenario: An entry without a start time is not taken for one of the target
+    Given a list with the valid entries t1 and t2
+    When t2 is received without its start time
+    Then t2 is listed as leaving
 
-  Scenario: Bad parts of a configuration leave the good ones in force
-    When a configuration comes whose second route has no prefix and whose second key list is a number
+  Scenario: Invalid parts of a configuration leave the valid ones in force
+    When a configuration arrives whose second route has no prefix and whose second key list is a number
     Then its first route and its first workspace are in force
-    And two parts are named as refused
+    And two parts are reported as refused
 
-  Scenario: A configuration that cannot be read changes nothing and is no loss of the store
+  Scenario: An unreadable configuration changes nothing and does not count as loss of the store
     Given a daemon with a configuration in force
-    When the store tells a configuration that is a list
-    Then the configuration in force is the same, and the store counts as answering
+    When the store returns a configuration that is a list
+    Then the configuration in force is the same, and the store counts as available
--- a/features/steps/era_steps.py
+++ b/features/steps/era_steps.py
@@ -1,4 +1,4 @@
-"""Steps over the era that the store's answers tell."""
+"""Steps for the era that the store reports in its responses."""
 
 import asyncio
 
@@ -13,23 +13,23 @@
 from harness.ports import free_ports
 
 TABLE = "t"
-WAIT_S = 0.1
+CHANGE_WAIT_S = 0.1
 
 
-def _era(text):
+def _parse_era(text):
     return None if text == "nothing" else text
 
 
-@given("a store over HTTP that says {first}")
+@given("a store over HTTP that reports era {first}")
 def step_store(context, first):
     context.rows = Store()
-    context.rows.era = _era(first)
+    context.rows.era = _parse_era(first)
     context.rows.put(TABLE, "a", b"1")
-    context.found = []
+    context.outcomes = []
 
 
-def _play(context, act):
-    """Let a client act on the store; note what each act returned or raised."""
+def _run_client(context, use_client):
+    """Serve the store and run a coroutine function with a client of it."""
 
     async def run():
         address = f"127.0.0.1:{free_ports(1)[0]}"
@@ -37,7 +37,7 @@
         await server.start()
         context.client = HttpRowStore(StoreSettings(address=address))
         try:
-            await act(context.client)
+            await use_client(context.client)
         finally:
             await context.client.close()
             await server.stop(0.1)
@@ -45,95 +45,95 @@
     asyncio.run(run())
 
 
-async def _note(context, awaited):
+async def _record_outcome(context, awaited):
     try:
-        context.found.append(await awaited)
+        context.outcomes.append(await awaited)
     except StoreError as error:
-        context.found.append(error)
+        context.outcomes.append(error)
 
 
-@when("a table is read, the store says {after}, and it is read again")
-def step_read_twice(context, after):
-    async def act(client):
-        await _note(context, client.read_table(TABLE))
-        context.rows.era = _era(after)
-        await _note(context, client.read_table(TABLE))
+@when("a table is read, the store reports era {next_era}, and it is read again")
+def step_read_twice(context, next_era):
+    async def use_client(client):
+        await _record_outcome(context, client.read_table(TABLE))
+        context.rows.era = _parse_era(next_era)
+        await _record_outcome(context, client.read_table(TABLE))
 
-    _play(context, act)
+    _run_client(context, use_client)
 
 
-@then("the second reading is {result}")
-def step_second(context, result):
-    first, second = context.found
+@then("the second snapshot is {result}")
+def step_second_snapshot(context, result):
+    first, second = context.outcomes
     if result == "refused as unavailable":
         assert second.code == "store-unavailable", second
-    elif result == "further on":
-        assert second.version > first.version, context.found
-        assert second.rows[0].version > first.rows[0].version, context.found
+    elif result == "newer":
+        assert second.version > first.version, context.outcomes
+        assert second.rows[0].version > first.rows[0].version, context.outcomes
     else:
-        assert second == first, context.found
+        assert second == first, context.outcomes
 
 
-def _come_back(rows, copy):
-    """Come back from a copy, and reach the version that was known."""
+def _restore(rows, copy):
+    """Restore rows from a copy and write until the version before is reached again."""
     version = rows.version
     rows.come_back(copy)
     while rows.version < version:
         rows.put(TABLE, "other", b"3")
 
 
-@when("a table is read, and the store comes back older and reaches that version again")
-def step_reaches(context):
+@when("a table is read, and the store is restored and reaches that version again")
+def step_version_reached_again(context):
     context.rows.era = 1
     copy = context.rows.copy()
     context.rows.put(TABLE, "b", b"2")
 
-    async def act(client):
-        read = await client.read_table(TABLE)
-        _come_back(context.rows, copy)
-        await _note(context, client.wait_for_changes(TABLE, read.version, WAIT_S))
+    async def use_client(client):
+        snapshot = await client.read_table(TABLE)
+        _restore(context.rows, copy)
+        await _record_outcome(
+            context, client.wait_for_changes(TABLE, snapshot.version, CHANGE_WAIT_S)
+        )
 
-    _play(context, act)
+    _run_client(context, use_client)
 
 
-@then("changes after what was read are refused as dropped history")
-def step_dropped(context):
-    assert context.found[0].code == "history-dropped", context.found
+@then("changes after the snapshot are refused as dropped history")
+def step_history_dropped(context):
+    assert context.outcomes[0].code == "history-dropped", context.outcomes
 
 
-@when(
-    "a row is written, and the store comes back older and gives out its version again"
-)
-def step_written(context):
+@when("a row is written, and the store is restored and assigns its version again")
+def step_version_assigned_again(context):
     context.rows.era = 1
     copy = context.rows.copy()
 
-    async def act(client):
+    async def use_client(client):
         version = await client.write(RowWrite(TABLE, "b", b"2"))
         context.rows.come_back(copy)
         context.rows.put(TABLE, "b", b"by another")
         for _ in range(2):
             write = RowWrite(TABLE, "b", b"4", version)
-            await _note(context, client.write(write))
+            await _record_outcome(context, client.write(write))
 
-    context.act = act
+    context.use_client = use_client
 
 
-@when("the row is replaced under the condition of its version")
+@when("the row is replaced on condition of its version")
 def step_replaced(context):
-    _play(context, context.act)
+    _run_client(context, context.use_client)
 
 
-@then("the writer is told that it may not have been written")
-def step_told(context):
-    assert context.found[0].code == "reply-lost", context.found
+@then("the writer is told that the outcome is unknown")
+def step_outcome_unknown(context):
+    assert context.outcomes[0].code == "reply-lost", context.outcomes
 
 
-@when("it is replaced under that condition once more")
-def step_once_more(context):
-    assert len(context.found) == 2, context.found
+@when("it is replaced on that condition once more")
+def step_replaced_again(context):
+    assert len(context.outcomes) == 2, context.outcomes
 
 
 @then("the condition has failed")
-def step_failed(context):
-    assert context.found[1].code == "condition-failed", context.found
+def step_condition_failed(context):
+    assert context.outcomes[1].code == "condition-failed", context.outcomes
--- a/features/steps/knowledge_steps.py
+++ b/features/steps/knowledge_steps.py
@@ -1,4 +1,4 @@
-"""Steps over configuration and targets as a daemon knows them."""
+"""Steps for a daemon's replica of configuration and targets."""
 
 import asyncio
 
@@ -22,22 +22,22 @@
 def step_follow(context):
     context.store = FlakyStore()
     context.store.targets = {"t1", "t2"}
-    context.seen = {}
+    context.known_targets = {}
 
 
-def _play(context, change, looks):
+def _run_replica(context, alter, checks_s):
     async def run():
-        knowledge, _, listener = make_replica(context.store)
-        context.knowledge = knowledge
+        replica, _, listener = make_replica(context.store)
+        context.replica = replica
         context.pushes = listener.pushes
-        tasks = [asyncio.create_task(c) for c in knowledge.coroutines()]
+        tasks = [asyncio.create_task(c) for c in replica.coroutines()]
         await asyncio.sleep(4.0)
-        await change(context.store)
-        start = 0.0
-        for look in looks:
-            await asyncio.sleep(look - start)
-            start = look
-            context.seen[look] = set(listener.targets)
+        await alter(context.store)
+        elapsed_s = 0.0
+        for check_s in checks_s:
+            await asyncio.sleep(check_s - elapsed_s)
+            elapsed_s = check_s
+            context.known_targets[check_s] = set(listener.targets)
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
@@ -45,113 +45,116 @@
     run_paused(run())
 
 
-@when("the store is away for 3 s and comes back without t2")
-def step_away(context):
-    async def change(store):
-        store.is_away = True
+@when("the store is unavailable for 3 s and returns without t2")
+def step_unavailable(context):
+    async def alter(store):
+        store.is_unavailable = True
         await asyncio.sleep(3.0)
         store.targets = {"t1"}
-        store.is_away = False
+        store.is_unavailable = False
 
-    _play(context, change, (1, 4))
+    _run_replica(context, alter, (1, 4))
 
 
-@when("the store comes back at once, as it was before t2 was listed")
-def step_older(context):
-    async def change(store):
+@when("the store is restored from a copy without t2")
+def step_restored_without_t2(context):
+    async def alter(store):
         store.targets = {"t1"}
         store.version = pack_version(1, 1)
         store.drops_history = True
 
-    _play(context, change, (1, 4))
+    _run_replica(context, alter, (1, 4))
 
 
-@when("the store is away for 3 s, comes back, and drops t2 0.3 s later")
-def step_away_drops(context):
-    async def change(store):
-        store.is_away = True
+@when("the store is unavailable for 3 s, returns, and removes t2 0.3 s later")
+def step_removed_after_outage(context):
+    async def alter(store):
+        store.is_unavailable = True
         await asyncio.sleep(3.0)
-        store.is_away = False
-        # The daemon tries again every half a second at the latest.
+        store.is_unavailable = False
+        # The daemon retries within half a second.
         await asyncio.sleep(0.8)
-        store.deletes = "t2"
+        store.removed_key = "t2"
 
-    _play(context, change, (1, 2))
+    _run_replica(context, alter, (1, 2))
 
 
-@then("a resting daemon that took all its pushes knows {targets}")
-def step_pushed(context, targets):
-    rests, _, listener = make_replica(FlakyStore())
-    rests.configuration_version, rests.targets_version = 7, 1
+@then("a daemon without the store that applied all its pushes knows {targets}")
+def step_applied_pushes(context, targets):
+    replica, _, listener = make_replica(FlakyStore())
+    replica.configuration_version, replica.targets_version = 7, 1
     listener.targets = {"t1", "t2"}
-    rests.set_following(False)
+    replica.set_following(False)
     for push in context.pushes:
-        rests.apply_push(push)
+        replica.apply_push(push)
     assert listener.targets == set(targets.split()), context.pushes
 
 
-@when("t2 is dropped 2.0 s after an outage and is back, which only a whole read tells")
-def step_back_by_read(context):
-    async def change(store):
-        store.is_away = True
+@when("t2 is removed 2.0 s after an outage and its return is seen only in a snapshot")
+def step_returned_in_snapshot(context):
+    async def alter(store):
+        store.is_unavailable = True
         await asyncio.sleep(3.0)
-        store.is_away = False
+        store.is_unavailable = False
         await asyncio.sleep(0.5 + 1.5)
-        store.deletes = "t2"
+        store.removed_key = "t2"
         await asyncio.sleep(0.35)
         store.targets.add("t2")
         store.drops_history = True
 
-    _play(context, change, (1, 4))
+    _run_replica(context, alter, (1, 4))
 
 
-def _rest_and_read(context, told):
-    async def change(store):
-        knowledge = context.knowledge
-        store.is_away = True
+def _stop_and_follow_again(context, gets_pushes):
+    async def alter(store):
+        replica = context.replica
+        store.is_unavailable = True
         await asyncio.sleep(0.4)
-        knowledge.set_following(False)
-        store.is_away = False
+        replica.set_following(False)
+        store.is_unavailable = False
         for version in range(2, 10):
-            if told:
+            if gets_pushes:
                 changed = {"t1": entry_content(sequence=version)}
                 push = TargetChanges(version - 1, version, changed, ())
-                knowledge.apply_push(push)
+                replica.apply_push(push)
             await asyncio.sleep(0.5)
         store.targets = {"t1"}
         store.version = 10
-        knowledge.set_following(True)
+        replica.set_following(True)
 
-    _play(context, change, (1,))
+    _run_replica(context, alter, (1,))
 
 
 @when(
-    "the store refuses it, it rests and is told of changes for 4 s, "
-    "and reads again once t2 is gone"
+    "the store is unavailable, it gets pushes for 4 s, and follows the store again "
+    "without t2"
 )
-def step_rests_told(context):
-    _rest_and_read(context, told=True)
+def step_gets_pushes(context):
+    _stop_and_follow_again(context, gets_pushes=True)
 
 
-@when("the store refuses it, it rests for 4 s, and reads again while t2 has lapsed")
-def step_rests_untold(context):
-    _rest_and_read(context, told=False)
+@when(
+    "the store is unavailable, it gets no pushes for 4 s, and follows the store again "
+    "without t2"
+)
+def step_gets_no_pushes(context):
+    _stop_and_follow_again(context, gets_pushes=False)
 
 
-@when("the store refuses it and it rests then")
-def step_refused(context):
-    context.fit = {}
+@when("the store is unavailable and it then stops following it")
+def step_stops_following(context):
+    context.is_current_at = {}
 
     async def run():
-        knowledge, _, _ = make_replica(context.store)
-        tasks = [asyncio.create_task(c) for c in knowledge.coroutines()]
+        replica, _, _ = make_replica(context.store)
+        tasks = [asyncio.create_task(c) for c in replica.coroutines()]
         await asyncio.sleep(4.0)
-        context.store.is_away = True
+        context.store.is_unavailable = True
         await asyncio.sleep(0.4)
-        knowledge.set_following(False)
+        replica.set_following(False)
         for second in range(1, 7):
             await asyncio.sleep(1.0)
-            context.fit[second] = knowledge.is_current
+            context.is_current_at[second] = replica.is_current
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
@@ -159,50 +162,52 @@
     run_paused(run())
 
 
-@then("it is not fit 1 s later, nor 4 s later")
-def step_unfit(context):
-    assert not context.fit[1] and not context.fit[4], context.fit
+@then("it is not current 1 s later, nor 4 s later")
+def step_not_current(context):
+    assert not context.is_current_at[1] and not context.is_current_at[4], (
+        context.is_current_at
+    )
 
 
-@then("it is fit 6 s later")
-def step_fit(context):
-    assert context.fit[6], context.fit
+@then("it is current 6 s later")
+def step_current(context):
+    assert context.is_current_at[6], context.is_current_at
 
 
 @when("the store drops its history and t3 is added")
-def step_dropped(context):
-    async def change(store):
+def step_history_dropped(context):
+    async def alter(store):
         store.targets = {"t1", "t2", "t3"}
         store.drops_history = True
 
-    _play(context, change, (1,))
+    _run_replica(context, alter, (1,))
 
 
 @then("the daemon knows {targets} {seconds:d} s later")
 def step_knows(context, targets, seconds):
     expected = {word for word in targets.split() if word != "and"}
-    assert context.seen[seconds] == expected, context.seen
+    assert context.known_targets[seconds] == expected, context.known_targets
 
 
-@given("a daemon that rests with targets version 5")
-def step_rests(context):
-    context.knowledge, context.registry, context.listener = make_replica(FlakyStore())
-    context.knowledge.configuration_version = 7
-    context.knowledge.targets_version = 5
-    context.knowledge.set_following(False)
+@given("a daemon that does not follow the store and has targets version 5")
+def step_not_following(context):
+    context.replica, context.registry, context.listener = make_replica(FlakyStore())
+    context.replica.configuration_version = 7
+    context.replica.targets_version = 5
+    context.replica.set_following(False)
 
 
-@given("a daemon that rests and knows t1 and t2 at version 5")
-def step_rests_and_knows(context):
-    step_rests(context)
+@given("a daemon that does not follow the store and knows t1 and t2 at version 5")
+def step_not_following_with_targets(context):
+    step_not_following(context)
     content = entry_content()
     listed = dict.fromkeys(("t1", "t2"), content)
-    context.knowledge._replace_targets(listed, 5)
+    context.replica._replace_targets(listed, 5)
 
 
 def _push(context, after, version, changed, gone):
-    fields = {target: entry_content(sequence=version) for target in changed}
-    context.knowledge.apply_push(TargetChanges(after, version, fields, gone))
+    contents = {target: entry_content(sequence=version) for target in changed}
+    context.replica.apply_push(TargetChanges(after, version, contents, gone))
 
 
 @when("a push from version {after:d} to {version:d} arrives that changes {changed:w}")
@@ -210,59 +215,59 @@
     _push(context, after, version, (changed,), ())
 
 
-@when("a push from version {after:d} to {version:d} arrives that drops {gone:w}")
+@when("a push from version {after:d} to {version:d} arrives that removes {gone:w}")
 def step_push_drops(context, after, version, gone):
     _push(context, after, version, (), (gone,))
 
 
-@when("a push from version 5 to 6 arrives that changes t2 and drops t1")
+@when("a push from version 5 to 6 arrives that changes t2 and removes t1")
 def step_push_both(context):
     _push(context, 5, 6, ("t2",), ("t1",))
 
 
-@then("the resting daemon knows {targets}")
-def step_resting_knows(context, targets):
+@then("the daemon without the store knows {targets}")
+def step_knows_without_store(context, targets):
     known = set(targets.split(" and "))
     assert context.listener.targets == known, context.listener.targets
 
 
 @when("a push from version 7 to 8 arrives")
-def step_push(context):
-    context.knowledge.apply_push(TargetChanges(7, 8, {}, ("t1",)))
+def step_push_after_gap(context):
+    context.replica.apply_push(TargetChanges(7, 8, {}, ("t1",)))
 
 
 @then("the push is not applied")
 def step_not_applied(context):
-    assert context.knowledge.targets_version == 5
+    assert context.replica.targets_version == 5
 
 
-def _sources(context, now):
-    return context.knowledge._read_policy.sources(context.knowledge, now)
+def _read_sources(context, now):
+    return context.replica._read_policy.sources(context.replica, now)
 
 
-@then("the daemon reads a peer that is ahead")
+@then("the daemon reads from a peer that is ahead")
 def step_reads(context):
-    beat = heartbeat("b", 3, targets_version=8)
-    context.registry.record_heartbeat(beat, 10.0)
-    assert not _sources(context, 10.0)
-    sources = _sources(context, 10.5)
+    peer_heartbeat = heartbeat("b", 3, targets_version=8)
+    context.registry.record_heartbeat(peer_heartbeat, 10.0)
+    assert not _read_sources(context, 10.0)
+    sources = _read_sources(context, 10.5)
     assert [source.name for source in sources] == ["b"]
 
 
-@given("a daemon that knows configuration 7")
-def step_knows_seven(context):
-    context.knowledge, _, context.listener = make_replica(FlakyStore())
-    content = FlakyStore().rows(CONFIGURATION_TABLE)
-    context.knowledge._on_configuration_rows(RowChanges(content, 1))
+@given("a daemon with configuration 7")
+def step_with_configuration(context):
+    context.replica, _, context.listener = make_replica(FlakyStore())
+    rows = FlakyStore().rows(CONFIGURATION_TABLE)
+    context.replica._on_configuration_rows(RowChanges(rows, 1))
 
 
-@when("a peer gives it configuration 6")
-def step_older(context):
+@when("a peer sends it configuration 6")
+def step_older_configuration(context):
     store = FlakyStore()
     store.configuration = 6
     content = store.rows(CONFIGURATION_TABLE)[0].value
     assert encode_state(PeerState(content, 1, {}))
-    context.knowledge._apply_configuration(content)
+    context.replica._apply_configuration(content)
 
 
 @then("configuration 7 is in force")
@@ -270,25 +275,25 @@
     assert context.listener.table.version == 7
 
 
-@when("a peer reads that has configuration 7 and newer targets")
+@when("a peer with configuration 7 and newer targets reads from it")
 def step_peer_reads(context):
-    context.state = decode_state(context.knowledge.encoded_state(7, 99))
+    context.state = decode_state(context.replica.encoded_state(7, 99))
 
 
-@then("the answer holds neither configuration nor targets")
-def step_nothing(context):
+@then("the response contains neither configuration nor targets")
+def step_nothing_sent(context):
     assert (context.state.configuration, context.state.targets) == (None, {})
 
 
 @when("ten peers have configuration 8")
-def step_ten(context):
-    for number in range(10):
-        ahead = member(f"p{number}", 20 + number)._replace(configuration=8)
-        beat = Heartbeat(ahead, 1, True, 5, {}, {})
-        context.registry.record_heartbeat(beat, 10.0)
+def step_ten_newer_peers(context):
+    for index in range(10):
+        ahead = member(f"p{index}", 20 + index)._replace(configuration=8)
+        peer_heartbeat = Heartbeat(ahead, 1, True, 5, {}, {})
+        context.registry.record_heartbeat(peer_heartbeat, 10.0)
 
 
 @then("several of them are read first")
-def step_several(context):
-    first = {_sources(context, 10.0)[0].name for _ in range(20)}
-    assert len(first) > 3, first
+def step_reads_spread(context):
+    first_read = {_read_sources(context, 10.0)[0].name for _ in range(20)}
+    assert len(first_read) > 3, first_read
--- a/features/steps/outside_steps.py
+++ b/features/steps/outside_steps.py
@@ -1,4 +1,4 @@
-"""Steps over contents that come from outside and may be damaged."""
+"""Steps for input from other processes that may be damaged."""
 
 import asyncio
 import json
@@ -6,7 +6,7 @@
 
 from behave import given, then, when
 from hypothesis import HealthCheck, Phase, seed, settings
-from hypothesis import given as draw
+from hypothesis import given as given_values
 
 from cowslipcourse.emulator.clock import run_paused
 from cowslipcourse.entry import target_list
@@ -23,8 +23,8 @@
 }
 
 
-def _decode_all(context, number, good, decode, check):
-    context.taken, context.refused, context.wrong = 0, 0, []
+def _decode_all(context, number, valid, decode, check):
+    context.accepted, context.refused, context.mismatches = 0, 0, []
 
     @seed(1)
     @settings(
@@ -34,52 +34,52 @@
         phases=[Phase.generate],
         suppress_health_check=list(HealthCheck),
     )
-    @draw(damaged(good))
+    @given_values(damaged(valid))
     def run(value):
         try:
-            found = decode(value)
+            decoded = decode(value)
         except REFUSALS:
             context.refused += 1
             return
         except Exception as error:
-            context.wrong.append((value, error))
+            context.mismatches.append((value, error))
             return
-        context.taken += 1
+        context.accepted += 1
         try:
-            check(found)
+            check(decoded)
         except Exception as error:
-            context.wrong.append((value, error))
+            context.mismatches.append((value, error))
 
     run()
 
 
-@when("{number:d} contents are decoded as {what}, fields as they come")
-def step_decode_lenient(context, number, what):
-    good, _, check = DECODERS[what]
-    _decode_all(context, number, good, lenient_entry, check)
+@when("{number:d} inputs are decoded as {input_kind} without type checks")
+def step_decode_lenient(context, number, input_kind):
+    valid, _, check = DECODERS[input_kind]
+    _decode_all(context, number, valid, lenient_entry, check)
 
 
-@when("{number:d} contents are decoded as {what}")
-def step_decode(context, number, what):
-    _decode_all(context, number, *DECODERS[what])
+@when("{number:d} inputs are decoded as {input_kind}")
+def step_decode(context, number, input_kind):
+    _decode_all(context, number, *DECODERS[input_kind])
 
 
-@then("each was refused with the typed error or taken in its types")
-def step_all_fit(context):
-    assert not context.wrong, context.wrong[:3]
+@then("each was refused with the typed error or matches its types")
+def step_all_match(context):
+    assert not context.mismatches, context.mismatches[:3]
 
 
-@then("some were taken and some refused")
-def step_both(context):
-    assert context.taken and context.refused, (context.taken, context.refused)
+@then("some were accepted and some refused")
+def step_accepted_and_refused(context):
+    assert context.accepted and context.refused, (context.accepted, context.refused)
 
 
-@then("the check finds one that was neither refused nor taken in its types")
-def step_found_out(context):
-    assert context.wrong
+@then("the check finds one that was neither refused nor matches its types")
+def step_mismatch_found(context):
+    assert context.mismatches
 
 
-class _Lines(logging.Handler):
+class _LogRecorder(logging.Handler):
     def __init__(self):
         super().__init__()
         self.events = []
@@ -88,42 +88,44 @@
         self.events.append((record.getMessage(), record.fields.get("id")))
 
 
-@given("a list with the good entries t1 and t2")
+@given("a list with the valid entries t1 and t2")
 def step_list(context):
-    context.lines = _Lines()
+    context.log_recorder = _LogRecorder()
     logger = logging.getLogger(target_list.__name__)
-    logger.addHandler(context.lines)
+    logger.addHandler(context.log_recorder)
     level = logger.level
     logger.setLevel(logging.INFO)
-    context.resources.callback(logger.removeHandler, context.lines)
+    context.resources.callback(logger.removeHandler, context.log_recorder)
     context.resources.callback(logger.setLevel, level)
     context.list = TargetList()
-    good = {"t1": entry_content(), "t2": entry_content()}
-    context.list.apply(good, ())
+    valid = {"t1": entry_content(), "t2": entry_content()}
+    context.list.apply(valid, ())
 
 
-@when("{target} comes with {what}")
-def step_comes(context, target, what):
-    fields = BAD_FIELDS.get(what, {})
+@when("{target} is received with {bad_field}")
+def step_received(context, target, bad_field):
+    fields = BAD_FIELDS.get(bad_field, {})
     content = {target: entry_content(**fields)}
-    context.changes = context.list.apply(content, ())
+    context.entry_changes = context.list.apply(content, ())
 
 
-@when("{target} comes as it started {later:d} ms later")
-def step_comes_life(context, target, later):
-    content = {target: entry_content(born=BORN_MS + later)}
-    context.changes = context.list.apply(content, ())
+@when("{target} is received as started {delay_ms:d} ms later")
+def step_received_incarnation(context, target, delay_ms):
+    content = {target: entry_content(born=BORN_MS + delay_ms)}
+    context.entry_changes = context.list.apply(content, ())
 
 
-@when("{target} comes without the time of its start")
-def step_comes_untold(context, target):
+@when("{target} is received without its start time")
+def step_received_without_start(context, target):
     fields = entry_fields()
     del fields["born"]
-    context.changes = context.list.apply({target: json.dumps(fields).encode()}, ())
+    context.entry_changes = context.list.apply(
+        {target: json.dumps(fields).encode()}, ()
+    )
 
 
-@when("{target} is dropped")
-def step_dropped(context, target):
+@when("{target} is removed")
+def step_removed(context, target):
     context.list.apply({}, (target,))
 
 
@@ -132,35 +134,35 @@
     context.list.replace(dict(context.list.contents))
 
 
-@then("the list names {targets}")
-def step_names(context, targets):
-    names = {target for target in targets.split() if target != "and"}
-    assert set(context.list.entries) == names, context.list.entries
+@then("the list contains {targets}")
+def step_contents(context, targets):
+    target_ids = {target for target in targets.split() if target != "and"}
+    assert set(context.list.entries) == target_ids, context.list.entries
 
 
-@then("{target} is known as it started {later:d} ms later")
-def step_known_life(context, target, later):
-    assert context.list.entries[target].incarnation == BORN_MS + later
+@then("{target} is listed as started {delay_ms:d} ms later")
+def step_listed_incarnation(context, target, delay_ms):
+    assert context.list.entries[target].incarnation == BORN_MS + delay_ms
 
 
-@then("{target} is named as {state}")
-def step_state(context, target, state):
-    (entry,) = context.changes.entries
+@then("{target} is listed as {state}")
+def step_listed_state(context, target, state):
+    (entry,) = context.entry_changes.entries
     assert entry.id == target and entry.is_leaving == (state == "leaving")
 
 
-@then("{number} line says that {target} cannot be read")
-@then("{number} lines say that {target} cannot be read")
-def step_lines(context, number, target):
-    count = context.lines.events.count(("entry-unreadable", target))
-    assert count == {"one": 1, "two": 2}[number], context.lines.events
+@then("{number} line says that {target} is unreadable")
+@then("{number} lines say that {target} is unreadable")
+def step_log_lines(context, number, target):
+    line_count = context.log_recorder.events.count(("entry-unreadable", target))
+    assert line_count == {"one": 1, "two": 2}[number], context.log_recorder.events
 
 
 @when(
-    "a configuration comes whose second route has no prefix and whose second key list "
-    "is a number"
+    "a configuration arrives whose second route has no prefix and whose second key "
+    "list is a number"
 )
-def step_bad_parts(context):
+def step_invalid_parts(context):
     route = {
         "name": "r",
         "host": "h",
@@ -182,14 +184,14 @@
 
 
 @then("its first route and its first workspace are in force")
-def step_good_parts(context):
+def step_valid_parts_in_force(context):
     table = context.decoded.table
     route = table.find("h", "/a/x")
     assert table.workspace(route, "k1").name == "good"
 
 
-@then("two parts are named as refused")
-def step_two_problems(context):
+@then("two parts are reported as refused")
+def step_problem_count(context):
     assert len(context.decoded.problems) == 2, context.decoded.problems
 
 
@@ -198,26 +200,29 @@
     context.store = FlakyStore()
 
 
-@when("the store tells a configuration that is a list")
+@when("the store returns a configuration that is a list")
 def step_list_configuration(context):
     async def run():
-        knowledge, _, listener = make_replica(context.store)
-        tasks = [asyncio.create_task(c) for c in knowledge.coroutines()]
+        replica, _, listener = make_replica(context.store)
+        tasks = [asyncio.create_task(c) for c in replica.coroutines()]
         await asyncio.sleep(3.0)
-        context.before = listener.table
+        context.previous_table = listener.table
         context.store.configuration_content = b"[]"
-        knowledge.set_following(False)
+        replica.set_following(False)
         await asyncio.sleep(0.5)
-        knowledge.set_following(True)
+        replica.set_following(True)
         await asyncio.sleep(3.0)
-        context.after, context.is_current = listener.table, knowledge.is_current
+        context.current_table, context.is_current = listener.table, replica.is_current
         for task in tasks:
             task.cancel()
 
     run_paused(run())
 
 
-@then("the configuration in force is the same, and the store counts as answering")
+@then("the configuration in force is the same, and the store counts as available")
 def step_same_configuration(context):
-    assert context.before is not None and context.after is context.before
+    assert (
+        context.previous_table is not None
+        and context.current_table is context.previous_table
+    )
     assert context.is_current
--- a/features/steps/peer_steps.py
+++ b/features/steps/peer_steps.py
@@ -1,4 +1,4 @@
-"""Steps over the other daemons, as their heartbeats and digests tell of them."""
+"""Steps for the registry of peers, from heartbeats and digests."""
 
 from behave import given, then, when
 
@@ -16,139 +16,154 @@
 def step_daemons(context):
     context.now = 100.0
     context.sequence = 0
-    context.south_alive = True
-    context.a2_fit = True
-    _hear(context)
+    context.is_b1_alive = True
+    context.is_a2_healthy = True
+    _receive_messages(context)
 
 
-def _hear(context):
-    """Let a1 hear what the others say now."""
+def _receive_messages(context):
+    """Let a1 receive current messages of the other daemons."""
     context.sequence += 1
     context.now += 10.0
-    if not hasattr(context, "peers"):
-        context.peers = PeerRegistry(PeerSettings(), "north")
-    beat = heartbeat("a2", 20, context.a2_fit, sequence=context.sequence)
-    context.peers.record_heartbeat(beat, context.now)
-    if context.south_alive:
+    if not hasattr(context, "registry"):
+        context.registry = PeerRegistry(PeerSettings(), "north")
+    a2_heartbeat = heartbeat("a2", 20, context.is_a2_healthy, sequence=context.sequence)
+    context.registry.record_heartbeat(a2_heartbeat, context.now)
+    if context.is_b1_alive:
         b1 = member("b1", 10, "south")
         digest = Digest(b1, context.sequence, (b1,), {}, {})
-        context.peers.record_digest(digest, context.now)
+        context.registry.record_digest(digest, context.now)
 
 
 @when("b1 is silent")
-def step_b1(context):
-    context.south_alive = False
-    _hear(context)
+def step_b1_silent(context):
+    context.is_b1_alive = False
+    _receive_messages(context)
 
 
-@when("a2 does not reach the store")
-def step_a2(context):
-    context.a2_fit = False
-    _hear(context)
+@when("a2 cannot reach the store")
+def step_a2_unhealthy(context):
+    context.is_a2_healthy = False
+    _receive_messages(context)
 
 
 @then("{reporter} reports for north, and {coordinator} coordinates")
 def step_roles(context, reporter, coordinator):
     own = heartbeat("a1", 30)
-    assert context.peers.reporters(own, context.now) == [reporter]
-    assert _eldest(context, own) == coordinator
+    assert context.registry.reporters(own, context.now) == [reporter]
+    assert _global_coordinator(context, own) == coordinator
 
 
-def _eldest(context, own):
-    """Return who keeps the groups of data centres without a reporter."""
-    found = context.peers.first_reporter_by_data_centre(own, context.now).values()
-    return min(found, key=registration_order).name
+def _global_coordinator(context, own):
+    """Return who coordinates the groups of data centres without a reporter."""
+    reporters = context.registry.first_reporter_by_data_centre(
+        own, context.now
+    ).values()
+    return min(reporters, key=registration_order).name
 
 
-@then("{first} keeps the groups of north, and {second} those of south")
-def step_keepers(context, first, second):
-    found = context.peers.first_reporter_by_data_centre(
+@then("{first} coordinates the groups of north, and {second} those of south")
+def step_coordinators(context, first, second):
+    reporters = context.registry.first_reporter_by_data_centre(
         heartbeat("a1", 30), context.now
     )
-    own = {place: member.name for place, member in found.items()}
-    assert own == {"north": first, "south": second}, own
+    coordinators = {
+        data_centre: member.name for data_centre, member in reporters.items()
+    }
+    assert coordinators == {"north": first, "south": second}, coordinators
 
 
-@then("{name} keeps the groups of north, and of all others without a reporter")
-def step_keeps_all(context, name):
-    found = context.peers.first_reporter_by_data_centre(
+@then("{name} coordinates the groups of north, and of all others without a reporter")
+def step_coordinates_all(context, name):
+    reporters = context.registry.first_reporter_by_data_centre(
         heartbeat("a1", 30), context.now
     )
-    assert {place: m.name for place, m in found.items()} == {"north": name}, found
+    assert {data_centre: m.name for data_centre, m in reporters.items()} == {
+        "north": name
+    }, reporters
 
 
 @then("a2 coordinates")
 def step_a2_coordinates(context):
-    assert _eldest(context, heartbeat("a1", 30)) == "a2"
+    assert _global_coordinator(context, heartbeat("a1", 30)) == "a2"
 
 
 @given("a1 in north, and two reporters b1 and b2 in south, registered in the order {_}")
 def step_two_reporters(context, _):
     context.now = 100.0
-    context.peers = PeerRegistry(PeerSettings(), "north")
-    _digest(context, "b1", 10, 1)
-    _digest(context, "b2", 50, 1)
+    context.registry = PeerRegistry(PeerSettings(), "north")
+    _receive_digest(context, "b1", 10, 1)
+    _receive_digest(context, "b2", 50, 1)
 
 
-def _digest(context, name, registration, sequence):
+def _receive_digest(context, name, registration, sequence):
     reporter = member(name, registration, "south")
     digest = Digest(reporter, sequence, (reporter,), {}, {})
-    assert context.peers.record_digest(digest, context.now)
+    assert context.registry.record_digest(digest, context.now)
 
 
-@when("b2 speaks again")
-def step_b2(context):
+@when("b2 sends another digest")
+def step_b2_digest(context):
     context.now += 0.2
-    _digest(context, "b2", 50, 2)
+    _receive_digest(context, "b2", 50, 2)
 
 
-@when("b1 has been silent for longer than a daemon that lives")
+@when("b1 has been silent for longer than the liveness time-out")
 def step_b1_silent(context):
     context.now += PeerSettings().alive_s
-    _digest(context, "b2", 50, 3)
+    _receive_digest(context, "b2", 50, 3)
 
 
 @then("{name} coordinates in the view of a1")
-def step_view(context, name):
-    found = _eldest(context, heartbeat("a1", 30))
-    assert found == name, found
+def step_coordinator_in_view(context, name):
+    coordinator = _global_coordinator(context, heartbeat("a1", 30))
+    assert coordinator == name, coordinator
 
 
 @given("a heartbeat of incarnation 2 with sequence 5")
-def step_newest(context):
-    context.peers = PeerRegistry(PeerSettings(), "north")
+def step_newest_heartbeat(context):
+    context.registry = PeerRegistry(PeerSettings(), "north")
     newest = member("b", 1, incarnation=2)
-    context.beat = Heartbeat(newest, 5, True, 0, {}, {})
-    assert context.peers.record_heartbeat(context.beat, 1.0)
+    context.heartbeat = Heartbeat(newest, 5, True, 0, {}, {})
+    assert context.registry.record_heartbeat(context.heartbeat, 1.0)
 
 
-@then("sequence 4 and incarnation 1 are ignored, and incarnation 3 is taken")
-def step_ignored(context):
-    old = context.beat._replace(sequence=4)
-    earlier = context.beat._replace(member=member("b", 1, incarnation=1), sequence=9)
-    later = context.beat._replace(member=member("b", 1, incarnation=3), sequence=1)
-    taken = [context.peers.record_heartbeat(b, 1.1) for b in (old, earlier, later)]
-    assert taken == [False, False, True]
+@then("sequence 4 and incarnation 1 are ignored, and incarnation 3 is accepted")
+def step_outdated_ignored(context):
+    outdated = context.heartbeat._replace(sequence=4)
+    earlier_incarnation = context.heartbeat._replace(
+        member=member("b", 1, incarnation=1), sequence=9
+    )
+    later_incarnation = context.heartbeat._replace(
+        member=member("b", 1, incarnation=3), sequence=1
+    )
+    accepted = [
+        context.registry.record_heartbeat(message, 1.1)
+        for message in (outdated, earlier_incarnation, later_incarnation)
+    ]
+    assert accepted == [False, False, True]
 
 
-@when("nothing is heard for 10 s")
-def step_nothing_heard(context):
+@when("nothing is received for 10 s")
+def step_nothing_received(context):
     context.now += 10.0
 
 
-@then("a1 hears nobody and still counts 2 others")
+@then("a1 hears no daemon and still counts 2 others")
 def step_still_counts(context):
-    assert not context.peers.local_heartbeats(context.now)
-    assert not context.peers.remote_digests(context.now)
-    assert context.peers.known_daemon_count(context.now) == 2
+    assert not context.registry.local_heartbeats(context.now)
+    assert not context.registry.remote_digests(context.now)
+    assert context.registry.known_daemon_count(context.now) == 2
 
 
-@when("it is silent for 2 s and starts again as incarnation 1")
-def step_clock_back(context):
-    again = context.beat._replace(member=member("b", 1, incarnation=1), sequence=1)
-    context.taken = context.peers.record_heartbeat(again, 3.0)
+@when("it is silent for 2 s and restarts as incarnation 1")
+def step_restart_after_clock_jump(context):
+    restarted = context.heartbeat._replace(
+        member=member("b", 1, incarnation=1), sequence=1
+    )
+    context.accepted = context.registry.record_heartbeat(restarted, 3.0)
 
 
-@then("it is heard")
-def step_heard(context):
-    assert context.taken
+@then("its heartbeat is accepted")
+def step_heartbeat_accepted(context):
+    assert context.accepted
--- a/features/steps/route_steps.py
+++ b/features/steps/route_steps.py
@@ -1,4 +1,4 @@
-"""Steps over routes, keys and headers."""
+"""Steps for routes, keys and headers."""
 
 from behave import given, then, when
 
@@ -27,21 +27,23 @@
 
 @given("routes for north /a/ and /a/b/ and for south /a/")
 def step_routes(context):
-    places = (("north", "/a/"), ("north", "/a/b/"), ("south", "/a/"))
-    context.routing = _table([_route(*place) for place in places], {})
+    hosts_and_prefixes = (("north", "/a/"), ("north", "/a/b/"), ("south", "/a/"))
+    context.route_table = _table(
+        [_route(*host_and_prefix) for host_and_prefix in hosts_and_prefixes], {}
+    )
 
 
 @then("north /a/b/c goes to /a/b/ and north /a/x to /a/")
-def step_longest(context):
-    assert context.routing.find("north", "/a/b/c").prefix == "/a/b/"
-    assert context.routing.find("north", "/a/x").prefix == "/a/"
+def step_longest_prefix(context):
+    assert context.route_table.find("north", "/a/b/c").prefix == "/a/b/"
+    assert context.route_table.find("north", "/a/x").prefix == "/a/"
 
 
 @then("north /x and west /a/x are unknown")
-def step_unknown(context):
+def step_unknown_routes(context):
     for host, path in (("north", "/x"), ("west", "/a/x")):
         try:
-            context.routing.find(host, path)
+            context.route_table.find(host, path)
         except UnknownRoute:
             continue
         raise AssertionError((host, path))
@@ -50,19 +52,19 @@
 @given("a route that needs a key and a public one, and the key k1")
 def step_keys(context):
     context.routes = _route("h", "/a/"), _route("h", "/b/", is_public=True)
-    context.routing = _table(context.routes, {"k1": Workspace("north")})
+    context.route_table = _table(context.routes, {"k1": Workspace("north")})
 
 
 @then("k1 opens the first, k2 does not, and the public one needs none")
-def step_opens(context):
+def step_key_access(context):
     private, public = context.routes
-    assert context.routing.workspace(private, "k1").name == "north"
-    assert context.routing.workspace(public, None) is None
+    assert context.route_table.workspace(private, "k1").name == "north"
+    assert context.route_table.workspace(public, None) is None
     try:
-        context.routing.workspace(private, "k2")
+        context.route_table.workspace(private, "k2")
     except NotAuthorised:
         return
-    raise AssertionError("k2 was let in")
+    raise AssertionError("k2 was accepted")
 
 
 @when("a caller sends its key, a workspace, an instance and a connection header")
@@ -79,17 +81,19 @@
     )
 
 
-@then("the target gets the workspace of the key, its own instance and the time left")
+@then(
+    "the target gets the workspace of the key, its own instance and the remaining time"
+)
 def step_target_headers(context):
-    fields = parse_caller_headers(context.headers)
-    assert (fields.key, fields.time_budget_s) == ("k1", 9.0)
+    caller_headers = parse_caller_headers(context.headers)
+    assert (caller_headers.key, caller_headers.time_budget_s) == ("k1", 9.0)
     entry = TargetEntry("i-1", "s", "a:1", "dc", 1)
-    sent = dict(target_headers(context.headers, entry, 2.5, 3, "north"))
-    assert sent == {
+    forwarded_headers = dict(target_headers(context.headers, entry, 2.5, 3, "north"))
+    assert forwarded_headers == {
         b"host": b"h",
         b"x-attempt-id": b"a1",
         b"x-tenant": b"north",
         b"x-expect-instance": b"i-1",
         b"x-time-budget-ms": b"2500",
         b"x-request-priority": b"3",
-    }, sent
+    }, forwarded_headers
--- a/features/support/knowledge.py
+++ b/features/support/knowledge.py
@@ -1,4 +1,4 @@
-"""A store that fails, a listener, and heartbeats, for what a daemon knows."""
+"""Fakes for tests of a daemon's replica: a failing store, a listener, heartbeats."""
 
 import asyncio
 import json
@@ -16,14 +16,18 @@
 
 
 class FlakyStore:
-    """A store whose tables a scenario changes."""
+    """A store whose state and failures a scenario sets.
+
+    A wait for target changes fails once if ``drops_history`` is set, and returns the
+    removal of ``removed_key`` once.
+    """
 
     def __init__(self):
         self.targets = {}
         self.version = 1
-        self.is_away = False
+        self.is_unavailable = False
         self.drops_history = False
-        self.deletes = None
+        self.removed_key = None
         self.configuration = 7
         self.configuration_content = None
 
@@ -41,19 +45,19 @@
 
     async def read_table(self, table):
         await asyncio.sleep(0.004)
-        if self.is_away:
-            raise StoreUnavailable("away")
+        if self.is_unavailable:
+            raise StoreUnavailable("unavailable")
         return RowChanges(self.rows(table), self.version)
 
     async def wait_for_changes(self, table, after, wait_s):
         await asyncio.sleep(0.05)
-        if self.is_away:
-            raise StoreUnavailable("away")
+        if self.is_unavailable:
+            raise StoreUnavailable("unavailable")
         if self.drops_history and table != CONFIGURATION_TABLE:
             self.drops_history = False
             raise HistoryDropped("dropped")
-        if self.deletes is not None and table != CONFIGURATION_TABLE:
-            key, self.deletes = self.deletes, None
+        if self.removed_key is not None and table != CONFIGURATION_TABLE:
+            key, self.removed_key = self.removed_key, None
             self.targets.discard(key)
             self.version += 1
             return RowChanges((StoredRow(key, b"", 1, deleted=True),), self.version)
@@ -61,7 +65,7 @@
 
 
 class Listener:
-    """Keeps what a daemon would act on."""
+    """Records the notifications of a replica."""
 
     def __init__(self):
         self.targets = set()
@@ -88,16 +92,16 @@
 
 
 def make_replica(store):
-    """Return knowledge over a store, its registry and its listener."""
+    """Return a replica over a store, its registry and its listener."""
     settings = _settings()
     registry = PeerRegistry(settings.peers, settings.data_centre)
     listener = Listener()
-    knowledge = StateReplica(settings, store, registry, random.Random(1), listener)
-    return knowledge, registry, listener
+    replica = StateReplica(settings, store, registry, random.Random(1), listener)
+    return replica, registry, listener
 
 
 def member(name, registration, data_centre="north", incarnation=1):
-    """Return a daemon as others know it."""
+    """Return a :class:`Member` with addresses derived from its name."""
     host = ".".join(str(byte % 250) for byte in name.encode().ljust(3)[:3])
     addresses = f"10.{host}:1", f"10.{host}:2"
     return Member(name, incarnation, registration, *addresses, data_centre, True, 7)
--- a/features/support/outside.py
+++ b/features/support/outside.py
@@ -1,4 +1,4 @@
-"""Contents as other writers may leave them, and what a decoded value must look like."""
+"""Damaged input for the decoders, and checks of the types of decoded values."""
 
 import ipaddress
 import json
@@ -28,8 +28,8 @@
 
 __all__ = ["DECODERS", "REFUSALS", "damaged", "lenient_entry"]
 
-DAMAGES = (0, 0, 1, 1, 1, 2, 3)
-"""Parts that are damaged; a good value must come now and then."""
+DAMAGED_PART_COUNTS = (0, 0, 1, 1, 1, 2, 3)
+"""Numbers of damaged parts to sample from; 0 draws a valid value."""
 
 _scalars = (
     st.none()
@@ -41,48 +41,48 @@
 )
 _values = st.recursive(
     _scalars,
-    lambda inner: (
-        st.lists(inner, max_size=3)
-        | st.dictionaries(st.text(max_size=6), inner, max_size=3)
+    lambda item: (
+        st.lists(item, max_size=3)
+        | st.dictionaries(st.text(max_size=6), item, max_size=3)
     ),
     max_leaves=5,
 )
 
 
 def _paths(value, path=()):
-    """Yield the paths to all parts of a JSON value."""
+    """Yield the paths to all parts of a JSON value, itself included."""
     yield path
     items = ()
     if isinstance(value, dict):
         items = value.items()
     elif isinstance(value, list):
         items = enumerate(value)
-    for key, inner in items:
-        yield from _paths(inner, (*path, key))
+    for key, item in items:
+        yield from _paths(item, (*path, key))
 
 
 @st.composite
-def damaged(draw, good):
-    """Draw a JSON value: a good one, with one to three parts dropped or replaced.
+def damaged(draw, valid):
+    """Draw a JSON value: a valid one with up to three parts removed or replaced.
 
-    :param good: JSON value.
+    :param valid: JSON value.
     """
-    value = json.loads(json.dumps(good))
-    for _ in range(draw(st.sampled_from(DAMAGES))):
+    value = json.loads(json.dumps(valid))
+    for _ in range(draw(st.sampled_from(DAMAGED_PART_COUNTS))):
         path = draw(st.sampled_from(list(_paths(value))))
         if not path:
             return draw(_values)
-        holder = value
+        container = value
         for key in path[:-1]:
-            holder = holder[key]
-        if draw(st.booleans()) and isinstance(holder, dict):
-            del holder[path[-1]]
+            container = container[key]
+        if draw(st.booleans()) and isinstance(container, dict):
+            del container[path[-1]]
         else:
-            holder[path[-1]] = draw(_values)
+            container[path[-1]] = draw(_values)
     return value
 
 
-def _is_address(text):
+def _is_valid_address(text):
     host, _, port = text.rpartition(":")
     ipaddress.IPv4Address(host)
     return 0 < int(port) < 100_000
@@ -91,20 +91,24 @@
 def _check_entry(entry):
     texts = (entry.service, entry.data_centre, entry.domain, *entry.staged)
     assert all(isinstance(text, str) for text in texts)
-    assert entry.service and entry.data_centre and _is_address(entry.address)
+    assert entry.service and entry.data_centre and _is_valid_address(entry.address)
     assert type(entry.slots) is int and entry.slots >= 1
     assert type(entry.incarnation) is int and entry.incarnation >= 0
     _check_membership(entry.membership)
     hash(entry)
 
 
-def _check_membership(found):
-    if found is None:
+def _check_membership(membership):
+    if membership is None:
         return
-    assert isinstance(found.group, str) and found.group and isinstance(found.model, str)
-    assert type(found.epoch) is int and type(found.rank) is int
-    assert found.epoch >= 0 and found.rank >= 0
-    assert isinstance(found.state, GroupState)
+    assert (
+        isinstance(membership.group, str)
+        and membership.group
+        and isinstance(membership.model, str)
+    )
+    assert type(membership.epoch) is int and type(membership.rank) is int
+    assert membership.epoch >= 0 and membership.rank >= 0
+    assert isinstance(membership.state, GroupState)
 
 
 def _check_report(report):
@@ -115,13 +119,13 @@
     hash(report)
 
 
-def _check_configuration(found):
-    table = found.table
+def _check_configuration(decoded):
+    table = decoded.table
     assert type(table.version) is int
     for service in table.services.values():
         assert isinstance(service.name, str) and service.loads_per_s > 0
         assert all(type(m.size) is int and m.size >= 1 for m in service.models)
-    assert all(isinstance(problem.message, str) for problem in found.problems)
+    assert all(isinstance(problem.message, str) for problem in decoded.problems)
 
 
 def _check_plan(plan):
@@ -132,7 +136,9 @@
 
 
 def _check_member(member):
-    assert _is_address(member.peer_address) and _is_address(member.front_address)
+    assert _is_valid_address(member.peer_address) and _is_valid_address(
+        member.front_address
+    )
     assert isinstance(member.is_ready, bool) and type(member.registration) is int
 
 
@@ -211,67 +217,75 @@
     if isinstance(value, int) and not isinstance(value, bool):
         return min(value, (1 << 63) - 1)
     if isinstance(value, list):
-        return [_packable(inner) for inner in value]
+        return [_packable(item) for item in value]
     if isinstance(value, dict):
-        return {key: _packable(inner) for key, inner in value.items()}
+        return {key: _packable(item) for key, item in value.items()}
     return value
 
 
-def _json(value):
+def _encode_json(value):
     return json.dumps(value).encode()
 
 
-def _array(message):
-    """Return the JSON value of a message; bytes are texts, which are refused."""
+def _message_to_json(message):
+    """Return the JSON value of a message; bytes become texts, which are refused."""
     return json.loads(msgspec.json.encode(message))
 
 
 DECODERS = {
     "list entry": (
         _ENTRY,
-        lambda value: decode_entry("i-1", _json(value)),
+        lambda value: decode_entry("i-1", _encode_json(value)),
         _check_entry,
     ),
-    "report": (_REPORT, lambda value: decode_report(_json(value)), _check_report),
+    "report": (
+        _REPORT,
+        lambda value: decode_report(_encode_json(value)),
+        _check_report,
+    ),
     "configuration": (
         _CONFIGURATION,
-        lambda value: decode_configuration(_json(value)),
+        lambda value: decode_configuration(_encode_json(value)),
         _check_configuration,
     ),
     "domain plan": (
         json.loads(encode_plan((_GROUP,), 3)),
-        lambda value: decode_plan("d", _json(value), 3),
+        lambda value: decode_plan("d", _encode_json(value), 3),
         _check_plan,
     ),
     "registration": (
         json.loads(encode_registration(Registration("10.0.0.1:8229", "north"))),
-        lambda value: decode_registration(_json(value)),
-        lambda found: _is_address(found.peer_address),
+        lambda value: decode_registration(_encode_json(value)),
+        lambda decoded: _is_valid_address(decoded.peer_address),
     ),
     "heartbeat": (
-        _array(_HEARTBEAT),
+        _message_to_json(_HEARTBEAT),
         lambda value: decode(pack(b"H" + msgspec.msgpack.encode(_packable(value)))),
         _check_heartbeat,
     ),
     "target changes": (
-        _array(_CHANGES._replace(changed={})),
+        _message_to_json(_CHANGES._replace(changed={})),
         lambda value: decode(pack(b"T" + msgspec.msgpack.encode(_packable(value)))),
         _check_changes,
     ),
     "peer state": (
-        _array(_STATE._replace(configuration=None, targets={})),
+        _message_to_json(_STATE._replace(configuration=None, targets={})),
         lambda value: decode_state(pack(msgspec.msgpack.encode(_packable(value)))),
         _check_state,
     ),
-    "store rows": (_ROWS, lambda value: decode_rows(_json(value), 0), _check_rows),
+    "store rows": (
+        _ROWS,
+        lambda value: decode_rows(_encode_json(value), 0),
+        _check_rows,
+    ),
 }
-"""Good value, decoder and check by what is decoded."""
+"""Valid value, decoder and type check by kind of input."""
 
 REFUSALS = (MalformedAnswer, ConfigurationError)
 
 
 def lenient_entry(value):
-    """Decode an entry without looking at types, as a check of the check."""
+    """Decode an entry without type checks: the type checks here must find that."""
     try:
         return TargetEntry(
             id="i-1",
--- a/features/support/wire.py
+++ b/features/support/wire.py
@@ -1,4 +1,4 @@
-"""Rows as the users' platform writes them."""
+"""Rows as the platform writes them."""
 
 import json
 
@@ -8,7 +8,11 @@
 
 
 def entry_fields(service="s", address="127.0.0.1:1", born=BORN_MS, **more):
-    """Return the fields of a list entry that fits."""
+    """Return the fields of a valid list entry.
+
+    :param born: start of the target, in milliseconds since 1970.
+    :param more: other fields by name.
+    """
     return {
         "service": service,
         "address": address,
@@ -24,5 +28,5 @@
 
 
 def entry_content(**fields):
-    """Return the bytes of a list entry."""
+    """Return the encoded list entry with the given fields."""
     return json.dumps(entry_fields(**fields)).encode()
