--- a/features/steps/booking_steps.py
+++ b/features/steps/booking_steps.py
@@ -8,7 +8,7 @@
 from cowslipcourse.emulator.clock import run_paused
 from cowslipcourse.exceptions import DaemonStopped, RequestError
 from cowslipcourse.gateway.callers import Call
-from features.steps.group_steps import found
+from features.steps.group_steps import violations_with
 from features.support.booking_runs import BookingRun
 from features.support.booking_variants import VARIANTS
 from features.support.group_runs import fixed_secrets
@@ -32,19 +32,19 @@
 
 @then("no booking ran twice")
 def step_once(context):
-    violations = found(context, "ran twice")
+    violations = violations_with(context, "ran twice")
     assert not violations, violations[:3]
 
 
 @then('no caller was told "not run" of a booking that ran')
 def step_truth(context):
-    violations = found(context, "told not run")
+    violations = violations_with(context, "told not run")
     assert not violations, violations[:3]
 
 
 @then("every completed booking ran once and was answered the same each time")
 def step_completed(context):
-    violations = found(context, "completed but", "two answers")
+    violations = violations_with(context, "completed but", "two answers")
     assert not violations, violations[:3]
     completed = sum(run.told.get("completed", 0) for run in context.runs)
     assert completed > LEAST_COMPLETED * len(context.runs), completed
--- a/features/steps/group_steps.py
+++ b/features/steps/group_steps.py
@@ -1,4 +1,4 @@
-"""Steps over groups in fake time."""
+"""Steps for groups of an in-process site under random faults."""
 
 import asyncio
 
@@ -13,70 +13,70 @@
 from features.support.group_variants import VARIANTS
 from harness.callers import chat_body
 
-LEAST_REQUESTS = 100
+MIN_REQUESTS_PER_RUN = 100
 
 
-def one_run(seed):
-    """Make one run, the same every time."""
+def deterministic_run(seed):
+    """Return the result of one run, which depends on the seed alone."""
     with fixed_secrets(seed):
         return run_paused(group_run(seed))
 
 
-def found(context, *words):
-    """Return the violations of all runs that contain one of some words."""
+def violations_with(context, *phrases):
+    """Return the violations of all runs that contain one of the phrases."""
     return [
         (run.seed, violation)
         for run in context.runs
         for violation in run.violations
-        if any(word in str(violation) for word in words)
+        if any(phrase in str(violation) for phrase in phrases)
     ]
 
 
 @when("{number:d} random group runs are made from seed {first:d}")
-def step_runs(context, number, first):
-    context.runs = [one_run(seed) for seed in range(first, first + number)]
+def step_random_runs(context, number, first):
+    context.runs = [deterministic_run(seed) for seed in range(first, first + number)]
 
 
 @then("no request was served without all members of its group")
-def step_whole(context):
-    violations = found(context, "without all members")
+def step_no_incomplete_group(context):
+    violations = violations_with(context, "without all members")
     assert not violations, violations[:3]
-    started = sum(run.started for run in context.runs)
-    assert started > LEAST_REQUESTS * len(context.runs), started
+    started_count = sum(run.started_count for run in context.runs)
+    assert started_count > MIN_REQUESTS_PER_RUN * len(context.runs), started_count
 
 
 @then("no VM belonged to two groups")
-def step_one_group(context):
-    violations = found(context, "two groups", "without its claim")
+def step_no_shared_vm(context):
+    violations = violations_with(context, "two groups", "without its claim")
     assert not violations, violations[:3]
 
 
 @then("no leaving VM got new work after {limit_s:d} seconds")
-def step_leaving(context, limit_s):
-    violations = found(context, "leaving")
+def step_no_new_work_on_leaving_vm(context, limit_s):
+    violations = violations_with(context, "leaving")
     assert not violations, violations[:3]
-    assert max(run.last_new_work_s for run in context.runs) <= limit_s
+    assert max(run.max_new_work_delay_s for run in context.runs) <= limit_s
 
 
 @then("every answer was complete and belonged to its request")
-def step_answers(context):
-    violations = found(context, "answer", "not run")
+def step_answers_complete(context):
+    violations = violations_with(context, "answer", "not run")
     assert not violations, violations[:3]
 
 
 @then("every site served all possible groups again")
-def step_settled(context):
-    assert all(run.settled for run in context.runs), [
-        run.seed for run in context.runs if not run.settled
+def step_recovered(context):
+    assert all(run.has_recovered for run in context.runs), [
+        run.seed for run in context.runs if not run.has_recovered
     ]
 
 
 @when("group runs are made with {variant} at seeds {seeds}")
-def step_variant(context, variant, seeds):
+def step_runs_with_variant(context, variant, seeds):
     context.runs = []
     for seed in seeds.split(","):
         with VARIANTS[variant]():
-            context.runs.append(one_run(int(seed)))
+            context.runs.append(deterministic_run(int(seed)))
 
 
 @then("a violation was found")
@@ -84,43 +84,43 @@
     assert any(run.violations for run in context.runs)
 
 
-@when("the gateway is paused there while a member dies, {check}")
-def step_paused_send(context, check):
-    async def scenario():
+@when("the gateway is paused between grant check and send while a member dies, {check}")
+def step_paused_before_send(context, check):
+    async def pause_gateway():
         site, gateway = context.in_process_site, context.in_process_site.gateways["g1"]
         site.world.leaders_notice = False
         gateway.gate.shut()
         call = Call("r", "crew", Priority.NORMAL, None, "", False)
         generation = Generation(call, chat_body("x", "m", 4), ["grp"], gateway.tools)
-        running = asyncio.create_task(_collect(generation))
+        collection = asyncio.create_task(_collect_chunks(generation))
         await asyncio.sleep(0.1)
         spec = gateway.view.groups[generation.groups[0]].report.spec
-        # Without a spare the group stays as it is, and its leader goes on alone.
+        # Without spares the group is not repaired, and its leader serves alone.
         members = {vm for g in gateway.view.groups.values() for vm in g.report.spec[8]}
-        taken = {member.vm for member in members}
-        for name in {*site.world.targets} - taken | {spec.vm_names[1]}:
+        in_groups = {member.vm for member in members}
+        for name in {*site.world.targets} - in_groups | {spec.vm_names[1]}:
             site.world.targets[name].faults["dead"] = True
         await asyncio.sleep(10.0)
         gateway.gate.open()
-        return await running
+        return await collection
 
-    if check == "with the check":
-        context.pieces = context.runner.run(scenario())
+    if check == "with a check after the send":
+        context.chunks = context.runner.run(pause_gateway())
     else:
-        with VARIANTS["no check between the send and the answer"]():
-            context.pieces = context.runner.run(scenario())
+        with VARIANTS["no check after the send"]():
+            context.chunks = context.runner.run(pause_gateway())
 
 
-async def _collect(generation):
-    pieces = []
+async def _collect_chunks(generation):
+    chunks = []
     try:
-        async for piece in generation.pieces():
-            pieces.append(piece)
+        async for chunk in generation.pieces():
+            chunks.append(chunk)
     except RequestError:
-        return pieces
-    return pieces
+        return chunks
+    return chunks
 
 
 @then("the group's answer is {result}")
 def step_answer_used(context, result):
-    assert bool(context.pieces) == (result == "used"), context.pieces
+    assert bool(context.chunks) == (result == "used"), context.chunks
--- a/features/support/fuzz.py
+++ b/features/support/fuzz.py
@@ -21,7 +21,7 @@
 
 def _groups(seed):
     result = run_paused(group_run(seed))
-    return [*result.violations, *([] if result.settled else ["not settled"])]
+    return [*result.violations, *([] if result.has_recovered else ["not settled"])]
 
 
 def _answers(seed):
--- a/features/support/group_runs.py
+++ b/features/support/group_runs.py
@@ -1,7 +1,7 @@
-"""Random runs of controllers, engines and a gateway, with a simple oracle.
+"""Randomised fault injection into controllers, engines and a gateway.
 
-The oracle looks at the engines and the table themselves, every tenth of a second and
-at every request that an engine starts.
+An oracle checks the state of the engines and of the table directly, every 0.1 s and
+for each request that an engine starts.
 """
 
 import asyncio
@@ -22,53 +22,53 @@
 from features.support.small_site import InProcessSite, base_changes, change
 from harness.callers import chat_body
 
-LOOK_S = 0.1
-GRANT_S = 3.0
-LEAVING_LIMIT_S = 6.0
-SETTLE_LIMIT_S = 240.0
+CHECK_INTERVAL_S = 0.1
+GRANT_DURATION_S = 3.0
+MAX_NEW_WORK_AFTER_LEAVING_S = 6.0
+RECOVERY_TIMEOUT_S = 240.0
 
 
 class Oracle:
-    """Watches the world and notes violations.
+    """Checks the invariants of groups and collects violations.
 
     :param site: :class:`InProcessSite`
     """
 
     def __init__(self, site):
         self._site = site
-        self._present_at = {}
-        self._seen = {}
+        self._last_complete_at = {}
+        self._checked_event_counts = {}
         self._leaving_since = {}
         self.violations = []
-        self.partial = {}
+        self.incomplete_starts = {}
         self.started_requests = set()
-        self.started = 0
-        self.last_new_work_s = 0.0
+        self.started_count = 0
+        self.max_new_work_delay_s = 0.0
 
     async def run(self):
-        """Look for ever."""
+        """Check at a fixed interval until cancelled."""
         while True:
-            self.look()
-            await asyncio.sleep(LOOK_S)
+            self.check()
+            await asyncio.sleep(CHECK_INTERVAL_S)
 
-    def look(self):
-        """Check everything once."""
-        self._note_present()
+    def check(self):
+        """Check all invariants once."""
+        self._record_complete_groups()
         self._check_table()
         self._check_grants()
-        self._check_work()
+        self._check_started_requests()
 
-    def _note(self, *violation):
+    def _add_violation(self, *violation):
         self.violations.append((round(now(), 2), *violation))
 
-    def _note_present(self):
+    def _record_complete_groups(self):
         world = self._site.world
         for engine in [*world.targets.values(), *world.removed.values()]:
             if not getattr(engine, "members", ()):
                 continue
             if world.all_present(engine.members, engine.assignment):
                 held = engine.assignment
-                self._present_at[(held["group"], held["epoch"])] = now()
+                self._last_complete_at[(held["group"], held["epoch"])] = now()
 
     def _check_table(self):
         owner = {}
@@ -79,9 +79,9 @@
             for vm, *_ in spec.members:
                 other = owner.setdefault(vm, spec.group)
                 if other != spec.group:
-                    self._note("one VM in two groups", vm, other, spec.group)
+                    self._add_violation("one VM in two groups", vm, other, spec.group)
                 if members.get(vm) != spec.group:
-                    self._note("a member without its claim", vm, spec.group)
+                    self._add_violation("a member without its claim", vm, spec.group)
 
     def _check_grants(self):
         for gateway in self._site.gateways.values():
@@ -93,104 +93,111 @@
                 for vm in spec.vm_names:
                     other = owner.setdefault(vm, spec.group)
                     if other != spec.group:
-                        self._note("two groups granted on one VM", vm, other)
+                        self._add_violation("two groups granted on one VM", vm, other)
 
-    def _check_work(self):
+    def _check_started_requests(self):
         world = self._site.world
         for name, target in [*world.targets.items(), *world.removed.items()]:
             leaving = name in world.removed or target.vm["state"] == "leaving"
             if not leaving or world.list_faults["frozen"]:
-                # While the list stands still, nobody can know of it.
+                # While the VM list is frozen, gateways cannot learn that the VM leaves.
                 self._leaving_since.pop(name, None)
             else:
                 self._leaving_since.setdefault(name, now())
-            # A restart keeps the history, so nothing is counted twice.
-            for event in target.history[self._seen.get(name, 0) :]:
+            # Histories survive restarts, so each event is checked once.
+            for event in target.history[self._checked_event_counts.get(name, 0) :]:
                 if event["event"] == "generate":
                     self._check_start(name, event)
-            self._seen[name] = len(target.history)
+            self._checked_event_counts[name] = len(target.history)
 
     def _check_start(self, name, event):
-        self.started += 1
+        self.started_count += 1
         self.started_requests.add(event["request"])
         if not event["all_present"]:
             held = (event["group"], event["epoch"])
-            last = self._present_at.get(held)
-            if last is None or event["at"] - last > GRANT_S + 2 * LOOK_S:
-                seen = (round(now(), 2), "served without all members", *held, last)
-                self.partial[event["attempt"]] = seen
+            last = self._last_complete_at.get(held)
+            if (
+                last is None
+                or event["at"] - last > GRANT_DURATION_S + 2 * CHECK_INTERVAL_S
+            ):
+                violation = (round(now(), 2), "served without all members", *held, last)
+                self.incomplete_starts[event["attempt"]] = violation
         since = self._leaving_since.get(name)
         if since is not None:
-            took_s = event["at"] - since
-            self.last_new_work_s = max(self.last_new_work_s, took_s)
-            if took_s > LEAVING_LIMIT_S:
-                self._note("new work on a leaving VM", name, took_s)
+            delay_s = event["at"] - since
+            self.max_new_work_delay_s = max(self.max_new_work_delay_s, delay_s)
+            if delay_s > MAX_NEW_WORK_AFTER_LEAVING_S:
+                self._add_violation("new work on a leaving VM", name, delay_s)
 
 
 class RequestLoad:
-    """Callers of one gateway; checks each answer.
+    """Sends requests through all gateways and checks each answer.
 
     :param site: :class:`InProcessSite`
+    :param interval_s: seconds between two rounds of requests.
     """
 
     def __init__(self, site, interval_s=0.2):
         self._site = site
         self._interval_s = interval_s
-        self._running = set()
+        self._tasks = set()
         self.outcomes = {}
         self.violations = []
         self.attempts = set()
-        self.told_not_run = set()
+        self.reported_not_run = set()
 
     async def run(self):
-        """Send requests for ever."""
+        """Send requests until cancelled."""
         number = 0
         while True:
             number += 1
             for gateway in list(self._site.gateways.values()):
                 task = asyncio.create_task(self._request(gateway, f"r{number}"))
-                self._running.add(task)
-                task.add_done_callback(self._running.discard)
+                self._tasks.add(task)
+                task.add_done_callback(self._tasks.discard)
             await asyncio.sleep(self._interval_s)
 
     async def finish(self):
-        """Wait for the requests under way."""
-        await asyncio.gather(*self._running, return_exceptions=True)
+        """Wait for the requests in flight."""
+        await asyncio.gather(*self._tasks, return_exceptions=True)
 
     async def _request(self, gateway, request_id):
         body = chat_body(request_id, "m", 12)
         call = Call(request_id, "crew", Priority.NORMAL, None, "", None)
-        pieces = []
+        chunks = []
         outcome, generation = "completed", None
         try:
             await gateway.gate.trip()
             gateway.agent.require_serving()
             declarations = gateway.chooser.admit(call, "m")
             generation = Generation(call, body, declarations, gateway.tools)
-            async for piece in generation.pieces():
-                pieces.append(piece)
+            async for chunk in generation.pieces():
+                chunks.append(chunk)
         except RequestError as error:
             outcome = error.outcome
         if generation is not None:
             self.attempts.update(generation.attempts)
         self.outcomes[outcome] = self.outcomes.get(outcome, 0) + 1
-        wanted = answer_words(body)
-        found = [_word(e) for p in pieces for e in p.split(b"\n\n")[:-1]]
-        if outcome == "completed" and found != wanted:
-            self.violations.append((request_id, "not the whole answer", found))
-        if found != wanted[: len(found)]:
-            self.violations.append((request_id, "another answer", found))
+        expected = answer_words(body)
+        received = [_token_of(e) for chunk in chunks for e in chunk.split(b"\n\n")[:-1]]
+        if outcome == "completed" and received != expected:
+            self.violations.append((request_id, "incomplete answer", received))
+        if received != expected[: len(received)]:
+            self.violations.append((request_id, "wrong answer", received))
         if outcome == "not_run":
-            self.told_not_run.add(request_id)
+            self.reported_not_run.add(request_id)
 
 
-def _word(event):
+def _token_of(event):
     chunk = json.loads(event.removeprefix(b"data: "))
     return chunk["choices"][0]["delta"]["content"]
 
 
 def vm_specs(fenced):
-    """Return the VMs of a run: two domains that hold four groups of two."""
+    """Return VM specifications of two domains with room for two groups of two each.
+
+    :param fenced: whether the engines check fencing tokens.
+    """
     labels = {"pool": "large"}
     return [
         {
@@ -215,7 +222,7 @@
 
 
 class Faults:
-    """Random faults over a site.
+    """Injects random faults into a site.
 
     :param site: :class:`InProcessSite`
     :param rng: :class:`random.Random`
@@ -224,79 +231,79 @@
     def __init__(self, site, rng):
         self._site = site
         self._rng = rng
-        self._versions = 1
+        self._model_version = 1
 
-    def engine(self):
-        """Return the name of some engine that is still listed."""
+    def random_engine(self):
+        """Return the name of a random engine that is still listed."""
         engines = [n for n, t in self._site.world.targets.items() if n[0] != "s"]
         return self._rng.choice(engines)
 
-    async def one(self):
-        """Make one fault happen and return its name."""
-        kinds = self.kinds()
-        chosen = self._rng.choices(list(kinds), list(kinds.values()))[0]
-        await chosen()
-        return chosen.__name__
+    async def inject_one(self):
+        """Inject one fault and return its name."""
+        weights = self.weights()
+        inject = self._rng.choices(list(weights), list(weights.values()))[0]
+        await inject()
+        return inject.__name__
 
-    def kinds(self):
-        """Return how often each kind of fault happens."""
+    def weights(self):
+        """Return the relative frequency of each fault."""
         return {
-            self.kill: 4,
-            self.restart: 4,
-            self.pause_engine: 3,
-            self.leave: 2,
-            self.remove: 1,
-            self.freeze_controller: 4,
+            self.kill_engine: 4,
+            self.restart_engine: 4,
+            self.toggle_engine_pause: 3,
+            self.start_leaving: 2,
+            self.remove_engine: 1,
+            self.toggle_controller_pause: 4,
             self.crash_controller: 3,
-            self.cut_controller: 2,
-            self.freeze_gateway: 2,
-            self.table: 3,
+            self.toggle_controller_partition: 2,
+            self.toggle_gateway_pause: 2,
+            self.toggle_table: 3,
             self.lose_replies: 3,
-            self.freeze_list: 1,
+            self.toggle_list_freeze: 1,
             self.delay_orders: 2,
-            self.reload: 2,
-            self.resize: 2,
-            self.mend: 4,
+            self.deploy_model_version: 2,
+            self.change_group_count: 2,
+            self.repair: 4,
         }
 
-    async def kill(self):
-        self._site.world.targets[self.engine()].faults["dead"] = True
+    async def kill_engine(self):
+        self._site.world.targets[self.random_engine()].faults["dead"] = True
 
-    async def restart(self):
-        self._site.world.change_vm(self.engine(), "restart")
+    async def restart_engine(self):
+        self._site.world.change_vm(self.random_engine(), "restart")
 
-    async def pause_engine(self):
-        faults = self._site.world.targets[self.engine()].faults
+    async def toggle_engine_pause(self):
+        faults = self._site.world.targets[self.random_engine()].faults
         faults["frozen"] = not faults["frozen"]
 
-    async def leave(self):
-        name = self.engine()
+    async def start_leaving(self):
+        name = self.random_engine()
         self._site.world.targets[name].faults["ignore_leaving"] = True
         self._site.world.change_vm(name, "leave")
 
-    async def remove(self):
+    async def remove_engine(self):
         if len(self._site.world.targets) > 9:
-            self._site.world.change_vm(self.engine(), "remove")
+            self._site.world.change_vm(self.random_engine(), "remove")
 
-    def _controller(self):
+    def _random_controller(self):
         return self._rng.choice(list(self._site.controllers))
 
-    async def freeze_controller(self):
-        gate = self._site.controllers[self._controller()].gate
+    async def toggle_controller_pause(self):
+        gate = self._site.controllers[self._random_controller()].gate
         gate.open() if not gate.is_open else gate.shut()
 
     async def crash_controller(self):
-        await self._site.restart(self._controller())
+        await self._site.restart(self._random_controller())
 
-    async def cut_controller(self):
-        platform = self._site.controllers[self._controller()].platform
+    async def toggle_controller_partition(self):
+        platform = self._site.controllers[self._random_controller()].platform
         platform.cut = not platform.cut
 
-    async def freeze_gateway(self):
+    async def toggle_gateway_pause(self):
         gate = self._rng.choice(list(self._site.gateways.values())).gate
         gate.open() if not gate.is_open else gate.shut()
 
-    async def table(self):
+    async def toggle_table(self):
         faults = self._site.world.table.faults
         faults["down"] = not faults["down"]
         faults["slow_s"] = self._rng.choice((0.0, 0.0, 0.5))
@@ -304,30 +311,30 @@
     async def lose_replies(self):
         self._site.world.table.faults["lose_replies"] = self._rng.randint(1, 4)
 
-    async def freeze_list(self):
+    async def toggle_list_freeze(self):
         faults = self._site.world.list_faults
         faults["frozen"] = not faults["frozen"]
 
     async def delay_orders(self):
-        faults = self._site.world.targets[self.engine()].faults
+        faults = self._site.world.targets[self.random_engine()].faults
         faults["order_delay_s"] = self._rng.choice((0.0, 0.5, 1.5))
 
-    async def reload(self):
-        self._versions += 1
-        version = str(self._versions)
+    async def deploy_model_version(self):
+        self._model_version += 1
+        version = str(self._model_version)
         model = change("model", "m", version=version, weights_bytes=50_000_000)
         await self._edit(model)
 
-    async def resize(self):
+    async def change_group_count(self):
         await self._edit(*base_changes(2, self._rng.choice((2, 3, 4)))[2:3])
 
     async def _edit(self, *changes):
         with contextlib.suppress(CowslipError, TimeoutError):
             async with asyncio.timeout(5.0):
-                await self._site.edit(self._controller(), *changes)
+                await self._site.edit(self._random_controller(), *changes)
 
-    async def mend(self):
-        """Undo every fault that a person would undo."""
+    async def repair(self):
+        """Undo every fault that an operator would repair."""
         site, world = self._site, self._site.world
         world.table.faults.update(down=False, slow_s=0.0, lose_replies=0)
         world.list_faults.update(frozen=False)
@@ -343,34 +350,37 @@
 
 
 class AnswerFaults(Faults):
-    """Faults of engines' answers: late, crossed, cut short, out of place."""
+    """Faults of answers: wrong attempt, lost or repeated tokens, truncation."""
 
-    def kinds(self):
+    def weights(self):
         """See :class:`Faults`."""
         return {
-            self.spoil: 12,
-            self.refuse: 4,
-            self.kill: 1,
+            self.corrupt_answers: 12,
+            self.refuse_requests: 4,
+            self.kill_engine: 1,
             self.crash_controller: 1,
-            self.mend: 2,
+            self.repair: 2,
         }
 
-    async def spoil(self):
+    async def corrupt_answers(self):
         knobs = ("wrong_attempt", "skip_token", "repeat_token", "no_end", "break_early")
         knob = self._rng.choice(knobs)
-        faults = self._site.world.targets[self.engine()].faults
+        faults = self._site.world.targets[self.random_engine()].faults
         faults[knob] = self._rng.randint(1, 6)
 
-    async def refuse(self):
+    async def refuse_requests(self):
         for target in self._site.world.targets.values():
             target.faults["refuse"] = self._rng.choice(("", "busy"))
 
 
-async def group_run(seed, events=40, fenced=None, faults_type=Faults):
-    """Run faults over a site and return ``(site, oracle, load, log of faults)``.
+async def group_run(seed, fault_count=40, fenced=None, faults_type=Faults):
+    """Inject random faults into a site under load.
 
-    :param fenced: whether targets check fencing tokens; by the seed if left out.
-    :param faults_type: :class:`Faults` or a type derived from it.
+    :param seed: seed of all random choices.
+    :param fault_count: number of faults.
+    :param fenced: whether targets check fencing tokens; chosen by the seed if ``None``.
+    :param faults_type: :class:`Faults` or a subclass.
+    :returns: :class:`GroupRunResult`
     """
     rng = random.Random(seed)
     random.seed(seed)
@@ -388,52 +398,61 @@
     await site.wait_until(lambda: len(view.grants(["grp"])) == 4)
     tasks.append(asyncio.create_task(load.run()))
     faults = faults_type(site, rng)
-    happened = []
-    for _ in range(events):
-        happened.append((round(now(), 1), await faults.one()))
+    injected_faults = []
+    for _ in range(fault_count):
+        injected_faults.append((round(now(), 1), await faults.inject_one()))
         await asyncio.sleep(rng.choice((0.2, 0.7, 1.5, 3.0, 6.0, 9.0)))
-    await faults.mend()
-    settled = await _settled(site, view)
+    await faults.repair()
+    has_recovered = await _wait_for_recovery(site, view)
     for task in tasks:
         task.cancel()
     await load.finish()
-    oracle.look()
+    oracle.check()
     await site.stop()
-    return Result(seed, oracle, load, happened, settled)
+    return GroupRunResult(seed, oracle, load, injected_faults, has_recovered)
 
 
-class Result:
-    """What one run showed."""
+class GroupRunResult:
+    """Violations and statistics of one run."""
 
-    def __init__(self, seed, oracle, load, happened, settled):
+    def __init__(self, seed, oracle, load, injected_faults, has_recovered):
         self.seed = seed
-        used = [v for attempt, v in oracle.partial.items() if attempt in load.attempts]
-        untrue = [
-            (request_id, "told not run, but ran")
-            for request_id in load.told_not_run & oracle.started_requests
+        from_incomplete_groups = [
+            v
+            for attempt, v in oracle.incomplete_starts.items()
+            if attempt in load.attempts
+        ]
+        false_not_run = [
+            (request_id, "reported as not run, but ran")
+            for request_id in load.reported_not_run & oracle.started_requests
+        ]
+        self.violations = [
+            *oracle.violations,
+            *load.violations,
+            *from_incomplete_groups,
+            *false_not_run,
         ]
-        self.violations = [*oracle.violations, *load.violations, *used, *untrue]
-        self.late_starts = len(oracle.partial)
-        self.started = oracle.started
+        self.incomplete_start_count = len(oracle.incomplete_starts)
+        self.started_count = oracle.started_count
         self.outcomes = load.outcomes
-        self.happened = happened
-        self.settled = settled
-        self.last_new_work_s = oracle.last_new_work_s
+        self.injected_faults = injected_faults
+        self.has_recovered = has_recovered
+        self.max_new_work_delay_s = oracle.max_new_work_delay_s
 
 
-async def _settled(site, view):
-    """Wait until as many groups serve as are wanted and possible."""
+async def _wait_for_recovery(site, view):
+    """Wait until as many groups serve as are configured and the VMs left allow."""
 
-    def good():
-        wanted = view.configuration.group["grp"].count
-        world = site.world.targets
-        room = sum(
-            sum(name.startswith(prefix) for name in world) // 2 for prefix in "ab"
+    def all_groups_serve():
+        configured = view.configuration.group["grp"].count
+        targets = site.world.targets
+        capacity = sum(
+            sum(name.startswith(prefix) for name in targets) // 2 for prefix in "ab"
         )
-        return len(view.grants(["grp"])) >= min(wanted, room)
+        return len(view.grants(["grp"])) >= min(configured, capacity)
 
     try:
-        await site.wait_until(good, SETTLE_LIMIT_S)
+        await site.wait_until(all_groups_serve, RECOVERY_TIMEOUT_S)
     except TimeoutError:
         return False
     return True
@@ -441,7 +460,7 @@
 
 @contextlib.contextmanager
 def fixed_secrets(seed):
-    """Make ids that are otherwise unguessable the same in every run."""
+    """Replace random ids by a sequence that depends on the seed alone."""
     rng = random.Random(f"secrets/{seed}")
 
     def token_hex(count=8):
--- a/features/support/group_variants.py
+++ b/features/support/group_variants.py
@@ -1,4 +1,4 @@
-"""Groups and gateways with a mechanism switched off: the check has to fail."""
+"""Controllers and gateways with one mechanism disabled; the oracle must detect it."""
 
 import contextlib
 from unittest import mock
@@ -14,82 +14,86 @@
 
 
 @contextlib.contextmanager
-def _patched(*patches):
+def _apply_patches(*patches):
     with contextlib.ExitStack() as stack:
         for patch in patches:
             stack.enter_context(patch)
         yield
 
 
-def _unconditional():
-    """Form groups without conditions on the VMs' rows and the lease."""
+def _write_unconditionally():
+    """Form groups without conditions on the rows of the VMs and the lease."""
     write = GroupTable._write
 
-    async def unchecked(self, *arguments, **named):
+    async def write_unconditionally(self, *args, **kwargs):
         table = self._table
 
-        class Careless:
-            """The table without conditions."""
+        class UnconditionalTable:
+            """Drops the conditions of transactions."""
 
             async def commit(self, transaction):
                 return await table.commit(Transaction({}, transaction.writes))
 
-        self._table = Careless()
+        self._table = UnconditionalTable()
         try:
-            await write(self, *arguments, **named)
+            await write(self, *args, **kwargs)
         finally:
             self._table = table
 
-    return _patched(
-        mock.patch.object(GroupTable, "_write", unchecked),
+    return _apply_patches(
+        mock.patch.object(GroupTable, "_write", write_unconditionally),
         mock.patch.object(HeldLease, "is_valid", lambda self, at: True),
         mock.patch.object(ObservedLease, "may_acquire", lambda self, at: True),
     )
 
 
-def _grants_for_ever():
-    """Believe a grant for ever."""
+def _keep_expired_grants():
+    """Use grants after their expiry."""
 
     def is_good(self, name, grant, at):
         return grant.report.serving
 
-    return _patched(
+    return _apply_patches(
         mock.patch.object(FleetView, "_is_good", is_good),
         mock.patch.object(FleetView, "was_granted", lambda *_: True),
     )
 
 
-def _no_check_after_send():
-    """Use the answer to a request whatever happened between check and send."""
-    return _patched(mock.patch.object(FleetView, "was_granted", lambda *_: True))
+def _skip_check_after_send():
+    """Use an answer even if the grant ended between check and send."""
+    return _apply_patches(mock.patch.object(FleetView, "was_granted", lambda *_: True))
 
 
-def _no_departures():
-    """Hear of leaving VMs from the shard's holder only."""
-    return _patched(mock.patch.object(FleetView, "_join_departures", lambda self: None))
+def _ignore_published_departures():
+    """Learn of leaving VMs from the shard holder only."""
+    return _apply_patches(
+        mock.patch.object(FleetView, "_join_departures", lambda self: None)
+    )
 
 
-def _blind_relay():
-    """Pass on tokens without looking at their attempt and offset."""
+def _relay_unchecked_tokens():
+    """Relay tokens without a check of attempt and offset."""
 
     def filter_events(self, attempt_id, events):
-        passed = []
+        relayed = []
         for event in events:
             data = event.partition(b"\n")[2]
             if data == END_DATA:
                 self.complete = True
                 continue
             self.offset += 1
-            passed.append(data + b"\n\n")
-        return b"".join(passed)
+            relayed.append(data + b"\n\n")
+        return b"".join(relayed)
 
-    return _patched(mock.patch.object(StreamRelay, "filter_events", filter_events))
+    return _apply_patches(
+        mock.patch.object(StreamRelay, "filter_events", filter_events)
+    )
 
 
 VARIANTS = {
-    "unconditional writes": _unconditional,
-    "grants that never end": _grants_for_ever,
-    "no check between the send and the answer": _no_check_after_send,
-    "departures from the holder only": _no_departures,
-    "a relay that ignores attempt and offset": _blind_relay,
+    "unconditional writes": _write_unconditionally,
+    "grants that never expire": _keep_expired_grants,
+    "no check after the send": _skip_check_after_send,
+    "departures from the shard holder only": _ignore_published_departures,
+    "a relay that ignores attempt and offset": _relay_unchecked_tokens,
 }
--- a/features/support/small_site.py
+++ b/features/support/small_site.py
@@ -1,4 +1,4 @@
-"""Controllers and gateways in one process, in fake time, over the fakes."""
+"""Controllers and gateways in one process and virtual time, with fake transports."""
 
 import asyncio
 import itertools
@@ -35,16 +35,16 @@
 
 __all__ = ["InProcessSite", "base_changes", "change"]
 
-TIMES = {"address_ttl_s": 1.0, "drain_limit_s": 60.0}
+TIME_SETTINGS = {"address_ttl_s": 1.0, "drain_limit_s": 60.0}
 KEY_SHA256 = "0" * 64
 
 
 def change(kind, name, **value):
-    """Return a change that sets an object, or removes it without values."""
+    """Return a change that sets an object, or removes it if no values are given."""
     return Change(ObjectRef(kind, name), KINDS[kind](**value) if value else None)
 
 
-class Daemon:
+class DaemonRun:
     """One run of a controller or gateway."""
 
     def __init__(self, site, name, role):
@@ -62,7 +62,7 @@
                 "public_address": address,
             },
             "platform": {"url": "http://127.0.0.1:1"},
-            "time": TIMES,
+            "time": TIME_SETTINGS,
         }
         if role == Role.CONTROLLER:
             sections["operators"] = {"tokens_file": "none"}
@@ -77,7 +77,7 @@
         self.crashed = asyncio.Event()
 
     async def stop(self):
-        """Crash: nothing is given up or said."""
+        """Crash: nothing is released and nobody is notified."""
         self.crashed.set()
         self.gate.open()
         for task in self.tasks:
@@ -86,8 +86,8 @@
         await self.agent.stop()
 
 
-class ControllerRun(Daemon):
-    """A controller as its main module builds it, without its HTTP server."""
+class ControllerRun(DaemonRun):
+    """A controller as built by its main module, without its HTTP server."""
 
     def __init__(self, site, name):
         super().__init__(site, name, Role.CONTROLLER)
@@ -100,11 +100,11 @@
         self.edits = EditService(self.platform, self.platform, self.agent.revisions)
 
     async def start(self):
-        """Start its tasks."""
+        """Start the agent and the tasks."""
         await self.agent.start()
         observer = Observer(self.services, self.keeper)
-        parts = (self.services.watch, self.acceptor, self.keeper, observer)
-        self.tasks = [asyncio.create_task(part.run()) for part in parts]
+        components = (self.services.watch, self.acceptor, self.keeper, observer)
+        self.tasks = [asyncio.create_task(component.run()) for component in components]
 
     async def stop(self):
         """Crash."""
@@ -113,8 +113,8 @@
         await super().stop()
 
 
-class GatewayRun(Daemon):
-    """A gateway as its main module builds it, without its HTTP server."""
+class GatewayRun(DaemonRun):
+    """A gateway as built by its main module, without its HTTP server."""
 
     def __init__(self, site, name):
         super().__init__(site, name, Role.GATEWAY)
@@ -144,35 +144,37 @@
         self.requests = ServiceRequests(self.tools, self.claims)
 
     async def start(self):
-        """Start its tasks."""
+        """Start the agent and the tasks."""
         await self.agent.start()
         self.tasks = [
             asyncio.create_task(self.claims.run()),
-            asyncio.create_task(self._report()),
+            asyncio.create_task(self._publish_reports()),
             asyncio.create_task(self.tools.quarantine.run()),
         ]
 
     async def stop(self):
-        """Crash, with whatever runs for callers."""
+        """Crash, with all requests in flight."""
         for _, entries in self.tools.outcomes._windows.items():
             for entry in entries.values():
                 entry.task.cancel()
         await super().stop()
 
-    async def _report(self):
+    async def _publish_reports(self):
         key = f"{GATEWAY_PREFIX}{self.name}/{self.agent.member.incarnation}"
         while True:
-            flights = self.chooser.in_flight.snapshot()
-            report = GatewayReport(self.name, False, flights, {})
+            in_flight = self.chooser.in_flight.snapshot()
+            report = GatewayReport(self.name, False, in_flight, {})
             self.agent.publish(key, report)
             await asyncio.sleep(self.agent.times.heartbeat_s)
 
 
 class InProcessSite:
-    """Daemons, a world, and faults.
+    """Controllers and gateways with an emulated platform.
 
-    :param seed: seed of everything random.
-    :param vms: tables of VMs as in the stand-in's settings.
+    :param seed: seed of all random choices.
+    :param vms: VM specifications as in the stand-in's settings.
+    :param controllers: names of controllers.
+    :param gateways: names of gateways.
     """
 
     def __init__(self, seed, vms, controllers=("c1", "c2"), gateways=("g1",)):
@@ -192,19 +194,19 @@
         )
         self.repair = {"weights_bytes_per_s": 1e8, "order_in_flight_s": 3.0}
         self.gateway_limits = {}
-        self.metrics = _NoMetrics()
+        self.metrics = _NullMetrics()
         self.network = FakeNetwork()
         self.addresses = {}
-        self._names = (controllers, gateways)
+        self._daemon_names = (controllers, gateways)
         self.controllers, self.gateways = {}, {}
         self._edit_ids = itertools.count(1)
 
     async def start(self):
-        """Start everything and wait until it serves."""
-        self._refresh = asyncio.create_task(self.world.refresh_list())
-        for name in self._names[0]:
+        """Start all daemons and wait until they serve."""
+        self._refresh_task = asyncio.create_task(self.world.refresh_list())
+        for name in self._daemon_names[0]:
             await self.start_daemon(name)
-        for name in self._names[1]:
+        for name in self._daemon_names[1]:
             await self.start_daemon(name)
         await self.wait_until(lambda: all(d.agent.may_serve() for d in self.daemons()))
 
@@ -213,64 +215,68 @@
         return [*self.controllers.values(), *self.gateways.values()]
 
     def daemon(self, name):
-        """Return the present run of a daemon."""
+        """Return the current run of a daemon."""
         return self.controllers.get(name) or self.gateways[name]
 
     async def start_daemon(self, name):
-        """Start a daemon by name."""
-        if name in self._names[0]:
+        """Start a new run of a daemon."""
+        if name in self._daemon_names[0]:
             run = self.controllers[name] = ControllerRun(self, name)
         else:
             run = self.gateways[name] = GatewayRun(self, name)
         await run.start()
 
     async def restart(self, name):
-        """Crash a daemon and start it anew."""
+        """Crash a daemon and start a new run."""
         await self.daemon(name).stop()
         await self.start_daemon(name)
 
     async def stop(self):
-        """End everything."""
+        """Stop all daemons."""
         for daemon in self.daemons():
             await daemon.stop()
-        self._refresh.cancel()
+        self._refresh_task.cancel()
 
-    async def wait_until(self, condition, limit_s=120.0):
-        """Let time pass until a condition holds.
+    async def wait_until(self, condition, timeout_s=120.0):
+        """Wait until a condition holds.
 
-        :raises TimeoutError: it did not hold in time.
+        :param condition: function without arguments.
+        :raises TimeoutError: it did not hold within ``timeout_s``.
         """
-        limit = now() + limit_s
+        deadline = now() + timeout_s
         while not condition():
-            if now() > limit:
+            if now() > deadline:
                 raise TimeoutError(condition)
             await asyncio.sleep(0.1)
 
     async def edit(self, name, *changes, confirm=True):
-        """Make an edit through a controller, confirming whatever it does."""
+        """Commit an edit through a controller.
+
+        :param confirm: whether to confirm the effects that the plan shows.
+        """
         edits = self.controllers[name].edits
-        number, _ = await edits.revision()
+        revision, _ = await edits.revision()
         edit_id = f"edit-{next(self._edit_ids)}"
-        edit = Edit(edit_id, "test", "test", number, changes)
+        edit = Edit(edit_id, "test", "test", revision, changes)
         if confirm:
             planned = await edits.plan(edit)
             edit = edit._replace(confirm=planned.plan.digest)
         return await edits.commit(edit)
 
     def rows(self, prefix):
-        """Return the values of table rows by key."""
+        """Return the values of the table rows with a key prefix, by key."""
         return {row["key"]: row["value"] for row in self.world.table.scan(prefix)}
 
 
-class _NoMetrics:
+class _NullMetrics:
     def count(self, name, value=1):
-        """Drop it."""
+        """Discard the value."""
 
     def gauge(self, name, value):
-        """Drop it."""
+        """Discard the value."""
 
     def timing(self, name, seconds):
-        """Drop it."""
+        """Discard the value."""
 
 
 def base_changes(vms_per_group, count, weights_bytes=100_000_000):
