--- a/features/support/group_runs.py
+++ b/features/support/group_runs.py
@@ -179,7 +179,7 @@
             self.attempts.update(generation.attempts)
         self.outcomes[outcome] = self.outcomes.get(outcome, 0) + 1
         expected = answer_words(body)
-        received = [_token_of(e) for chunk in chunks for e in chunk.split(b"\n\n")[:-1]]
+        received = [_token_of(e) for piece in chunks for e in piece.split(b"\n\n")[:-1]]
         if outcome == "completed" and received != expected:
             self.violations.append((request_id, "incomplete answer", received))
         if received != expected[: len(received)]:
