--- a/features/support/daemon_network.py
+++ b/features/support/daemon_network.py
@@ -138,7 +138,7 @@
         now = asyncio.get_running_loop().time()
         own = Heartbeat(self.member, 0, True, 99, {}, {})
         is_reporter = self.member.name in self.registry.reporters(own, now)
-        return self.registry.interval_s(is_reporter, now)
+        return self.registry.heartbeat_interval_s(is_reporter, now)
 
     def starts(self, store):
         """Begin without a registration, and knowing nobody."""
