--- a/features/group_plans/duels.feature
+++ b/features/group_plans/duels.feature
@@ -1,15 +1,15 @@
 Feature: Two coordinators duel over the same engines
-  Random runs in fake time over the real decisions and the real coordinator. Either of two
-  coordinators may believe that it is the only one and may stand still for up to 15 s at any
-  call; each has links of its own to engines, of which some are cut at times; orders are lost,
-  carried out without an answer, or carried out 2 to 12 s late; engines go dark, come back as
-  they were, start anew or are lost. On a mixed site both models share two domains; on a
-  divided one each model has domains of its own, of six.
+  Random runs of the production coordinator in virtual time. Each of two coordinators may
+  believe that it is the only one and may pause for up to 15 s at any call; each has its own
+  connections to engines, of which some are cut at times; orders are lost, carried out without
+  an answer, or carried out 2 to 12 s late; engines become unreachable, return with their
+  state, restart or are lost. On a mixed site both models share two domains; on a divided
+  site each model has some of six domains to itself.
 
-  Scenario Outline: No group runs a request unless whole, and no engine is in two groups
-    When <number> duels are run from seed 0 on a <site> site
-    Then the oracle saw no partial group and no engine in two groups
-    And groups served in every duel
+  Scenario Outline: No partial group runs a request, and no engine is in two groups
+    When <number> runs of competing coordinators are made from seed 0 on a <site> site
+    Then the oracle found no partial group and no engine in two groups
+    And groups served in every run
 
     Examples:
       | site    | number |
@@ -17,11 +17,11 @@
       | divided | 15     |
 
   Scenario: Coordinators that are overloaded take no engine out of a group that serves
-    Four coordinators that believe at most times to be the only one, to whom most answers come too late
-    at times, and the list up to 5 s late.
-    When 25 duels are run from seed 40 on a mixed overloaded site
-    Then the oracle saw no partial group and no engine in two groups
-    And groups served in every duel
-    When 10 duels are run from seed 10 on a divided overloaded site
-    Then the oracle saw no partial group and no engine in two groups
-    And groups served in every duel
+    Each of four coordinators mostly believes to be the only one; at times most of its report
+    requests time out and the target list is up to 5 s late.
+    When 25 runs of competing coordinators are made from seed 40 on a mixed overloaded site
+    Then the oracle found no partial group and no engine in two groups
+    And groups served in every run
+    When 10 runs of competing coordinators are made from seed 10 on a divided overloaded site
+    Then the oracle found no partial group and no engine in two groups
+    And groups served in every run
--- a/features/group_plans/older_store.feature
+++ b/features/group_plans/older_store.feature
@@ -1,11 +1,11 @@
-Feature: The store comes back from an older copy
-  It is away for up to 2 s and comes back as it was 0.5 s to 10 s before, every 3 s to 12 s, at times twice within
-  a second. Versions are given out again, and rows that were acknowledged are gone.
+Feature: The store is restored from an older copy
+  Every 3 s to 12 s, at times twice within a second, it is unavailable for up to 2 s and returns in
+  its state of 0.5 s to 10 s before. Versions are assigned again, and acknowledged rows are lost.
 
-  Scenario Outline: No group runs a request unless whole, and no epoch is given out twice
-    When <number> duels are run from seed 0 on a <site> site
-    Then the oracle saw no partial group and no engine in two groups
-    And groups served in every duel
+  Scenario Outline: No partial group runs a request, and no epoch is assigned twice
+    When <number> runs of competing coordinators are made from seed 0 on a <site> site
+    Then the oracle found no partial group and no engine in two groups
+    And groups served in every run
 
     Examples:
       | site                          | number |
@@ -13,17 +13,17 @@
       | mixed restarting and restored | 12     |
       | divided restored              | 8      |
 
-  Scenario: Versions that are compared over eras are found out
-    When duels are run with eras ignored on a mixed restored site, from seed 0 on
-    Then the oracle saw a group that was partial or an engine in two groups
+  Scenario: The oracle detects that store versions are compared without their eras
+    When competing coordinators run with store eras ignored on a mixed restored site, from seed 0 on
+    Then the oracle found a partial group or an engine in two groups
 
-  Scenario: Groups that the store has forgotten serve on
-    Given a coordinator whose groups serve
-    When the store comes back as it was before they were planned
-    Then the same groups serve 10 s later
-    And the store holds their plans again
+  Scenario: Groups whose plans the store has lost continue to serve
+    Given a coordinator with serving groups
+    When the store is restored from a copy older than their plans
+    Then the same groups are serving 10 s later
+    And the store contains their plans again
 
-  Scenario: Plans that are not written again are found out
-    Given a coordinator whose groups serve
-    When the store comes back as it was before they were planned, and nothing is written again
-    Then other groups serve 10 s later
+  Scenario: The check detects that lost plans are not written again
+    Given a coordinator with serving groups
+    When the store is restored from a copy older than their plans, and lost rows are not written again
+    Then other groups are serving 10 s later
--- a/features/group_plans/restart_duels.feature
+++ b/features/group_plans/restart_duels.feature
@@ -1,12 +1,12 @@
-Feature: Two coordinators duel while engines start again
-  The duels of the other features, on sites where engines also start again under their ids, seen as
-  a silence or not, while orders to their earlier lives are under way and entries of earlier lives
-  come late; or under other ids at their addresses, which answer for the old ids too.
+Feature: Two coordinators compete for engines that restart
+  Engines also restart under their ids, with or without a downtime, while orders to earlier
+  incarnations are in flight and list entries of earlier incarnations arrive late; or they restart
+  under new ids at their addresses, which answer requests to the old ids too.
 
-  Scenario Outline: No group runs a request unless whole, and no engine is in two groups
-    When <number> duels are run from seed 0 on a <site> site
-    Then the oracle saw no partial group and no engine in two groups
-    And groups served in every duel
+  Scenario Outline: No partial group runs a request, and no engine is in two groups
+    When <number> runs of competing coordinators are made from seed 0 on a <site> site
+    Then the oracle found no partial group and no engine in two groups
+    And groups served in every run
 
     Examples:
       | site               | number |
--- a/features/support/coordinator_runs.py
+++ b/features/support/coordinator_runs.py
@@ -1,4 +1,4 @@
-"""Random runs of two coordinators that duel over the same engines."""
+"""Randomised runs of coordinators that compete for the same engines."""
 
 import asyncio
 import contextlib
@@ -21,224 +21,240 @@
     "DIVIDED_SITE",
     "SITES",
     "VARIANTS",
-    "ListedTools",
-    "bring_list",
+    "CoordinatorContext",
     "coordinator_run",
+    "update_target_list",
 ]
 
-RUN_S = 40.0
-LIST_S = 0.25
-LINK_TIMEOUT_S = 0.15
-RESTORED_S = (3.0, 12.0)
-"""Time between two moments at which the store comes back older."""
-OLDEST_COPY_S = 10.0
-LONGEST_AWAY_S = 2.0
-AGAIN_SHARE = 0.2
-"""Share of such moments that are followed by another one half a second later."""
-CUT_AT_ONCE = 3
+RUN_DURATION_S = 40.0
+LIST_INTERVAL_S = 0.25
+CALL_TIMEOUT_S = 0.15
+RESTORE_INTERVAL_RANGE_S = (3.0, 12.0)
+"""Range of the interval between two restores of the store from an older copy."""
+MAX_COPY_AGE_S = 10.0
+MAX_STORE_DOWNTIME_S = 2.0
+REPEATED_RESTORE_FRACTION = 0.2
+"""Fraction of restores that follow 0.5 s after the previous one."""
+MAX_CUT_HEADS = 3
 
 
-class DuelSite(NamedTuple):
-    """What a run begins with.
+class ContentionSite(NamedTuple):
+    """Site and kinds of faults of a run.
 
     :param domains: names of fabric domains; each model gets domains of its own if there
         are enough.
-    :param engines: engines in each.
-    :param restarts: whether engines start again under their ids, and entries of their
-        earlier lives come late.
-    :param renames: whether they start again under other ids at their addresses instead.
-    :param restores: whether the store comes back from older copies of its rows.
-    :param overloads: whether coordinators are overloaded at times, so that answers to
-        most of their questions come too late.
+    :param engines_per_domain: engines in each domain.
+    :param has_restarts: whether engines restart under their ids, and list entries of
+        earlier incarnations arrive late.
+    :param has_renames: whether engines restart under new ids at their addresses.
+    :param has_overload: whether coordinators are overloaded at times, so that most of
+        their report requests time out.
+    :param coordinator_count: number of coordinators.
+    :param has_restores: whether the store is restored from older copies of its rows.
     """
 
     domains: tuple[str, ...]
-    engines: int
-    restarts: bool = False
-    renames: bool = False
-    overloads: bool = False
-    coordinators: int = 2
-    restores: bool = False
+    engines_per_domain: int
+    has_restarts: bool = False
+    has_renames: bool = False
+    has_overload: bool = False
+    coordinator_count: int = 2
+    has_restores: bool = False
 
 
-MIXED_SITE = DuelSite(("d1", "d2"), 8)
-DIVIDED_SITE = DuelSite(("d1", "d2", "d3", "d4", "d5", "d6"), 6)
+MIXED_SITE = ContentionSite(("d1", "d2"), 8)
+DIVIDED_SITE = ContentionSite(("d1", "d2", "d3", "d4", "d5", "d6"), 6)
 SITES = {
     "mixed": MIXED_SITE,
     "divided": DIVIDED_SITE,
-    "mixed restarting": MIXED_SITE._replace(restarts=True),
-    "divided restarting": DIVIDED_SITE._replace(restarts=True),
-    "mixed renaming": MIXED_SITE._replace(restarts=True, renames=True),
-    "divided renaming": DIVIDED_SITE._replace(restarts=True, renames=True),
-    "mixed overloaded": MIXED_SITE._replace(overloads=True, coordinators=4),
-    "mixed restored": MIXED_SITE._replace(restores=True),
-    "divided restored": DIVIDED_SITE._replace(restores=True),
-    "mixed restarting and restored": MIXED_SITE._replace(restarts=True, restores=True),
-    "divided overloaded": DIVIDED_SITE._replace(overloads=True, coordinators=4),
+    "mixed restarting": MIXED_SITE._replace(has_restarts=True),
+    "divided restarting": DIVIDED_SITE._replace(has_restarts=True),
+    "mixed renaming": MIXED_SITE._replace(has_restarts=True, has_renames=True),
+    "divided renaming": DIVIDED_SITE._replace(has_restarts=True, has_renames=True),
+    "mixed overloaded": MIXED_SITE._replace(has_overload=True, coordinator_count=4),
+    "mixed restored": MIXED_SITE._replace(has_restores=True),
+    "divided restored": DIVIDED_SITE._replace(has_restores=True),
+    "mixed restarting and restored": MIXED_SITE._replace(
+        has_restarts=True, has_restores=True
+    ),
+    "divided overloaded": DIVIDED_SITE._replace(has_overload=True, coordinator_count=4),
 }
-RESTART_SHARE = 0.6
-"""Share of disturbances that are restarts, on sites that have them."""
-QUICK_SHARE = 0.5
-"""Share of restarts that nobody sees as a silence."""
-LONGEST_DOWN_S = 6.0
-UNHEARD_SHARE = 0.85
-"""Share of questions whose answers come too late for an overloaded coordinator."""
-OLD_LIST_SHARE = 0.2
-OLDEST_LIST_S = 5.0
-"""The list reaches an overloaded coordinator that late at times."""
-OLD_ENTRY_SHARE = 0.3
-"""Share of readings of the list with an entry of an earlier life after them."""
-
-
-class ListedTools:
-    """What a coordinator knows besides the engines."""
+RESTART_FRACTION = 0.6
+"""Fraction of engine faults that are restarts, on sites that have them."""
+INSTANT_RESTART_FRACTION = 0.5
+"""Fraction of restarts without downtime, which no coordinator sees as silence."""
+MAX_RESTART_DOWNTIME_S = 6.0
+UNANSWERED_FRACTION = 0.85
+"""Fraction of report requests that time out at an overloaded coordinator."""
+DELAYED_LIST_FRACTION = 0.2
+MAX_LIST_DELAY_S = 5.0
+"""Highest additional delay of the target list at an overloaded coordinator."""
+STALE_ENTRY_FRACTION = 0.3
+"""Fraction of list updates that an entry of an earlier incarnation follows."""
+
+
+class CoordinatorContext:
+    """Provides the configuration and the fleet of a daemon."""
 
     def __init__(self):
         self.table = route_table()
         self.fleet = FleetView()
 
 
-class _Links:
-    """A coordinator's own links to engines, some of which are cut for a while.
+class _UnreliableEngineControl:
+    """A coordinator's connections to engines, some of which fail for a while.
 
-    It meets :class:`~cowslipcourse.ports.EngineControl`.
+    Implements :class:`~cowslipcourse.ports.EngineControl`.
     """
 
     def __init__(self, world, rng):
         self._world = world
         self._rng = rng
-        self._cut = set()
+        self._cut_ids = set()
         self._is_overloaded = False
 
-    async def overload(self):
-        """Let most questions go unanswered at times, whoever is asked."""
+    async def run_overload(self):
+        """Let most report requests to any engine time out at times."""
         while True:
             await asyncio.sleep(self._rng.uniform(0.5, 6.0))
             self._is_overloaded = True
             await asyncio.sleep(self._rng.uniform(0.3, 3.0))
             self._is_overloaded = False
 
-    async def run(self):
-        """Cut off heads of groups now and then: what they do decides most."""
+    async def run_cuts(self):
+        """Cut off heads now and then: reports of heads matter most to decisions."""
         while True:
             await asyncio.sleep(self._rng.uniform(0.5, 3.0))
             heads = [e.id for e in self._world.engines.values() if e.is_head]
-            self._cut = set(self._rng.sample(heads, min(len(heads), CUT_AT_ONCE)))
+            self._cut_ids = set(self._rng.sample(heads, min(len(heads), MAX_CUT_HEADS)))
             await asyncio.sleep(self._rng.uniform(0.3, 2.0))
-            self._cut = set()
+            self._cut_ids = set()
 
     async def report(self, entry):
-        await self._pass(entry)
-        if self._is_overloaded and self._rng.random() < UNHEARD_SHARE:
-            await asyncio.sleep(LINK_TIMEOUT_S)
-            raise TargetUnreachable("too late", sent=True)
+        await self._raise_if_cut(entry)
+        if self._is_overloaded and self._rng.random() < UNANSWERED_FRACTION:
+            await asyncio.sleep(CALL_TIMEOUT_S)
+            raise TargetUnreachable(
+                "no report in time: the coordinator is overloaded", sent=True
+            )
         return await self._world.report(entry)
 
     async def order(self, entry, order):
-        await self._pass(entry)
+        await self._raise_if_cut(entry)
         return await self._world.order(entry, order)
 
-    async def _pass(self, entry):
-        if entry.id in self._cut:
-            await asyncio.sleep(LINK_TIMEOUT_S)
-            raise TargetUnreachable("cut off", sent=False)
+    async def _raise_if_cut(self, entry):
+        if entry.id in self._cut_ids:
+            await asyncio.sleep(CALL_TIMEOUT_S)
+            raise TargetUnreachable("the connection to the engine is cut", sent=False)
 
 
-class _Duel:
-    """Who believes to be the coordinator: mostly one, at times several or none.
+class _LeadershipBeliefs:
+    """Which processes believe to be the coordinator: one, several or none.
 
     :param rng: :class:`random.Random`
-    :param number: of coordinators.
+    :param coordinator_count: number of processes.
     """
 
-    def __init__(self, rng, number):
+    def __init__(self, rng, coordinator_count):
         self._rng = rng
-        self._number = number
-        self.acting = [True] + [False] * (number - 1)
+        self._coordinator_count = coordinator_count
+        self.is_coordinator = [True] + [False] * (coordinator_count - 1)
 
     async def run(self):
         while True:
             await asyncio.sleep(self._rng.uniform(1.0, 6.0))
-            if self._number > 2:
-                self.acting = [self._rng.random() < 0.7 for _ in self.acting]
+            if self._coordinator_count > 2:
+                self.is_coordinator = [
+                    self._rng.random() < 0.7 for _ in self.is_coordinator
+                ]
                 continue
-            self.acting = self._rng.choice(
+            self.is_coordinator = self._rng.choice(
                 [[True, False], [False, True], [True, True], [True, True]]
             )
 
 
-async def bring_list(world, coordinator, tools):
-    """Bring the list to a coordinator as it is."""
+async def update_target_list(world, coordinator, context):
+    """Apply the current target list to a coordinator at a fixed interval."""
     while True:
-        await asyncio.sleep(LIST_S)
+        await asyncio.sleep(LIST_INTERVAL_S)
         coordinator.domains.update_entries(world.entries())
-        tools.fleet.apply(world.entries(), ())
+        context.fleet.apply(world.entries(), ())
 
 
-async def _list(world, coordinator, fleet, rng, site):
-    """Bring the list to a coordinator, late at times."""
-    listed = set()
+async def _update_target_list_late(world, coordinator, fleet, rng, site):
+    """Apply the target list to a coordinator, with delays and outdated entries."""
+    previous_ids = set()
     while True:
-        await asyncio.sleep(LIST_S)
+        await asyncio.sleep(LIST_INTERVAL_S)
         entries = world.entries()
         await asyncio.sleep(rng.choice([0.0, 0.05, 0.8]))
-        if site.overloads and rng.random() < OLD_LIST_SHARE:
-            await asyncio.sleep(rng.uniform(1.0, OLDEST_LIST_S))
-        present = {entry.id for entry in entries}
-        coordinator.domains.mark_unlisted(listed - present)
+        if site.has_overload and rng.random() < DELAYED_LIST_FRACTION:
+            await asyncio.sleep(rng.uniform(1.0, MAX_LIST_DELAY_S))
+        current_ids = {entry.id for entry in entries}
+        coordinator.domains.mark_unlisted(previous_ids - current_ids)
         coordinator.domains.update_entries(entries)
-        fleet.apply(entries, listed - present)
-        listed = present
-        if site.restarts and world.past_entries and rng.random() < OLD_ENTRY_SHARE:
+        fleet.apply(entries, previous_ids - current_ids)
+        previous_ids = current_ids
+        if (
+            site.has_restarts
+            and world.past_entries
+            and rng.random() < STALE_ENTRY_FRACTION
+        ):
             coordinator.domains.update_entries([rng.choice(world.past_entries[-5:])])
 
 
-def _restart(world, engine, rng, site):
-    """Let an engine start again, at once or after a while."""
-    restart = world.rename if site.renames else world.restart
-    if rng.random() < QUICK_SHARE:
+def _restart_engine(world, engine, rng, site):
+    """Restart an engine, at once or after a downtime."""
+    restart = world.rename if site.has_renames else world.restart
+    if rng.random() < INSTANT_RESTART_FRACTION:
         restart(engine)
         return
     engine.is_dark = True
     engine.membership = None
-    later = rng.uniform(0.2, LONGEST_DOWN_S)
-    asyncio.get_running_loop().call_later(later, restart, engine)
+    downtime_s = rng.uniform(0.2, MAX_RESTART_DOWNTIME_S)
+    asyncio.get_running_loop().call_later(downtime_s, restart, engine)
 
 
-async def _restore(world, rng):
-    """Let the store come back from an older copy now and then."""
+async def _restore_store(world, rng):
+    """Restore the store from older copies at random times."""
     while True:
-        again = rng.random() < AGAIN_SHARE
-        await asyncio.sleep(0.5 if again else rng.uniform(*RESTORED_S))
-        age_s, away_s = rng.uniform(0.5, OLDEST_COPY_S), rng.uniform(0, LONGEST_AWAY_S)
+        is_repeated = rng.random() < REPEATED_RESTORE_FRACTION
+        await asyncio.sleep(
+            0.5 if is_repeated else rng.uniform(*RESTORE_INTERVAL_RANGE_S)
+        )
+        age_s, away_s = (
+            rng.uniform(0.5, MAX_COPY_AGE_S),
+            rng.uniform(0, MAX_STORE_DOWNTIME_S),
+        )
         world.come_back_older(age_s, away_s)
 
 
-async def _disturb(world, site, rng):
-    """Engines go dark and come back, are lost for good, or are added.
+async def _inject_engine_faults(world, site, rng):
+    """Make engines unreachable, remove, replace, restart and add them.
 
-    The larger the site, the more often.
+    Intervals are inversely proportional to the number of domains.
     """
-    share = len(MIXED_SITE.domains) / len(site.domains)
+    interval_factor = len(MIXED_SITE.domains) / len(site.domains)
     while True:
-        await asyncio.sleep(share * rng.uniform(0.8, 3.0))
-        live = [e for e in world.engines.values() if not e.is_dark]
-        if len(live) <= len(site.domains) * site.engines / 2:
+        await asyncio.sleep(interval_factor * rng.uniform(0.8, 3.0))
+        reachable = [e for e in world.engines.values() if not e.is_dark]
+        if len(reachable) <= len(site.domains) * site.engines_per_domain / 2:
             world.add_engine(rng.choice(site.domains))
             continue
-        engine = rng.choice(live)
-        if site.restarts and rng.random() < RESTART_SHARE:
-            _restart(world, engine, rng, site)
+        engine = rng.choice(reachable)
+        if site.has_restarts and rng.random() < RESTART_FRACTION:
+            _restart_engine(world, engine, rng, site)
             continue
         engine.is_dark = True
-        luck = rng.random()
-        if luck < 0.4:
-            # It was cut off only: it comes back as it was.
-            back = rng.uniform(0.5, 9.0)
+        draw = rng.random()
+        if draw < 0.4:
+            # A partition: the engine returns with its state.
+            downtime_s = rng.uniform(0.5, 9.0)
             asyncio.get_running_loop().call_later(
-                back, setattr, engine, "is_dark", False
+                downtime_s, setattr, engine, "is_dark", False
             )
-        elif luck < 0.7:
+        elif draw < 0.7:
             del world.engines[engine.id]
             world.add_engine(engine.domain, engine.staged)
         else:
@@ -246,40 +262,42 @@
 
 
 async def coordinator_run(seed, site=MIXED_SITE):
-    """Make one run and return its :class:`~features.support.engine_world.World`.
+    """Make one run and return its :class:`~cowslipcourse.emulator.World`.
 
-    :param seed: of all that is random.
-    :param site: :class:`DuelSite`
+    :param seed: seed of all random choices.
+    :param site: :class:`ContentionSite`
     """
     rng = random.Random(seed)
     world = World(rng, Faults(), MODELS)
-    world.tells_lives = not site.renames
+    world.tells_lives = not site.has_renames
     for domain in site.domains:
-        for _ in range(site.engines):
+        for _ in range(site.engines_per_domain):
             world.add_engine(domain)
-    duel = _Duel(rng, site.coordinators)
+    beliefs = _LeadershipBeliefs(rng, site.coordinator_count)
     settings = ControlSettings(stall_s=STALL_S)
-    running = [duel.run(), world.run(), _disturb(world, site, rng)]
-    if site.restores:
-        running.append(_restore(world, random.Random(f"restored {seed}")))
-    for number in range(site.coordinators):
-        links = _Links(world, rng)
-        running.append(links.run())
-        if site.overloads:
-            running.append(links.overload())
-        tools = ListedTools()
+    coroutines = [beliefs.run(), world.run(), _inject_engine_faults(world, site, rng)]
+    if site.has_restores:
+        coroutines.append(_restore_store(world, random.Random(f"restored {seed}")))
+    for number in range(site.coordinator_count):
+        control = _UnreliableEngineControl(world, rng)
+        coroutines.append(control.run_cuts())
+        if site.has_overload:
+            coroutines.append(control.run_overload())
+        context = CoordinatorContext()
         coordinator = Coordinator(
-            tools,
+            context,
             world,
-            links,
+            control,
             settings,
-            WholeSite(lambda number=number: duel.acting[number]),
-            lambda news: None,
+            WholeSite(lambda number=number: beliefs.is_coordinator[number]),
+            lambda update: None,
+        )
+        list_updates = _update_target_list_late(
+            world, coordinator, context.fleet, rng, site
         )
-        listing = _list(world, coordinator, tools.fleet, rng, site)
-        running += [coordinator.run(), listing]
-    tasks = [asyncio.create_task(coroutine) for coroutine in running]
-    await asyncio.sleep(RUN_S)
+        coroutines += [coordinator.run(), list_updates]
+    tasks = [asyncio.create_task(coroutine) for coroutine in coroutines]
+    await asyncio.sleep(RUN_DURATION_S)
     for task in tasks:
         task.cancel()
     for result in await asyncio.gather(*tasks, return_exceptions=True):
@@ -289,94 +307,95 @@
 
 
 @contextlib.contextmanager
-def _open_unseen():
-    """Open a head without having seen every member ready."""
-    head_only = group_orders._form
+def _open_before_ready():
+    """Open a head before every member has reported ready."""
+    original_form = group_orders._form
 
     def form(group, engines, models, now):
         members = [engines[member] for member in group.members]
         if members[0].was_ready(group):
             return group_orders._open(group, members[0], now)
-        return head_only(group, engines, models, now)
+        return original_form(group, engines, models, now)
 
     with mock.patch.object(group_orders, "_form", form):
         yield
 
 
 @contextlib.contextmanager
-def _take_strays():
-    """Claim engines that are still in a group of another plan."""
-    is_free = situation.is_free
+def _reassign_before_leave():
+    """Treat engines as free that are still in a group of another plan."""
+    original_is_free = situation.is_free
 
-    def free(plan, knowledge, engine, stall_s):
+    def is_free(plan, observed, engine, stall_s):
         if plan.group_of(engine.id, engine.incarnation) is None:
             return True
-        return is_free(plan, knowledge, engine, stall_s)
+        return original_is_free(plan, observed, engine, stall_s)
 
     with (
-        mock.patch.object(situation, "is_free", free),
+        mock.patch.object(situation, "is_free", is_free),
         mock.patch.object(
             group_orders, "_leave_unplanned_groups", lambda plan, engines: []
         ),
-        _join_regardless(),
+        _join_serving_engines(),
     ):
         yield
 
 
 @contextlib.contextmanager
-def _same_epoch():
-    """Give a repaired group its old epoch again."""
-    make = group_revision._Revision.make
+def _reuse_epochs():
+    """Keep the epoch of a repaired group."""
+    original_make = group_revision._Revision.make
 
-    def keep(self, model_demands, changes):
-        old = {group.name: group.epoch for group in self._groups.values()}
-        groups = make(self, model_demands, changes)
+    def make(self, model_demands, changes):
+        epochs = {group.name: group.epoch for group in self._groups.values()}
+        groups = original_make(self, model_demands, changes)
         return tuple(
-            group._replace(epoch=old.get(group.name, group.epoch)) for group in groups
+            group._replace(epoch=epochs.get(group.name, group.epoch))
+            for group in groups
         )
 
-    with mock.patch.object(group_revision._Revision, "make", keep):
+    with mock.patch.object(group_revision._Revision, "make", make):
         yield
 
 
-def _join_regardless():
-    """Join members whatever group they are in by their order counts."""
+def _join_serving_engines():
+    """Join members although they may still serve in another group."""
     return mock.patch.object(group_orders, "_serving_elsewhere", lambda *args: [])
 
 
 @contextlib.contextmanager
-def _silence_frees():
-    """Take the silence of a given-up group's head as proof that it does not serve."""
-    is_free = situation.is_free
+def _free_members_of_silent_heads():
+    """Treat silence of a retired group's head as proof that it does not serve."""
+    original_is_free = situation.is_free
 
-    def free(plan, knowledge, engine, stall_s):
+    def is_free(plan, observed, engine, stall_s):
         group = plan.group_of(engine.id, engine.incarnation)
         if group is None or not group.is_retired:
-            return is_free(plan, knowledge, engine, stall_s)
-        head = knowledge.engines.get(group.head)
+            return original_is_free(plan, observed, engine, stall_s)
+        head = observed.engines.get(group.head)
         if head is None or head.silent_since is not None:
             return True
-        return is_free(plan, knowledge, engine, stall_s)
+        return original_is_free(plan, observed, engine, stall_s)
 
-    with mock.patch.object(situation, "is_free", free), _join_regardless():
+    with mock.patch.object(situation, "is_free", is_free), _join_serving_engines():
         yield
 
 
 @contextlib.contextmanager
-def _old_evidence():
-    """Trust reports from before a group's end, and join whoever the plan says."""
+def _accept_outdated_reports():
+    """Accept reports from before a group's end, and join all planned members."""
     with (
         mock.patch.object(
             ObservedEngine, "require_evidence_since", lambda self, now: None
         ),
-        _join_regardless(),
+        _join_serving_engines(),
     ):
         yield
 
 
 @contextlib.contextmanager
-def _lives_confused():
-    """Take all lives of an engine for one."""
+def _merge_incarnations():
+    """Report the same incarnation for all incarnations of an engine."""
     entry, report = Engine.entry, Engine.report
     with (
         mock.patch.object(Engine, "entry", lambda e: entry(e)._replace(incarnation=1)),
@@ -388,8 +407,8 @@
 
 
 @contextlib.contextmanager
-def _lives_unplanned():
-    """Plan engines by their ids alone."""
+def _plan_without_incarnations():
+    """Plan engines by id without their incarnations."""
     with mock.patch.object(
         group_revision._Revision, "_incarnations_of", lambda self, members: ()
     ):
@@ -397,43 +416,43 @@
 
 
 @contextlib.contextmanager
-def _silence_drops():
-    """Drop groups whose members are all silent, and free engines by the list."""
-    is_free = situation.is_free
+def _delete_silent_groups():
+    """Delete groups whose members are all silent; free engines by the list alone."""
+    original_is_free = situation.is_free
 
-    def drop_dead(self):
+    def drop_silent(self):
         for group in list(self._groups.values()):
             if group.is_retired or self._live_members(group):
                 continue
             if not self._is_still_serving(group):
                 del self._groups[group.name]
 
-    def free(plan, knowledge, engine, stall_s):
+    def is_free(plan, observed, engine, stall_s):
         if plan.group_of(engine.id, engine.incarnation) is None:
             return engine.membership is None or is_warmup_group(engine.membership)
-        return is_free(plan, knowledge, engine, stall_s)
+        return original_is_free(plan, observed, engine, stall_s)
 
     with (
-        mock.patch.object(group_revision._Revision, "_drop_unlisted", drop_dead),
-        mock.patch.object(situation, "is_free", free),
-        _join_regardless(),
+        mock.patch.object(group_revision._Revision, "_drop_unlisted", drop_silent),
+        mock.patch.object(situation, "is_free", is_free),
+        _join_serving_engines(),
     ):
         yield
 
 
-def _eras_ignored():
-    """Take the store's versions as they come."""
+def _ignore_eras():
+    """Compare store versions without their eras."""
     return mock.patch.object(World, "tells_eras", False)
 
 
 VARIANTS = {
-    "eras ignored": _eras_ignored,
-    "groups dropped for the silence of their members": _silence_drops,
-    "lives confused": _lives_confused,
-    "engines planned without their lives": _lives_unplanned,
-    "evidence from before a group's end": _old_evidence,
-    "members freed by the silence of their head": _silence_frees,
-    "heads opened before all members were seen ready": _open_unseen,
-    "engines taken out of groups they have not left": _take_strays,
-    "epochs used twice": _same_epoch,
+    "store eras ignored": _ignore_eras,
+    "groups deleted while all members are silent": _delete_silent_groups,
+    "incarnations not distinguished": _merge_incarnations,
+    "engines planned without their incarnations": _plan_without_incarnations,
+    "reports from before a group's end accepted": _accept_outdated_reports,
+    "members freed while their head is silent": _free_members_of_silent_heads,
+    "heads opened before all members reported ready": _open_before_ready,
+    "engines reassigned before they left their group": _reassign_before_leave,
+    "epochs reused": _reuse_epochs,
 }
--- a/features/whole_groups/groups.feature
+++ b/features/whole_groups/groups.feature
@@ -17,10 +17,10 @@
     Then a violation was found
 
     Examples:
-      | variant                                  | seeds    |
-      | unconditional writes                     | 49, 82   |
-      | grants that never expire                 | 0, 1     |
-      | departures from the shard holder only    | 110, 141 |
+      | variant                               | seeds    |
+      | unconditional writes                  | 49, 82   |
+      | grants that never expire              | 0, 1     |
+      | departures from the shard holder only | 110, 141 |
 
   Scenario Outline: An answer of a group that lost a member before the send is discarded
     Given a small site in fake time with 4 groups granted
