--- a/features/steps/size_steps.py
+++ b/features/steps/size_steps.py
@@ -1,4 +1,4 @@
-"""Steps over what daemons tell each other on a large site."""
+"""Steps for the traffic between the daemons of a large site."""
 
 import asyncio
 import random
@@ -30,9 +30,9 @@
 )
 from features.support.wire import entry_content
 
-LOOK_S = 0.05
-STEPS = 300
-"""Changes in a random run."""
+CHECK_INTERVAL_S = 0.05
+CHANGE_COUNT = 300
+"""Versions of the target list in a random run."""
 
 
 def _entry(number, state="ready"):
@@ -56,26 +56,28 @@
     return f"i-{number * 0x1234567 % (1 << 40):010x}"
 
 
-# Bytes a second.
+# Traffic, liveness and roles of many daemons.
 
 
-@when("{places:d} data centres of {daemons:d} daemons talk for {seconds:d} s")
-def step_tell(context, places, daemons, seconds):
-    context.network = DaemonNetwork(NetworkShape(places, daemons))
+@when("{data_centres:d} data centres of {daemons:d} daemons run for {seconds:d} s")
+def step_run(context, data_centres, daemons, seconds):
+    context.network = DaemonNetwork(NetworkShape(data_centres, daemons))
     context.sent = run_paused(context.network.run(seconds / 2))
 
 
 @when(
-    "{places:d} data centres of {daemons:d} daemons talk for {seconds:d} s, "
+    "{data_centres:d} data centres of {daemons:d} daemons run for {seconds:d} s, "
     "losing {lost:d} in 100 datagrams"
 )
-def step_tell_lossy(context, places, daemons, seconds, lost):
-    context.network = DaemonNetwork(NetworkShape(places, daemons, loss_rate=lost / 100))
+def step_run_lossy(context, data_centres, daemons, seconds, lost):
+    context.network = DaemonNetwork(
+        NetworkShape(data_centres, daemons, loss_rate=lost / 100)
+    )
 
     async def run():
         await context.network.run(seconds / 2)
         now = asyncio.get_running_loop().time()
-        context.ready = [
+        context.routable = [
             len(daemon.registry.ready_members(daemon.member.name, now))
             for daemon in context.network.daemons
         ]
@@ -83,62 +85,67 @@
     run_paused(run())
 
 
-@then("no daemon sends more than {most:d} KB/s")
-def step_most(context, most):
-    assert max(context.sent) <= most * 1000, max(context.sent)
+@then("no daemon sends more than {limit:d} KB/s")
+def step_max_traffic(context, limit):
+    assert max(context.sent) <= limit * 1000, max(context.sent)
 
 
-@then("8 in 10 send no more than {most:d} KB/s")
-def step_usual(context, most):
-    usual = sorted(context.sent)[len(context.sent) * 8 // 10]
-    assert usual <= most * 1000, usual
+@then("8 in 10 send no more than {limit:d} KB/s")
+def step_usual_traffic(context, limit):
+    percentile_80 = sorted(context.sent)[len(context.sent) * 8 // 10]
+    assert percentile_80 <= limit * 1000, percentile_80
 
 
 @then("each daemon would send callers to every other one")
-def step_all_known(context):
+def step_all_routable(context):
     others = len(context.network.daemons) - 1
-    assert context.ready == [others] * (others + 1), context.ready
+    assert context.routable == [others] * (others + 1), context.routable
 
 
 @when(
     "195 daemons of 5 data centres start within {within:d} s, "
     "losing {lost:d} in 100 datagrams"
 )
-def step_start(context, within, lost):
+def step_start_all(context, within, lost):
     network = DaemonNetwork(NetworkShape(5, 39, loss_rate=lost / 100))
     context.roles = run_paused(network.start_all(within, 4))
 
 
 @when(
-    "{places:d} data centres of {daemons:d} daemons start, and those that read the "
-    "store go silent after {seconds:d} s"
+    "{data_centres:d} data centres of {daemons:d} daemons start, and those that read "
+    "the store fall silent after {seconds:d} s"
 )
-def step_followers_go(context, places, daemons, seconds):
-    network = DaemonNetwork(NetworkShape(places, daemons))
-    context.followers = []
-
-    async def go():
-        context.followers.append(network.followers())
-        network.end([n for names in network.followers().values() for n in names])
+def step_readers_fall_silent(context, data_centres, daemons, seconds):
+    network = DaemonNetwork(NetworkShape(data_centres, daemons))
+    context.readers = []
+
+    async def silence():
+        context.readers.append(network.store_readers())
+        network.silence(
+            [n for names in network.store_readers().values() for n in names]
+        )
         await asyncio.sleep(1.0)
-        context.followers.append(network.followers())
+        context.readers.append(network.store_readers())
 
-    run_paused(network.start_all(0.5, seconds, go))
+    run_paused(network.start_all(0.5, seconds, silence))
 
 
 @then(
     "one daemon of each data centre reads the store after {first:d} s, and after "
     "{second:d} s another one"
 )
-def step_one_follows(context, first, second):
-    before, after = context.followers
-    for place in ("hall-0", "hall-1", "hall-2"):
-        assert len(before[place]) == 1 and len(after[place]) == 1, context.followers
-        assert before[place] != after[place], context.followers
+def step_one_reader(context, first, second):
+    first_readers, later_readers = context.readers
+    for data_centre in ("hall-0", "hall-1", "hall-2"):
+        assert (
+            len(first_readers[data_centre]) == 1
+            and len(later_readers[data_centre]) == 1
+        ), context.readers
+        assert first_readers[data_centre] != later_readers[data_centre], context.readers
 
 
 @when("they start, losing {lost:d} in 100, and take roles once registered")
-def step_start_early(context, lost):
+def step_start_without_settling(context, lost):
     network = DaemonNetwork(NetworkShape(5, 39, loss_rate=lost / 100))
     with (
         mock.patch.object(roles, "is_settled", lambda at, now: at is not None),
@@ -147,124 +154,132 @@
         context.roles = run_paused(network.start_all(1, 2))
 
 
-@then("no data centre ever has more than {most:d} reporters, and 2 from {at:d} s on")
-def step_few_reporters(context, most, at):
+@then(
+    "no data centre ever has more than {limit:d} reporters, and 2 from {from_s:d} s on"
+)
+def step_few_reporters(context, limit, from_s):
     for seconds, reporters, _ in context.roles:
-        assert max(reporters.values(), default=0) <= most, (seconds, reporters)
-        if seconds >= at:
+        assert max(reporters.values(), default=0) <= limit, (seconds, reporters)
+        if seconds >= from_s:
             assert sorted(reporters.values()) == [2] * 5, (seconds, reporters)
 
 
 @then(
-    "at most {most:d} daemons keep the groups of one data centre, and 1 from {at:d} s "
-    "on"
+    "at most {limit:d} daemons coordinate the groups of one data centre, and 1 from "
+    "{from_s:d} s on"
 )
-def step_few_keepers(context, most, at):
+def step_few_coordinators(context, limit, from_s):
     numbers = [(seconds, number) for seconds, _, number in context.roles]
-    assert all(number <= most for _, number in numbers), numbers
-    assert all(number == 1 for seconds, number in numbers if seconds >= at), numbers
+    assert all(number <= limit for _, number in numbers), numbers
+    assert all(number == 1 for seconds, number in numbers if seconds >= from_s), numbers
 
 
 @when(
-    "{places:d} data centres of {daemons:d} daemons start, and one data centre goes "
-    "silent after {seconds:d} s"
+    "{data_centres:d} data centres of {daemons:d} daemons start, and one data centre "
+    "falls silent after {seconds:d} s"
 )
-def step_place_goes(context, places, daemons, seconds):
-    network = DaemonNetwork(NetworkShape(places, daemons))
-    context.keepers = []
+def step_data_centre_falls_silent(context, data_centres, daemons, seconds):
+    network = DaemonNetwork(NetworkShape(data_centres, daemons))
+    context.coordinators = []
 
-    async def go():
-        context.keepers.append(network.keepers())
-        network.end([d.settings.name for d in network.daemons[:daemons]])
+    async def silence():
+        context.coordinators.append(network.coordinators())
+        network.silence([d.settings.name for d in network.daemons[:daemons]])
         await asyncio.sleep(1.5)
-        context.keepers.append(network.keepers())
+        context.coordinators.append(network.coordinators())
 
-    run_paused(network.start_all(0.5, seconds, go))
+    run_paused(network.start_all(0.5, seconds, silence))
 
 
-@then("each data centre's groups are kept by one of its own daemons after {_:d} s")
-def step_own_keepers(context, _):
-    for place, keepers in context.keepers[0].items():
-        number = place.removeprefix("hall-")
-        assert len(keepers) == 1, context.keepers[0]
-        assert keepers[0].startswith(f"front-hall-{number}-"), context.keepers[0]
+@then(
+    "each data centre's groups are coordinated by one of its own daemons after {_:d} s"
+)
+def step_own_coordinators(context, _):
+    for data_centre, coordinators in context.coordinators[0].items():
+        number = data_centre.removeprefix("hall-")
+        assert len(coordinators) == 1, context.coordinators[0]
+        assert coordinators[0].startswith(f"front-hall-{number}-"), (
+            context.coordinators[0]
+        )
 
 
 @then("those of the silent one by one daemon elsewhere {_:f} s later")
-def step_kept_elsewhere(context, _):
-    keepers = context.keepers[1]
-    assert [len(names) for names in keepers.values()] == [1, 1, 1], keepers
-    assert not keepers["hall-0"][0].startswith("front-hall-0-"), keepers
+def step_coordinated_elsewhere(context, _):
+    coordinators = context.coordinators[1]
+    assert [len(names) for names in coordinators.values()] == [1, 1, 1], coordinators
+    assert not coordinators["hall-0"][0].startswith("front-hall-0-"), coordinators
 
 
-@then("some data centre has more than {most:d} reporters")
-def step_many_reporters(context, most):
-    found = max(max(r.values(), default=0) for _, r, _ in context.roles)
-    assert found > most, found
+@then("some data centre has more than {limit:d} reporters")
+def step_many_reporters(context, limit):
+    max_reporters = max(max(r.values(), default=0) for _, r, _ in context.roles)
+    assert max_reporters > limit, max_reporters
 
 
 @when(
-    "one daemon of {places:d} data centres of {daemons:d} gets {number:d} requests in "
-    "flight at a target"
+    "one daemon of {data_centres:d} data centres of {daemons:d} gets {number:d} "
+    "requests in flight at a target"
 )
-def step_burst(context, places, daemons, number):
-    network = DaemonNetwork(NetworkShape(places, daemons))
-    context.known = {}
+def step_in_flight_burst(context, data_centres, daemons, number):
+    network = DaemonNetwork(NetworkShape(data_centres, daemons))
+    context.delays_s = {}
 
-    async def watch():
-        network.daemons[5].burst = {"i-burst": number}
+    async def observe():
+        network.daemons[5].extra_in_flight = {"i-burst": number}
         for step in range(30):
-            await asyncio.sleep(LOOK_S)
+            await asyncio.sleep(CHECK_INTERVAL_S)
             for daemon in network.daemons[:5] + network.daemons[6:]:
                 if daemon.registry.in_flight.get("i-burst", 0) >= number:
                     name = daemon.settings.name
-                    context.known.setdefault(name, (step + 1) * LOOK_S)
+                    context.delays_s.setdefault(name, (step + 1) * CHECK_INTERVAL_S)
 
-    run_paused(network.run(2.0, watch))
+    run_paused(network.run(2.0, observe))
     context.network = network
 
 
 @then(
-    "all daemons of its data centre know within {near:f} s, and all others within "
-    "{far:f} s"
+    "all daemons of its data centre know within {local:f} s, and all others within "
+    "{remote:f} s"
 )
-def step_burst_known(context, near, far):
-    places = {d.settings.name: d.settings.data_centre for d in context.network.daemons}
-    assert len(context.known) == len(places) - 1, len(context.known)
-    for name, seconds in context.known.items():
-        most = near if places[name] == "hall-0" else far
-        assert seconds <= most + LOOK_S / 2, (name, seconds)
-
-
-@when("{number:d} daemons of {places:d} data centres of {daemons:d} go silent")
-def step_go_silent(context, number, places, daemons):
-    network = DaemonNetwork(NetworkShape(places, daemons))
-    context.ready = {}
-
-    async def watch():
-        each = len(network.daemons) // number
-        gone = {daemon.settings.name for daemon in network.daemons[::each]}
-        network.end(gone)
+def step_burst_known(context, local, remote):
+    data_centre_by_name = {
+        d.settings.name: d.settings.data_centre for d in context.network.daemons
+    }
+    assert len(context.delays_s) == len(data_centre_by_name) - 1, len(context.delays_s)
+    for name, delay_s in context.delays_s.items():
+        limit_s = local if data_centre_by_name[name] == "hall-0" else remote
+        assert delay_s <= limit_s + CHECK_INTERVAL_S / 2, (name, delay_s)
+
+
+@when("{number:d} daemons of {data_centres:d} data centres of {daemons:d} fall silent")
+def step_daemons_fall_silent(context, number, data_centres, daemons):
+    network = DaemonNetwork(NetworkShape(data_centres, daemons))
+    context.routable = {}
+
+    async def observe():
+        stride = len(network.daemons) // number
+        silent = {daemon.settings.name for daemon in network.daemons[::stride]}
+        network.silence(silent)
         await asyncio.sleep(1.5)
         now = asyncio.get_running_loop().time()
         for daemon in network.daemons:
             if not daemon.is_down:
-                ready = daemon.registry.ready_members(daemon.settings.name, now)
-                context.ready[daemon.settings.name] = {m.name for m in ready}
+                routable = daemon.registry.ready_members(daemon.settings.name, now)
+                context.routable[daemon.settings.name] = {m.name for m in routable}
         context.live = {d.settings.name for d in network.daemons if not d.is_down}
 
-    run_paused(network.run(2.0, watch))
+    run_paused(network.run(2.0, observe))
 
 
 @then(
     "no daemon sends callers to them {_:f} s later, and all send callers to all others"
 )
-def step_ready_lists(context, _):
-    for name, ready in context.ready.items():
-        assert ready == context.live - {name}, (name, ready ^ context.live)
+def step_routable_lists(context, _):
+    for name, routable in context.routable.items():
+        assert routable == context.live - {name}, (name, routable ^ context.live)
 
 
-@given("a daemon that has heard others' heartbeats and a digest without members")
+@given("a daemon that has received heartbeats of others and a digest without members")
 def step_no_members(context):
     context.registry = PeerRegistry(PeerSettings(), "north")
     for number in range(9):
@@ -273,7 +288,7 @@
     context.registry.record_digest(digest, 50.0)
 
 
-@then("it sends callers to those that it has heard")
+@then("it sends callers to the senders of the heartbeats")
 def step_by_heartbeats(context):
     assert len(context.registry.ready_members("own", 50.1)) == 9
 
@@ -284,81 +299,91 @@
     context.views = {name: PeerRegistry(PeerSettings(), "north") for name in "12"}
     for registry in context.views.values():
         for number in range(9):
-            beat = heartbeat(f"d{number}", 20 + number)
-            registry.record_heartbeat(beat._replace(interval_s=2.0), context.now)
+            peer_heartbeat = heartbeat(f"d{number}", 20 + number)
+            registry.record_heartbeat(
+                peer_heartbeat._replace(interval_s=2.0), context.now
+            )
 
 
-def _hear(context, names):
+def _receive_heartbeats(context, names):
     for own, registry in context.views.items():
         for name in names:
             if name != own:
-                beat = heartbeat(f"r{name}", int(name), sequence=int(context.now * 10))
-                registry.record_heartbeat(beat, context.now)
+                peer_heartbeat = heartbeat(
+                    f"r{name}", int(name), sequence=int(context.now * 10)
+                )
+                registry.record_heartbeat(peer_heartbeat, context.now)
 
 
 @when("both have just been heard")
 def step_both_heard(context):
-    _hear(context, "12")
+    _receive_heartbeats(context, "12")
 
 
 @when("r1 has been silent for {seconds:f} s")
 def step_first_silent(context, seconds):
     context.now += seconds
-    _hear(context, "2")
+    _receive_heartbeats(context, "2")
 
 
-def _speaks(context, name):
+def _is_active_reporter(context, name):
     own = heartbeat(f"r{name}", int(name))
     return context.views[name].is_active_reporter(own, context.now)
 
 
-@then("r1 speaks for the data centre in the view of both")
-def step_first_speaks(context):
-    assert _speaks(context, "1") and not _speaks(context, "2")
+@then("r1 is the active reporter in the view of both")
+def step_first_active(context):
+    assert _is_active_reporter(context, "1") and not _is_active_reporter(context, "2")
 
 
-@then("r2 speaks for the data centre in the view of r2")
-def step_second_speaks(context):
-    assert _speaks(context, "2")
+@then("r2 is the active reporter in the view of r2")
+def step_second_active(context):
+    assert _is_active_reporter(context, "2")
 
 
-# Reads of peers.
+# Reads from peers.
 
 
-def _known(contents, version):
-    knowledge, registry, listener = make_replica(FlakyStore())
+def _make_replica_with_targets(contents, version):
+    replica, registry, listener = make_replica(FlakyStore())
     rows = tuple(StoredRow(key, value, version) for key, value in contents.items())
-    run_paused(_read_all(knowledge, RowChanges(rows, version)))
-    return knowledge, registry, listener
+    run_paused(_apply_snapshot(replica, RowChanges(rows, version)))
+    return replica, registry, listener
 
 
-async def _read_all(knowledge, changes):
-    knowledge._on_target_snapshot(changes)
+async def _apply_snapshot(replica, changes):
+    replica._on_target_snapshot(changes)
 
 
 @given("the list of a site of {number:d} targets")
 def step_list(context, number):
     contents = {_id(n): _entry(n) for n in range(number)}
-    context.knowledge, _, _ = _known(contents, 5000)
+    context.replica, _, _ = _make_replica_with_targets(contents, 5000)
 
 
-@then("a peer reads it in less than {most:d} KB, and a second one gets the same bytes")
-def step_packed(context, most):
-    first, second = (context.knowledge.encoded_state(0, 0) for _ in range(2))
-    assert first is second and len(first) < most * 1000, len(first)
+@then("a peer reads it in less than {limit:d} KB, and a second one gets the same bytes")
+def step_compressed(context, limit):
+    first, second = (context.replica.encoded_state(0, 0) for _ in range(2))
+    assert first is second and len(first) < limit * 1000, len(first)
     assert len(decode_state(first).targets) == 930
 
 
-@then("bytes that are cut short or are no packed ones raise the typed error")
-def step_damaged(context):
-    packed = pack(b"abc" * 1000)
-    assert unpack(packed) == b"abc" * 1000 and unpack(pack(b"short")) == b"short"
-    for bad in (packed[:-8], packed[:1], b"", b"Zabc", b"?" + packed[1:]):
+@then("truncated or uncompressed bytes raise the typed error")
+def step_invalid_refused(context):
+    compressed = pack(b"abc" * 1000)
+    assert unpack(compressed) == b"abc" * 1000 and unpack(pack(b"short")) == b"short"
+    for invalid in (
+        compressed[:-8],
+        compressed[:1],
+        b"",
+        b"Zabc",
+        b"?" + compressed[1:],
+    ):
         try:
-            unpack(bad)
+            unpack(invalid)
         except MalformedAnswer:
             continue
-        raise AssertionError(bad)
+        raise AssertionError(invalid)
 
 
 @given("a list that changes at random, seed {seed:d}, and a reader that misses pushes")
@@ -368,24 +393,24 @@
     reader, _, _ = make_replica(FlakyStore())
     reader.configuration_version, reader._follows_store = 7, False
     source_listener.push_changes = reader.apply_push
-    context.differ, context.whole = [], 0
+    context.differences, context.whole_list_reads = [], 0
 
     async def run():
         rows = tuple(StoredRow(_id(n), _entry(n), 1) for n in range(40))
         source._on_target_snapshot(RowChanges(rows, 1))
-        # Entries that go are not held back.
+        # Removed entries are not held back.
         source._recovered_at = 0.0
-        for version in range(2, STEPS):
-            _change(rng, source, version)
+        for version in range(2, CHANGE_COUNT):
+            _apply_random_change(rng, source, version)
             if rng.random() < 0.2:
-                _read(context, source, reader)
-            context.differ += _differences(source, reader)
+                _read_from_source(context, source, reader)
+            context.differences += _differences(source, reader)
 
     run_paused(run())
 
 
-def _change(rng, source, version):
-    """Let the source see a change, whose push the reader gets at times."""
+def _apply_random_change(rng, source, version):
+    """Apply a random change at the source; at times the reader misses its push."""
     numbers = rng.sample(range(60), rng.randint(1, 4))
     rows = tuple(
         StoredRow(_id(n), b"", version, deleted=True)
@@ -396,7 +421,7 @@
     changes = RowChanges(rows, version + 1)
     push = source._listener.push_changes
     if rng.random() < 0.1:
-        # Entries that were held back go without a newer version.
+        # The removal of held entries is pushed without a newer version.
         source._held_until = {_id(rng.randrange(60)): 0.0}
         source._remove_expired_held(1.0)
         return
@@ -406,47 +431,54 @@
     source._listener.push_changes = push
 
 
-def _read(context, source, reader):
+def _read_from_source(context, source, reader):
     state = decode_state(
         source.encoded_state(reader.configuration_version, reader.targets_version)
     )
-    context.whole += state.after is None
+    context.whole_list_reads += state.after is None
     reader._apply_peer_state(state)
 
 
 def _differences(source, reader):
     if reader.targets_version != source.targets_version:
         return []
-    theirs, ours = source._target_list.contents, reader._target_list.contents
-    return [key for key in theirs | ours if theirs.get(key) != ours.get(key)]
+    source_contents, reader_contents = (
+        source._target_list.contents,
+        reader._target_list.contents,
+    )
+    return [
+        key
+        for key in source_contents | reader_contents
+        if source_contents.get(key) != reader_contents.get(key)
+    ]
 
 
 @then("the reader never differs at the same version, and reads one whole list at most")
-def step_same(context):
-    assert not context.differ, context.differ[:3]
-    assert context.whole <= 1, context.whole
+def step_never_differs(context):
+    assert not context.differences, context.differences[:3]
+    assert context.whole_list_reads <= 1, context.whole_list_reads
 
 
-@given("changes of {number:d} entries at versions of their own")
-def step_many_changes(context, number):
+@given("changes of {number:d} entries at different versions")
+def step_changes(context, number):
     changed = {_id(n): _entry(n) for n in range(number)}
     context.versions = {_id(n): 101 + n for n in range(number)}
     changes = TargetChanges(100, 101 + number, changed, ())
     context.parts = split_changes(changes, context.versions)
 
 
-@then("they are pushed in parts that follow on each other, of {most:d} KB at most")
-def step_parts(context, most):
+@then("they are pushed in consecutive parts of {limit:d} KB at most")
+def step_consecutive_parts(context, limit):
     assert context.parts[0].after == 100 and context.parts[-1].version == 1031
     for first, second in zip(context.parts, context.parts[1:], strict=False):
         assert second.after == first.version
-    lengths = [len(encode(part)) for part in context.parts]
-    assert max(lengths) <= most * 1000, lengths
+    sizes_bytes = [len(encode(part)) for part in context.parts]
+    assert max(sizes_bytes) <= limit * 1000, sizes_bytes
     assert sum(len(part.changed) for part in context.parts) == 930
 
 
-@then("a reader that misses the third part stands at the version of the second")
-def step_missed(context):
+@then("a reader that misses the third part stays at the version of the second")
+def step_third_part_missed(context):
     reader, _, _ = make_replica(FlakyStore())
     reader.configuration_version, reader.targets_version = 7, 100
     reader.set_following(False)
@@ -456,8 +488,8 @@
     assert reader.targets_version == context.parts[1].version
 
 
-class _Behind:
-    """A daemon that rests and has missed a push."""
+class _OutdatedReplica:
+    """A daemon that does not follow the store and has missed a push."""
 
     configuration_version = 7
     targets_version = 5
@@ -465,51 +497,56 @@
     follows_store = False
 
 
-@given("{behind:d} daemons that all missed the same push, and {rest:d} that did not")
-def step_missed_by_many(context, behind, rest):
+@given(
+    "{behind:d} daemons that all missed the same push, and {up_to_date:d} that did not"
+)
+def step_missed_by_many(context, behind, up_to_date):
     registry = PeerRegistry(PeerSettings(), "north")
-    for number in range(behind + rest):
+    for number in range(behind + up_to_date):
         version = 5 if number < behind else 8
         registry.record_heartbeat(
             heartbeat(f"{number:03d}", number + 1, targets_version=version), 10.0
         )
-    context.first = {}
+    context.first_read_counts = {}
     for number in range(behind):
-        reading = PeerReadPolicy(registry, random.Random(number))
-        assert reading.sources(_Behind, 10.0) == []
-        first = reading.sources(_Behind, 10.4)[0].name
-        context.first[first] = context.first.get(first, 0) + 1
+        policy = PeerReadPolicy(registry, random.Random(number))
+        assert policy.sources(_OutdatedReplica, 10.0) == []
+        first = policy.sources(_OutdatedReplica, 10.4)[0].name
+        context.first_read_counts[first] = context.first_read_counts.get(first, 0) + 1
 
 
-@then("no peer is read first by more than {most:d} of them")
-def step_spread(context, most):
-    assert len(context.first) > 5 and max(context.first.values()) <= most, context.first
+@then("no peer is read first by more than {limit:d} of them")
+def step_reads_spread(context, limit):
+    assert (
+        len(context.first_read_counts) > 5
+        and max(context.first_read_counts.values()) <= limit
+    ), context.first_read_counts
 
 
-@given("a daemon whose reads of peers fail")
-def step_failing(context):
+@given("a daemon whose reads from peers fail")
+def step_reads_fail(context):
     registry = PeerRegistry(PeerSettings(alive_s=100.0), "north")
     registry.record_heartbeat(heartbeat("b", 3, targets_version=8), 0.0)
-    context.reading = PeerReadPolicy(registry, random.Random(3))
+    context.policy = PeerReadPolicy(registry, random.Random(3))
 
 
-@then("it pauses longer and longer, up to 0.8 s, and goes on at once after a success")
-def step_pauses(context):
-    now, pauses = 10.0, []
-    context.reading.sources(_Behind, now)
+@then("it backs off longer and longer, up to 0.8 s, and reads at once after a success")
+def step_backs_off(context):
+    now, backoffs_s = 10.0, []
+    context.policy.sources(_OutdatedReplica, now)
     for _ in range(8):
         now += 1.3
-        assert context.reading.sources(_Behind, now)
-        context.reading.record_result(False, now)
-        pauses.append(_pause_s(context.reading, now))
-    assert pauses[0] < 0.2 < pauses[-1] <= 1.5 * MAX_BACKOFF_S, pauses
+        assert context.policy.sources(_OutdatedReplica, now)
+        context.policy.record_result(False, now)
+        backoffs_s.append(_backoff_s(context.policy, now))
+    assert backoffs_s[0] < 0.2 < backoffs_s[-1] <= 1.5 * MAX_BACKOFF_S, backoffs_s
     now += 1.3
-    context.reading.record_result(True, now)
-    assert context.reading.sources(_Behind, now)
+    context.policy.record_result(True, now)
+    assert context.policy.sources(_OutdatedReplica, now)
 
 
-def _pause_s(reading, now):
+def _backoff_s(policy, now):
     steps = 0
-    while not reading.sources(_Behind, now + steps * 0.01):
+    while not policy.sources(_OutdatedReplica, now + steps * 0.01):
         steps += 1
     return steps * 0.01
--- a/features/support/daemon_network.py
+++ b/features/support/daemon_network.py
@@ -1,4 +1,4 @@
-"""Many daemons that tell each other that they live, in fake time; bytes are counted."""
+"""Simulate the peer links of many daemons in simulated time and count their bytes."""
 
 import asyncio
 import random
@@ -19,20 +19,20 @@
 
 __all__ = ["DaemonNetwork", "NetworkShape"]
 
-TRIP_S = 0.001
+DATAGRAM_DELAY_S = 0.001
 IP_UDP_HEADER_BYTES = 28
-"""Of a datagram, for IP and UDP."""
-HEADS = 85
-"""Targets that take requests on the large site: heads of groups and plain ones."""
+"""IP and UDP headers of a datagram."""
+BUSY_TARGET_COUNT = 85
+"""Targets of the large site that accept requests: heads of groups and plain ones."""
 
 
 class NetworkShape(NamedTuple):
-    """A network.
+    """Size and load of a simulated network.
 
     :param data_centres: number of data centres.
-    :param daemons: daemons in each.
-    :param in_flight: targets at which a daemon has requests.
-    :param lost: share of datagrams that are lost.
+    :param daemons_per_data_centre: number of daemons in each.
+    :param busy_targets_per_daemon: number of targets at which a daemon has a request.
+    :param loss_rate: fraction of datagrams that are lost.
     """
 
     data_centres: int
@@ -41,24 +41,24 @@
     loss_rate: float = 0.0
 
 
-WRITE_S = 0.004
-"""Writes to one part of the store's rows follow each other."""
-LOOK_S = 0.05
+WRITE_DURATION_S = 0.004
+"""Duration of a write; writes to one partition of the store are serialized."""
+SAMPLE_INTERVAL_S = 0.05
 
 
-class _Knowledge:
+class _FakeReplica:
     follows_store = True
 
     def apply_push(self, message):
-        """Nothing is pushed here."""
+        """Do nothing: no targets are pushed in this network."""
 
     def set_following(self, active):
-        """Note whether the store would be read."""
+        """Record whether the store would be read."""
         self.follows_store = active
 
 
-class _Store:
-    """Rows of daemons; those of an earlier run of all daemons are there already."""
+class _RegistrationStore:
+    """Registrations of daemons; all are registered from an earlier run already."""
 
     def __init__(self, daemons):
         self._version = 1000
@@ -72,27 +72,27 @@
 
     async def write(self, row_write):
         now = asyncio.get_running_loop().time()
-        self._free_at = max(now, self._free_at) + WRITE_S
+        self._free_at = max(now, self._free_at) + WRITE_DURATION_S
         await asyncio.sleep(self._free_at - now)
         self._version += 1
         self._rows[row_write.key] = row_write.value
         return self._version
 
     async def read_table(self, table):
-        await asyncio.sleep(WRITE_S)
+        await asyncio.sleep(WRITE_DURATION_S)
         rows = [StoredRow(key, value, 1) for key, value in self._rows.items()]
         return RowChanges(tuple(rows), self._version)
 
 
 class _Daemon:
-    """One daemon: its link and its registry, and what it says of itself."""
+    """One daemon: its peer link, its registry, and the state that it reports."""
 
     def __init__(self, network, number, data_centre):
         self._network = network
         self._rng = random.Random(number)
         self._sequence = 0
         self._shape = network.shape
-        self.replica = _Knowledge()
+        self.replica = _FakeReplica()
         self.sent_bytes = 0
         self.is_down = False
         address = f"10.{data_centre}.{number // 250}.{number % 250}"
@@ -114,24 +114,26 @@
             True,
             7,
         )
-        self.burst = {}
+        self.extra_in_flight = {}
         self.is_draining = False
-        self.registering = None
+        self.registrar = None
         self.roles = None
         self.registry = PeerRegistry(self.settings.peers, self.settings.data_centre)
         self.link = PeerLink(self.settings, self.registry, self)
         self.link._transport = self
 
     def heartbeat(self):
-        """Return what it says of itself now."""
+        """Return the daemon's next heartbeat."""
         self._sequence += 1
-        heads = self._rng.sample(range(HEADS), self._shape.busy_targets_per_daemon)
-        in_flight = {f"i-{head * 0x123457:010x}": 1 for head in heads}
-        in_flight |= self.burst
-        if self.registering is not None:
-            self.member = self.member._replace(registration=self.registering.version)
-        beat = Heartbeat(self.member, self._sequence, True, 99, in_flight, {})
-        return beat._replace(interval_s=self.heartbeat_interval_s())
+        busy_targets = self._rng.sample(
+            range(BUSY_TARGET_COUNT), self._shape.busy_targets_per_daemon
+        )
+        in_flight = {f"i-{target * 0x123457:010x}": 1 for target in busy_targets}
+        in_flight |= self.extra_in_flight
+        if self.registrar is not None:
+            self.member = self.member._replace(registration=self.registrar.version)
+        heartbeat = Heartbeat(self.member, self._sequence, True, 99, in_flight, {})
+        return heartbeat._replace(interval_s=self.heartbeat_interval_s())
 
     def heartbeat_interval_s(self):
         """Return the seconds until the next heartbeat."""
@@ -140,75 +142,84 @@
         is_reporter = self.member.name in self.registry.reporters(own, now)
         return self.registry.heartbeat_interval_s(is_reporter, now)
 
-    def starts(self, store):
-        """Begin without a registration, and knowing nobody."""
-        self.registering = DaemonRegistrar(
-            self.settings, store, self._learn, random.Random(1)
+    def prepare_start(self, store):
+        """Start without a registration and without known peers."""
+        self.registrar = DaemonRegistrar(
+            self.settings, store, self._on_registrations, random.Random(1)
         )
         self.roles = RoleAssignment(
-            self.settings, self.registry, self.registering, self.replica, self
+            self.settings, self.registry, self.registrar, self.replica, self
         )
 
-    def _learn(self, registrations):
+    def _on_registrations(self, registrations):
         now = asyncio.get_running_loop().time()
-        for known in registrations:
-            self.registry.add_address(known.peer_address, known.data_centre, now)
+        for registration in registrations:
+            self.registry.add_address(
+                registration.peer_address, registration.data_centre, now
+            )
         self.link.heartbeat_now()
 
-    async def live(self, after_s):
-        """Start after a while, and live."""
+    async def run(self, delay_s):
+        """Run forever, after an initial delay in seconds."""
         self.is_down = True
-        await asyncio.sleep(after_s)
+        await asyncio.sleep(delay_s)
         self.is_down = False
-        coroutines = self.registering.run(), self.roles.run(), self.link.run()
+        coroutines = self.registrar.run(), self.roles.run(), self.link.run()
         await asyncio.gather(*coroutines)
 
     def investigate_suspects(self, message):
-        """Nothing is looked into here."""
+        """Do nothing: no suspects are investigated in this network."""
 
-    def apply_group_update(self, news):
-        """Nothing is formed here."""
+    def apply_group_update(self, update):
+        """Do nothing: no groups are formed in this network."""
 
     def sendto(self, content, address):
         """Send a datagram; see :class:`asyncio.DatagramTransport`."""
         if self.is_down:
             return
         self.sent_bytes += len(content) + IP_UDP_HEADER_BYTES
-        self._network.carry(content, address)
+        self._network.transmit(content, address)
 
 
 class DaemonNetwork:
-    """Daemons that know each other's addresses from the start.
+    """Daemons that exchange datagrams through a simulated network with loss.
 
     :param shape: :class:`NetworkShape`
-    :param seed: of what is lost.
+    :param seed: seed of the datagram loss and of start times.
     """
 
     def __init__(self, shape, seed=0):
         self.shape = shape
         self._rng = random.Random(seed)
         self.daemons = [
-            _Daemon(self, place * shape.daemons_per_data_centre + number, place)
-            for place in range(shape.data_centres)
+            _Daemon(
+                self, data_centre * shape.daemons_per_data_centre + number, data_centre
+            )
+            for data_centre in range(shape.data_centres)
             for number in range(shape.daemons_per_data_centre)
         ]
-        self._by_host = {d.member.peer_address: d for d in self.daemons}
+        self._daemons_by_address = {d.member.peer_address: d for d in self.daemons}
 
-    def carry(self, content, address):
-        """Bring a datagram to its daemon, or lose it."""
+    def transmit(self, content, address):
+        """Deliver a datagram to its daemon after a delay, or lose it."""
         if self._rng.random() < self.shape.loss_rate:
             return
-        daemon = self._by_host[f"{address[0]}:{address[1]}"]
-        asyncio.get_running_loop().call_later(TRIP_S, self._deliver, daemon, content)
+        daemon = self._daemons_by_address[f"{address[0]}:{address[1]}"]
+        asyncio.get_running_loop().call_later(
+            DATAGRAM_DELAY_S, self._deliver, daemon, content
+        )
 
     def _deliver(self, daemon, content):
         if not daemon.is_down:
             daemon.link._handle_datagram(content)
 
     async def run(self, seconds, then=None):
-        """Run for a while; return the bytes a second that each daemon sent.
+        """Run daemons that know all addresses; return the bytes per second of each.
 
-        :param then: coroutine function that is run afterwards, while they live on.
+        Bytes are counted in the second of two periods of the given length.
+
+        :param seconds: length of each period.
+        :param then: coroutine function that is run afterwards, while they go on.
         """
         now = asyncio.get_running_loop().time()
         for daemon in self.daemons:
@@ -220,74 +231,79 @@
                     )
         tasks = [asyncio.create_task(d.link.run()) for d in self.daemons]
         await asyncio.sleep(seconds)
-        begun = [daemon.sent_bytes for daemon in self.daemons]
+        bytes_before = [daemon.sent_bytes for daemon in self.daemons]
         await asyncio.sleep(seconds)
         if then is not None:
             await then()
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
-        spent = [d.sent_bytes - b for d, b in zip(self.daemons, begun, strict=True)]
-        return [each / seconds for each in spent]
+        sent_bytes = [
+            d.sent_bytes - before
+            for d, before in zip(self.daemons, bytes_before, strict=True)
+        ]
+        return [daemon_bytes / seconds for daemon_bytes in sent_bytes]
 
-    def followers(self):
+    def store_readers(self):
         """Return the names of daemons that read the store, by data centre."""
-        found = {}
+        readers = {}
         for daemon in self.daemons:
             if daemon.replica.follows_store and not daemon.is_down:
-                names = found.setdefault(daemon.settings.data_centre, [])
+                names = readers.setdefault(daemon.settings.data_centre, [])
                 names.append(daemon.settings.name)
-        return found
+        return readers
 
-    def end(self, names):
-        """Let daemons go silent."""
+    def silence(self, names):
+        """Disconnect the named daemons."""
         for daemon in self.daemons:
             if daemon.settings.name in names:
                 daemon.is_down = True
 
     async def start_all(self, within_s, seconds, then=None):
-        """Start all daemons after a loss of power, and watch them.
+        """Start all daemons as after a power loss, and sample their roles.
 
-        :param within_s: time within which they begin to run.
-        :param seconds: time for which they are watched.
-        :param then: coroutine function that is run afterwards, while they live on.
-        :returns: list of ``(seconds since the first start, reporters by data centre,
-            most daemons that keep the groups of a data centre)``
+        :param within_s: time within which they start, at random.
+        :param seconds: time for which roles are sampled.
+        :param then: coroutine function that is run afterwards, while they go on.
+        :returns: list of ``(seconds since the start, reporter count by data centre,
+            largest number of coordinators of one data centre)``
         """
-        store = _Store(self.daemons)
+        store = _RegistrationStore(self.daemons)
         for daemon in self.daemons:
-            daemon.starts(store)
+            daemon.prepare_start(store)
         tasks = [
-            asyncio.create_task(daemon.live(self._rng.uniform(0, within_s)))
+            asyncio.create_task(daemon.run(self._rng.uniform(0, within_s)))
             for daemon in self.daemons
         ]
-        seen = []
-        for step in range(int(seconds / LOOK_S)):
-            await asyncio.sleep(LOOK_S)
-            seen.append(((step + 1) * LOOK_S, *self._roles()))
+        samples = []
+        for index in range(int(seconds / SAMPLE_INTERVAL_S)):
+            await asyncio.sleep(SAMPLE_INTERVAL_S)
+            samples.append(((index + 1) * SAMPLE_INTERVAL_S, *self._sample_roles()))
         if then is not None:
             await then()
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
-        return seen
+        return samples
 
-    def _roles(self):
-        reporters = {}
+    def _sample_roles(self):
+        reporter_counts = {}
         for daemon in self.daemons:
             if daemon.roles.is_reporter:
-                place = daemon.settings.data_centre
-                reporters[place] = reporters.get(place, 0) + 1
-        return reporters, max(len(keepers) for keepers in self.keepers().values())
+                data_centre = daemon.settings.data_centre
+                reporter_counts[data_centre] = reporter_counts.get(data_centre, 0) + 1
+        return reporter_counts, max(
+            len(coordinators) for coordinators in self.coordinators().values()
+        )
 
-    def keepers(self):
-        """Return the names of those that keep groups, by data centre of the groups."""
-        places = sorted({d.settings.data_centre for d in self.daemons})
+    def coordinators(self):
+        """Return the names of coordinators, by data centre of the groups."""
+        data_centres = sorted({d.settings.data_centre for d in self.daemons})
         return {
-            place: [
+            data_centre: [
                 daemon.settings.name
                 for daemon in self.daemons
-                if not daemon.is_down and daemon.roles.coordinates(place)
+                if not daemon.is_down and daemon.roles.coordinates(data_centre)
             ]
-            for place in places
+            for data_centre in data_centres
         }
