--- a/cowslipcourse/controller/__init__.py
+++ b/cowslipcourse/controller/__init__.py
@@ -1,1 +1,1 @@
-"""The controller: configuration, leases, groups and orders."""
+"""The controller: edits of the configuration, shard leases, groups and orders."""
--- a/cowslipcourse/controller/api.py
+++ b/cowslipcourse/controller/api.py
@@ -1,4 +1,4 @@
-"""The operators' HTTP API."""
+"""HTTP API for operators."""
 
 import hashlib
 import hmac
@@ -31,13 +31,13 @@
 __all__ = ["OperatorApi"]
 
 MAX_EDIT_BYTES = 4 * 2**20
-DEFAULT_WAIT_S = 20.0
+DEFAULT_ACCEPTANCE_WAIT_S = 20.0
 
 log = get_logger(__name__)
 
 
 class ChangeBody(msgspec.Struct, forbid_unknown_fields=True):
-    """One change of an edit, as sent."""
+    """One change of an edit in a request body."""
 
     kind: str
     name: str
@@ -45,7 +45,7 @@
 
 
 class EditBody(msgspec.Struct, forbid_unknown_fields=True):
-    """An edit, as sent."""
+    """Request body of an edit."""
 
     edit_id: str
     base_revision: int
@@ -53,11 +53,11 @@
     source: str = ""
     confirm: str = ""
     trial: bool = False
-    wait_s: float = DEFAULT_WAIT_S
+    wait_s: float = DEFAULT_ACCEPTANCE_WAIT_S
 
 
 class OperatorApi:
-    """Routes of the operators' API.
+    """Routes and handlers of the operators' API.
 
     :param context: :class:`~cowslipcourse.controller.services.ControllerContext`
     :param edits: :class:`~cowslipcourse.controller.edits.EditService`
@@ -74,105 +74,109 @@
     def app(self):
         """Return the ASGI application."""
         routes = [
-            Route("/v1/edits", self._guarded(self._edit), methods=["POST"]),
-            Route("/v1/configuration", self._guarded(self._configuration)),
-            Route("/v1/status", self._guarded(self._status)),
-            Route("/v1/audit", self._guarded(self._audit)),
-            Route("/v1/accepted", self._guarded(self._accepted)),
+            Route(
+                "/v1/edits", self._authenticated(self._handle_edit), methods=["POST"]
+            ),
+            Route("/v1/configuration", self._authenticated(self._handle_configuration)),
+            Route("/v1/status", self._authenticated(self._handle_status)),
+            Route("/v1/audit", self._authenticated(self._handle_audit)),
+            Route("/v1/accepted", self._authenticated(self._handle_accepted)),
         ]
         return Starlette(routes=routes)
 
-    def _guarded(self, handler):
-        async def guarded(request):
+    def _authenticated(self, handler):
+        async def authenticated(request):
             try:
-                return await handler(request, self._operator(request))
+                return await handler(request, self._authenticate(request))
             except CowslipError as error:
                 return _error_response(error)
 
-        return guarded
+        return authenticated
 
-    def _operator(self, request):
-        """Return the operator's name.
+    def _authenticate(self, request):
+        """Return the name of the operator whose token the request bears.
 
-        :raises NotAuthorised: the token belongs to nobody.
+        :raises NotAuthorised: no operator has the token.
         """
         header = request.headers.get("authorization", "")
         token = header.removeprefix("Bearer ")
         digest = hashlib.sha256(token.encode()).hexdigest()
         try:
-            text = self._context.settings.operators.tokens_file.read_text()
+            token_lines = self._context.settings.operators.tokens_file.read_text()
         except OSError as error:
             raise NotAuthorised("the tokens file cannot be read") from error
-        for line in text.splitlines():
-            name, _, known = line.strip().partition(" ")
-            if known and hmac.compare_digest(known.strip(), digest):
+        for line in token_lines.splitlines():
+            name, _, known_digest = line.strip().partition(" ")
+            if known_digest and hmac.compare_digest(known_digest.strip(), digest):
                 return name
         raise NotAuthorised("unknown operator token")
 
-    async def _edit(self, request, operator):
+    async def _handle_edit(self, request, operator):
         body = await _read_body(request)
         edit = Edit(
             edit_id=body.edit_id,
             operator=operator,
             source=f"{request.client.host} {body.source}".strip(),
             base_revision=body.base_revision,
-            changes=_changes(body.changes),
+            changes=_decode_changes(body.changes),
             confirm=body.confirm,
         )
         if body.trial:
-            made = await self._edits.plan(edit)
-            return json_answer(_made(made))
-        made = await self._edits.commit(edit)
-        accepted = await self._acceptor.wait_accepted(made.revision, body.wait_s)
-        missing = [] if accepted else self._acceptor.members_behind()
-        return json_answer({**_made(made), "accepted": accepted, "missing": missing})
-
-    async def _accepted(self, request, operator):
-        number = _number(request, "revision", 0)
-        wait_s = min(float(_number(request, "wait_s", 0)), 60.0)
+            result = await self._edits.plan(edit)
+            return json_answer(_result_content(result))
+        result = await self._edits.commit(edit)
+        accepted = await self._acceptor.wait_accepted(result.revision, body.wait_s)
+        members_behind = [] if accepted else self._acceptor.members_behind()
+        return json_answer(
+            {**_result_content(result), "accepted": accepted, "missing": members_behind}
+        )
+
+    async def _handle_accepted(self, request, operator):
+        number = _integer_parameter(request, "revision", 0)
+        wait_s = min(float(_integer_parameter(request, "wait_s", 0)), 60.0)
         accepted = await self._acceptor.wait_accepted(number, wait_s)
-        missing = [] if accepted else self._acceptor.members_behind()
-        return json_answer({"accepted": accepted, "missing": missing})
+        members_behind = [] if accepted else self._acceptor.members_behind()
+        return json_answer({"accepted": accepted, "missing": members_behind})
 
-    async def _configuration(self, request, operator):
-        number = _number(request, "revision", None)
+    async def _handle_configuration(self, request, operator):
+        number = _integer_parameter(request, "revision", None)
         number, configuration = await self._edits.read_configuration(number)
         return json_answer({"revision": number, "configuration": configuration})
 
-    async def _status(self, request, operator):
+    async def _handle_status(self, request, operator):
         return json_answer(
             system_status(self._context, self._acceptor, self._shard_manager)
         )
 
-    async def _audit(self, request, operator):
+    async def _handle_audit(self, request, operator):
         records = await self._edits.read_audit_records()
         wanted_operator = request.query_params.get("operator")
         wanted_object = request.query_params.get("object")
-        since = _number(request, "since", 0)
-        limit = _number(request, "limit", 100)
-        found = [
+        since = _integer_parameter(request, "since", 0)
+        limit = _integer_parameter(request, "limit", 100)
+        matching = [
             record
             for record in records
             if wanted_operator in (None, record["operator"])
             and (wanted_object is None or wanted_object in record["changed"])
             and record["revision"] >= since
         ]
-        return json_answer(found[:limit])
+        return json_answer(matching[:limit])
 
 
 async def _read_body(request):
     body = b""
-    async for piece in request.stream():
-        body += piece
+    async for chunk in request.stream():
+        body += chunk
         if len(body) > MAX_EDIT_BYTES:
-            raise BadRequest(f"an edit may have {MAX_EDIT_BYTES} bytes at most")
+            raise BadRequest(f"the edit is larger than {MAX_EDIT_BYTES} bytes")
     try:
         return msgspec.json.decode(body, type=EditBody)
     except msgspec.DecodeError as error:
         raise BadRequest(str(error)) from error
 
 
-def _changes(bodies):
+def _decode_changes(bodies):
     changes, problems = [], []
     for body in bodies:
         ref = ObjectRef(body.kind, body.name)
@@ -194,23 +198,23 @@
     return tuple(changes)
 
 
-def _number(request, name, default):
+def _integer_parameter(request, name, default):
     text = request.query_params.get(name)
     if text is None:
         return default
     try:
         return int(text)
     except ValueError as error:
-        raise BadRequest(f"{name} must be a whole number") from error
+        raise BadRequest(f"{name} must be an integer") from error
 
 
-def _made(made):
+def _result_content(result):
     plan = {
-        **made.plan._asdict(),
-        "digest": made.plan.digest,
-        "destructive": made.plan.destructive,
+        **result.plan._asdict(),
+        "digest": result.plan.digest,
+        "destructive": result.plan.destructive,
     }
-    return {"revision": made.revision, "plan": plan}
+    return {"revision": result.revision, "plan": plan}
 
 
 def _error_response(error):
--- a/cowslipcourse/controller/changes.py
+++ b/cowslipcourse/controller/changes.py
@@ -1,7 +1,8 @@
-"""Changes to groups that serve: never under a running answer.
+"""Changes of serving groups, made only once no request is running in them.
 
-A group that has to change stops getting new requests first. Only when every grant
-has run out and its leader has reported no requests for a while is it touched.
+A group that has to change first stops receiving new requests. It is changed only when
+every grant has expired and its leader has since reported no requests for longer than
+the lag of its reports.
 """
 
 from cowslipcourse.adapters.log import get_logger
@@ -12,104 +13,120 @@
 
 __all__ = ["GroupChanges"]
 
-DEPARTING = frozenset({"leaving", "drained"})
-ABSENT = frozenset({"no-answer", "not-listed"})
-REPORT_LAG_S = 1.5
-"""Longest lag of an engine's load report that is reckoned with."""
+DEPARTING_FAULTS = frozenset({"leaving", "drained"})
+ABSENT_FAULTS = frozenset({"no-answer", "not-listed"})
+MAX_REPORT_LAG_S = 1.5
+"""Upper bound on the lag of an engine's load report."""
 
 log = get_logger(__name__)
 
 
 class GroupChanges:
-    """Knows which groups must change and when they may.
+    """Determines which groups must change, quiesces them and changes them.
 
     :param shard: :class:`~cowslipcourse.controller.worker.Shard`
     """
 
     def __init__(self, shard):
         self._shard = shard
-        self._quiescing = {}
-        self._excess = frozenset()
+        self._quiescing_since = {}
+        self._excess_groups = frozenset()
 
-    def set_excess(self, groups):
-        """Say which groups are more than are wanted."""
-        self._excess = frozenset(groups)
+    def set_excess_groups(self, groups):
+        """Set the ids of groups beyond the number declared."""
+        self._excess_groups = frozenset(groups)
 
-    def withheld(self, spec):
-        """Return why a group gets no new requests, or an empty string."""
-        return REASON_CHANGING if spec.group in self._quiescing else ""
+    def withholding_reason(self, spec):
+        """Return why a group must not receive new requests, or an empty string."""
+        return REASON_CHANGING if spec.group in self._quiescing_since else ""
 
-    def is_quiet(self, spec):
+    def is_quiescent(self, spec):
         """Return whether no request can be running in a group."""
-        since = self._quiescing.get(spec.group)
-        if since is None:
+        quiescing_since = self._quiescing_since.get(spec.group)
+        if quiescing_since is None:
             return False
         times = self._shard.settings.time
-        ungranted_at = since + times.grant_s
-        at = now()
-        if at - since > times.drain_limit_s:
+        grants_expire_at = quiescing_since + times.grant_s
+        checked_at = now()
+        if checked_at - quiescing_since > times.drain_limit_s:
             log.warning("drain-limit", group=spec.group)
             return True
-        health = self._shard.prober.get(spec.leader.vm)
+        health = self._shard.prober.latest(spec.leader.vm)
         if health is None or health.probed_at < self._shard.probed_at:
-            # Nothing runs without the leader.
-            return at > ungranted_at + REPORT_LAG_S
-        if health.quiet_since is None:
+            # Without its leader, a group runs no requests.
+            return checked_at > grants_expire_at + MAX_REPORT_LAG_S
+        if health.without_requests_since is None:
             return False
-        return at - max(health.quiet_since, ungranted_at) > REPORT_LAG_S
+        return (
+            checked_at - max(health.without_requests_since, grants_expire_at)
+            > MAX_REPORT_LAG_S
+        )
 
-    def departing(self, spec):
+    def departing_members(self, spec):
         """Return the names of members that are leaving or drained."""
-        return [m.vm for m in spec.members if self._fault(spec, m) in DEPARTING]
+        return [
+            m.vm
+            for m in spec.members
+            if self._member_fault(spec, m) in DEPARTING_FAULTS
+        ]
 
     async def run(self):
-        """Find groups that must change, and change those that are quiet."""
+        """Quiesce groups that must change, and change those that are quiescent."""
         shard = self._shard
         for spec in list(shard.groups.specs.values()):
-            if not self._must_go(spec) and not self._must_reload(spec):
-                if not self.departing(spec):
-                    self._quiescing.pop(spec.group, None)
+            if not self._must_dissolve(spec) and not self._must_reload(spec):
+                if not self.departing_members(spec):
+                    self._quiescing_since.pop(spec.group, None)
                     continue
-            if spec.group not in self._quiescing:
-                if self._must_go(spec) or self.departing(spec) or self._turn(spec):
-                    self._quiescing[spec.group] = now()
+            if spec.group not in self._quiescing_since:
+                if (
+                    self._must_dissolve(spec)
+                    or self.departing_members(spec)
+                    or self._is_next_to_reload(spec)
+                ):
+                    self._quiescing_since[spec.group] = now()
                     log.info("quiescing", group=spec.group)
-            elif self.is_quiet(spec):
-                await self._change(spec)
-        for group in set(self._quiescing) - set(shard.groups.specs):
-            del self._quiescing[group]
+            elif self.is_quiescent(spec):
+                await self._apply_change(spec)
+        for group in set(self._quiescing_since) - set(shard.groups.specs):
+            del self._quiescing_since[group]
 
-    async def _change(self, spec):
+    async def _apply_change(self, spec):
         shard = self._shard
-        if self._must_go(spec) or len(self.departing(spec)) == len(spec.members):
+        if self._must_dissolve(spec) or len(self.departing_members(spec)) == len(
+            spec.members
+        ):
             shard.require_lease()
             await shard.groups.dissolve(spec.group)
-            shard.publisher.publish_gone(spec, shard.lease.fence, now())
+            shard.publisher.publish_dissolved(spec, shard.lease.fence, now())
             log.info("group-dissolved", group=spec.group)
         elif self._must_reload(spec):
             model = shard.fleet.configuration.model[spec.model]
-            changed = spec._replace(
+            new_spec = spec._replace(
                 epoch=spec.epoch + 1,
                 version=model.version,
                 adapters=tuple(model.adapters),
             )
             shard.require_lease()
-            await shard.groups.change(changed)
-            del self._quiescing[spec.group]
+            await shard.groups.change(new_spec)
+            del self._quiescing_since[spec.group]
             log.info("group-reloads", group=spec.group, version=model.version)
 
-    def _fault(self, spec, member):
+    def _member_fault(self, spec, member):
         status = self._shard.status(member.vm)
         resolved = self._shard.resolved_configuration
         vm = resolved.vms.get(member.vm)
         return member_fault(spec, member, status, vm, resolved.draining)
 
-    def _must_go(self, spec):
+    def _must_dissolve(self, spec):
         shard = self._shard
-        declared = shard.fleet.configuration.group.get(spec.declaration)
-        if declared is None or declared.model != spec.model:
+        declared_group = shard.fleet.configuration.group.get(spec.declaration)
+        if declared_group is None or declared_group.model != spec.model:
             return True
-        if declared.vms_per_group != len(spec.members) or spec.group in self._excess:
+        if (
+            declared_group.vms_per_group != len(spec.members)
+            or spec.group in self._excess_groups
+        ):
             return True
         candidates = shard.resolved_configuration.group_vms.get(spec.declaration, ())
         listed = [name for name in spec.vm_names if name in shard.vms]
@@ -121,10 +138,13 @@
             return False
         return (model.version, tuple(model.adapters)) != (spec.version, spec.adapters)
 
-    def _turn(self, spec):
-        """Whether this group is the next of its declaration to reload."""
+    def _is_next_to_reload(self, spec):
+        """Whether this group is the next of its declaration to reload.
+
+        Groups of a declaration reload one at a time, ordered by domain and id.
+        """
         model = self._shard.fleet.configuration.model[spec.model]
-        reports = self._reports(spec.declaration)
+        reports = self._group_reports(spec.declaration)
         for report in reports:
             other = report.spec
             if other.group == spec.group or other.state == "dissolved":
@@ -136,40 +156,44 @@
                 return False
         return True
 
-    def _reports(self, declaration):
+    def _group_reports(self, declaration):
         records = self._shard.agent.records.with_prefix(GROUP_PREFIX)
         reports = [decode_report(record) for record in records]
         return [r for r in reports if r.spec.declaration == declaration]
 
-    async def give_load_orders(self):
-        """Order members to load what the table says, where it saves most first."""
+    async def send_load_orders(self):
+        """Order loads of missing members, most cost saved per load first."""
         shard = self._shard
-        lacking = {}
+        members_to_load = {}
         needs = []
         for spec in shard.groups.specs.values():
-            if spec.group in self._quiescing:
+            if spec.group in self._quiescing_since:
                 continue
-            faults = {m: self._fault(spec, m) for m in spec.members}
-            wanted = [m for m, f in faults.items() if f == REASON_OTHER_ASSIGNMENT]
-            blocked = any(f in ABSENT for f in faults.values())
-            loaded = len(spec.members) - len(wanted)
-            accelerators = self._accelerators(spec)
+            faults = {m: self._member_fault(spec, m) for m in spec.members}
+            to_load = [m for m, f in faults.items() if f == REASON_OTHER_ASSIGNMENT]
+            is_blocked = any(f in ABSENT_FAULTS for f in faults.values())
+            loaded_count = len(spec.members) - len(to_load)
+            accelerators = self._accelerators_per_vm(spec)
             needs.append(
-                LoadNeed(spec.group, len(wanted), loaded, blocked, accelerators)
+                LoadNeed(
+                    spec.group, len(to_load), loaded_count, is_blocked, accelerators
+                )
             )
-            lacking[spec.group] = wanted
-        site = shard.fleet.configuration.site_policy
-        weights = Weights(site.downtime_weight, site.stranded_weight)
+            members_to_load[spec.group] = to_load
+        site_policy = shard.fleet.configuration.site_policy
+        weights = Weights(site_policy.downtime_weight, site_policy.stranded_weight)
         for need in load_order(needs, weights):
-            await self._load(shard.groups.specs[need.group], lacking[need.group])
+            await self._order_loads(
+                shard.groups.specs[need.group], members_to_load[need.group]
+            )
 
-    async def _load(self, spec, members):
+    async def _order_loads(self, spec, members):
         shard = self._shard
         model = shard.fleet.configuration.model.get(spec.model)
         size_bytes = model.weights_bytes if model else 1
         for member in members:
             await shard.orders.load(shard.lease, spec, member, size_bytes)
 
-    def _accelerators(self, spec):
+    def _accelerators_per_vm(self, spec):
         vm = self._shard.vms.get(spec.leader.vm)
         return vm.accelerators if vm else 0
--- a/cowslipcourse/controller/fleet_watch.py
+++ b/cowslipcourse/controller/fleet_watch.py
@@ -1,4 +1,4 @@
-"""The controller's view of VMs and of the configuration over them."""
+"""The VMs as a controller lists them, and the configuration resolved over them."""
 
 import asyncio
 
@@ -22,17 +22,17 @@
 
 
 class FleetMonitor:
-    """Polls the VM list and resolves the configuration over it.
+    """Polls the VM list and resolves the configuration over the listed VMs.
 
     :param vm_list: :class:`~cowslipcourse.ports.VmList`
     :param agent: :class:`~cowslipcourse.daemon.Agent`
-    :param poll_s: seconds between reads of the list.
+    :param poll_interval_s: seconds between reads of the list.
     """
 
-    def __init__(self, vm_list, agent, poll_s):
+    def __init__(self, vm_list, agent, poll_interval_s):
         self._vm_list = vm_list
         self._agent = agent
-        self._poll_s = poll_s
+        self._poll_interval_s = poll_interval_s
         self._vms = []
         self._list_read_at = None
         self._configuration = Configuration()
@@ -42,31 +42,34 @@
 
     @property
     def configuration(self):
-        """The :class:`~cowslipcourse.config.Configuration` that runs here."""
+        """The :class:`~cowslipcourse.config.Configuration` in force at this daemon."""
         return self._configuration
 
     @property
     def resolved_configuration(self):
-        """The :class:`~cowslipcourse.config.ResolvedConfiguration` of the fleet."""
+        """The :class:`~cowslipcourse.config.ResolvedConfiguration` of the fleet.
+
+        The last one without problems.
+        """
         return self._resolved_configuration
 
     @property
     def vms(self):
-        """VMs as last listed, with the platform's own labels."""
+        """VMs as last listed, with the labels that the platform gives them."""
         return self._vms
 
     @property
     def vm_list_age_s(self):
-        """Seconds since the list was last read, or ``None``."""
+        """Seconds since the list was last read, or ``None`` before the first read."""
         return None if self._list_read_at is None else now() - self._list_read_at
 
     @property
     def problems(self):
-        """What is wrong with the configuration over the VMs as they are now."""
+        """Problems of the configuration with the VMs as last listed."""
         return self._problems
 
     async def run(self):
-        """Poll for ever."""
+        """Poll the VM list, for ever."""
         while True:
             try:
                 vms = await self._vm_list.list_vms()
@@ -77,25 +80,29 @@
                 self._publish_departures()
             except StoreError as error:
                 log.warning("vm-list-failed", code=error.code)
-            await asyncio.sleep(self._poll_s)
+            await asyncio.sleep(self._poll_interval_s)
 
     def _publish_departures(self):
-        """Spread which VMs shall get no new work.
+        """Publish which VMs must get no new work.
 
-        Whoever sees it first says it, also while another controller, which holds the
-        shard, cannot see the list.
+        Every controller publishes what it observes, so that departures are known even
+        while the shard's holder cannot read the list.
         """
-        names = set(self._resolved_configuration.draining)
-        names.update(vm.name for vm in self._vms if vm.state == VmState.LEAVING)
-        listed = {vm.name for vm in self._vms}
+        unavailable_vms = set(self._resolved_configuration.draining)
+        unavailable_vms.update(
+            vm.name for vm in self._vms if vm.state == VmState.LEAVING
+        )
+        listed_names = {vm.name for vm in self._vms}
         for record in self._agent.records.with_prefix(GROUP_PREFIX):
-            names.update(set(decode_report(record).spec.vm_names) - listed)
+            unavailable_vms.update(
+                set(decode_report(record).spec.vm_names) - listed_names
+            )
         member = self._agent.member
         key = f"{DEPARTURE_PREFIX}{member.name}/{member.incarnation}"
-        report = DepartureReport(member.name, tuple(sorted(names)))
-        known = self._agent.records.get(key)
-        changed = known is None or decode_report(known) != report
-        if changed or now() - known.observed_at > DEPARTURE_REPORT_INTERVAL_S:
+        report = DepartureReport(member.name, tuple(sorted(unavailable_vms)))
+        previous = self._agent.records.get(key)
+        has_changed = previous is None or decode_report(previous) != report
+        if has_changed or now() - previous.observed_at > DEPARTURE_REPORT_INTERVAL_S:
             self._agent.publish(key, report)
 
     def _apply_revision(self, revision):
@@ -111,7 +118,7 @@
             self._resolved_configuration = resolve(self._configuration, self._vms)
             self._problems = ()
         except ConfigurationError as error:
-            # New VMs can make selectors overlap; what runs goes on as it is.
+            # New VMs can make selectors overlap; the last valid result stays in force.
             if error.problems != self._problems:
                 log.warning("selectors-clash", problems=error.detail)
             self._problems = error.problems
--- a/cowslipcourse/controller/formation.py
+++ b/cowslipcourse/controller/formation.py
@@ -1,4 +1,4 @@
-"""Form groups that are wanted and point out those that are too many."""
+"""Formation of declared groups, and detection of groups beyond the declared count."""
 
 import secrets
 
@@ -11,14 +11,14 @@
 
 __all__ = ["GroupFormation"]
 
-EXCESS_STEADY_S = 10.0
-"""Seconds for which a group must have been too many before it is given up."""
+MIN_EXCESS_S = 10.0
+"""Seconds for which a group must be in excess before it is dissolved."""
 
 log = get_logger(__name__)
 
 
 class GroupFormation:
-    """Brings the number of groups in the domain to what is wanted.
+    """Brings the number of groups in the domain to its share of the declared count.
 
     :param shard: :class:`~cowslipcourse.controller.worker.Shard`
     """
@@ -28,72 +28,87 @@
         self._excess_since = {}
 
     async def run(self):
-        """Form groups, and mark groups beyond the number wanted."""
+        """Form missing groups, and mark groups beyond the domain's share as excess."""
         excess = set()
-        for name, declared in self._shard.fleet.configuration.group.items():
-            formed = self._formed(name)
-            wanted = allocate(self._demand(name, declared, formed))
-            own = formed.get(self._shard.domain, 0)
-            target = wanted.get(self._shard.domain, 0)
-            if own < target:
-                await self._form(name, declared, target - own)
-            if own > target and sum(formed.values()) > declared.count:
-                excess |= self._steady_excess(name, own - target)
+        for name, declared_group in self._shard.fleet.configuration.group.items():
+            formed_by_domain = self._count_formed(name)
+            wanted_by_domain = allocate(
+                self._demand(name, declared_group, formed_by_domain)
+            )
+            own_count = formed_by_domain.get(self._shard.domain, 0)
+            target_count = wanted_by_domain.get(self._shard.domain, 0)
+            if own_count < target_count:
+                await self._form_groups(name, declared_group, target_count - own_count)
+            if (
+                own_count > target_count
+                and sum(formed_by_domain.values()) > declared_group.count
+            ):
+                excess |= self._persistent_excess(name, own_count - target_count)
             else:
                 self._excess_since.pop(name, None)
-        self._shard.changes.set_excess(excess)
+        self._shard.changes.set_excess_groups(excess)
 
-    def _formed(self, declaration):
-        """Number of groups by domain: the own from the table, others as reported."""
+    def _count_formed(self, declaration):
+        """Count groups by domain: this domain's from the table, others from reports."""
         counts = {}
         for record in self._shard.agent.records.with_prefix(GROUP_PREFIX):
             spec = decode_report(record).spec
             if spec.declaration == declaration and spec.state == "active":
                 counts[spec.domain] = counts.get(spec.domain, 0) + 1
-        own = self._shard.groups.specs.values()
-        counts[self._shard.domain] = sum(s.declaration == declaration for s in own)
+        own_specs = self._shard.groups.specs.values()
+        counts[self._shard.domain] = sum(
+            spec.declaration == declaration for spec in own_specs
+        )
         return counts
 
-    def _demand(self, declaration, declared, formed):
+    def _demand(self, declaration, declared_group, formed_by_domain):
         resolved = self._shard.resolved_configuration
         candidates = {}
         for name in resolved.group_vms.get(declaration, ()):
             vm = resolved.vms[name]
             if vm.state == VmState.LIVE and name not in resolved.draining:
                 candidates[vm.domain] = candidates.get(vm.domain, 0) + 1
-        return Demand(declared.count, declared.vms_per_group, candidates, formed)
+        return Demand(
+            declared_group.count,
+            declared_group.vms_per_group,
+            candidates,
+            formed_by_domain,
+        )
 
-    async def _form(self, declaration, declared, number):
+    async def _form_groups(self, declaration, declared_group, count):
         shard = self._shard
-        model = shard.fleet.configuration.model[declared.model]
+        model = shard.fleet.configuration.model[declared_group.model]
         free = free_vms(shard, declaration)
-        size = declared.vms_per_group
-        for index in range(min(number, len(free) // size)):
-            vms = [shard.vms[name] for name in free[index * size : (index + 1) * size]]
+        vms_per_group = declared_group.vms_per_group
+        for index in range(min(count, len(free) // vms_per_group)):
+            vms = [
+                shard.vms[name]
+                for name in free[index * vms_per_group : (index + 1) * vms_per_group]
+            ]
             spec = GroupSpec(
                 group=f"{declaration}-{secrets.token_hex(3)}",
                 domain=shard.domain,
                 data_centre=vms[0].data_centre,
                 declaration=declaration,
-                model=declared.model,
+                model=declared_group.model,
                 version=model.version,
                 adapters=tuple(model.adapters),
                 epoch=1,
                 members=tuple(
-                    GroupMember(v.name, v.incarnation, v.address) for v in vms
+                    GroupMember(vm.name, vm.incarnation, vm.address) for vm in vms
                 ),
             )
             shard.require_lease()
             await shard.groups.form(spec)
             log.info("group-formed", group=spec.group, vms=",".join(spec.vm_names))
 
-    def _steady_excess(self, declaration, number):
+    def _persistent_excess(self, declaration, count):
         since = self._excess_since.setdefault(declaration, now())
-        if now() - since < EXCESS_STEADY_S:
+        if now() - since < MIN_EXCESS_S:
             return set()
-        own = [
+        own_groups = [
             spec.group
             for spec in self._shard.groups.specs.values()
             if spec.declaration == declaration
         ]
-        return set(sorted(own)[-number:])
+        return set(sorted(own_groups)[-count:])
--- a/cowslipcourse/controller/groups.py
+++ b/cowslipcourse/controller/groups.py
@@ -1,7 +1,7 @@
 """Groups and claims on VMs in the table service.
 
-``group/<domain>/<id>`` holds a group and ``vm/<domain>/<name>`` says which group a
-VM belongs to. Both change together, under the shard's fencing token.
+``group/<domain>/<id>`` holds a group and ``vm/<domain>/<name>`` the claim of a group
+on a VM. Both are written in one transaction, under the shard's fencing token.
 """
 
 from typing import NamedTuple
@@ -19,12 +19,12 @@
 
 
 class Claim(NamedTuple):
-    """Which group a VM belongs to.
+    """The claim of a group on a VM.
 
     :param vm: VM name.
-    :param incarnation: incarnation of the VM that was taken in.
+    :param incarnation: incarnation of the VM that joined the group.
     :param group: group id.
-    :param releasing: whether it left the group and may still hold its weights.
+    :param releasing: whether the VM left the group and may still hold its weights.
     """
 
     vm: str
@@ -45,7 +45,7 @@
         self._table = table
         self._domain = domain
         self._fence = fence
-        self._versions = {}
+        self._row_versions = {}
         self._specs = {}
         self._claims = {}
         self._stale = True
@@ -62,26 +62,29 @@
 
     @property
     def stale(self):
-        """Whether a write may have happened that was not read back."""
+        """Whether the rows must be read again: a write may have taken effect."""
         return self._stale
 
     async def refresh(self):
-        """Read everything anew.
+        """Read all groups and claims of the shard again.
 
         :raises StoreUnavailable: the table service did not answer.
         """
-        groups = await self._table.scan(f"{GROUP_PREFIX}{self._domain}/")
-        claims = await self._table.scan(f"{VM_PREFIX}{self._domain}/")
-        self._versions = {row.key: row.version for row in [*groups, *claims]}
-        specs = [msgspec.convert(row.value, GroupSpec) for row in groups]
-        found = [msgspec.convert(row.value, Claim) for row in claims]
+        group_rows = await self._table.scan(f"{GROUP_PREFIX}{self._domain}/")
+        claim_rows = await self._table.scan(f"{VM_PREFIX}{self._domain}/")
+        self._row_versions = {
+            row.key: row.version for row in [*group_rows, *claim_rows]
+        }
+        specs = [msgspec.convert(row.value, GroupSpec) for row in group_rows]
+        claims = [msgspec.convert(row.value, Claim) for row in claim_rows]
         self._specs = {spec.group: spec for spec in specs}
-        self._claims = {claim.vm: claim for claim in found}
+        self._claims = {claim.vm: claim for claim in claims}
         self._stale = False
 
     async def form(self, spec):
         """Form a group of free VMs in one transaction.
 
+        :param spec: :class:`~cowslipcourse.fleet.GroupSpec`
         :raises ConditionFailed: a VM is not free, or the lease was lost.
         :raises StoreError: the group may have been formed.
         """
@@ -91,56 +94,66 @@
     async def change(self, spec, released=()):
         """Write a group's new epoch, members or version.
 
-        :param spec: the group as it shall be.
-        :param released: names of VMs that leave it.
+        :param spec: the changed group.
+        :param released: names of VMs that leave the group.
         """
         claims = [Claim(m.vm, m.incarnation, spec.group) for m in spec.members]
-        leaving = [self._claims[name]._replace(releasing=True) for name in released]
-        await self._write([spec], [*claims, *leaving])
+        releasing_claims = [
+            self._claims[name]._replace(releasing=True) for name in released
+        ]
+        await self._write([spec], [*claims, *releasing_claims])
 
-    async def merge(self, spec, released, donor):
-        """Change a group and give up the one that gave it VMs.
+    async def merge(self, spec, released, donor_group):
+        """Change a group and dissolve the group whose VMs it takes over.
 
         :param spec: the completed group.
         :param released: names of VMs that leave either group.
-        :param donor: id of the group that is given up.
+        :param donor_group: id of the group that is dissolved.
         """
         claims = [Claim(m.vm, m.incarnation, spec.group) for m in spec.members]
-        leaving = [self._claims[name]._replace(releasing=True) for name in released]
-        await self._write([spec], [*claims, *leaving], removed_group=donor)
+        releasing_claims = [
+            self._claims[name]._replace(releasing=True) for name in released
+        ]
+        await self._write(
+            [spec], [*claims, *releasing_claims], removed_group=donor_group
+        )
 
     async def dissolve(self, group):
-        """Remove a group; its VMs are to be unloaded before they are free."""
-        names = [c.vm for c in self._claims.values() if c.group == group]
-        leaving = [self._claims[name]._replace(releasing=True) for name in names]
-        await self._write([], leaving, removed_group=group)
-
-    async def free(self, names):
-        """Free VMs that are known to hold nothing any more."""
-        await self._write([], [], freed=names)
-
-    async def _write(self, specs, claims, removed_group=None, freed=()):
-        values = {self._group_key(s.group): (s, self._specs, s.group) for s in specs}
-        values |= {self._vm_key(c.vm): (c, self._claims, c.vm) for c in claims}
+        """Remove a group; its VMs become free only after they are unloaded."""
+        vm_names = [c.vm for c in self._claims.values() if c.group == group]
+        releasing_claims = [
+            self._claims[name]._replace(releasing=True) for name in vm_names
+        ]
+        await self._write([], releasing_claims, removed_group=group)
+
+    async def delete_claims(self, vm_names):
+        """Free VMs whose engines are known to hold no assignment any more."""
+        await self._write([], [], deleted_vms=vm_names)
+
+    async def _write(self, specs, claims, removed_group=None, deleted_vms=()):
+        changes = {self._group_key(s.group): (s, self._specs, s.group) for s in specs}
+        changes |= {self._vm_key(c.vm): (c, self._claims, c.vm) for c in claims}
         if removed_group is not None:
             key = self._group_key(removed_group)
-            values[key] = (None, self._specs, removed_group)
-        values |= {self._vm_key(name): (None, self._claims, name) for name in freed}
-        conditions = {key: self._versions.get(key, ABSENT) for key in values}
+            changes[key] = (None, self._specs, removed_group)
+        changes |= {
+            self._vm_key(name): (None, self._claims, name) for name in deleted_vms
+        }
+        conditions = {key: self._row_versions.get(key, ABSENT) for key in changes}
         conditions[lease_key(self._domain)] = self._fence
         writes = {
             key: None if value is None else msgspec.to_builtins(value)
-            for key, (value, _, _) in values.items()
+            for key, (value, _, _) in changes.items()
         }
         self._stale = True
         version = await self._table.commit(Transaction(conditions, writes))
-        for key, (value, cache, name) in values.items():
+        for key, (value, cached_values, name) in changes.items():
             if value is None:
-                cache.pop(name, None)
-                self._versions.pop(key, None)
+                cached_values.pop(name, None)
+                self._row_versions.pop(key, None)
             else:
-                cache[name] = value
-                self._versions[key] = version
+                cached_values[name] = value
+                self._row_versions[key] = version
         self._stale = False
 
     def _group_key(self, group):
--- a/cowslipcourse/controller/health.py
+++ b/cowslipcourse/controller/health.py
@@ -1,4 +1,4 @@
-"""What probes say of the targets of a shard."""
+"""Probes of targets, and the faults of group members that they show."""
 
 import asyncio
 from typing import NamedTuple
@@ -17,21 +17,22 @@
 class TargetHealth(NamedTuple):
     """The newest answer of a target.
 
-    :param status: what it said of itself.
+    :param status: status that the target reported.
     :param probed_at: loop time just before the probe was sent.
-    :param idle_since: loop time since when every answer showed it idle, or ``None``.
-    :param quiet_since: loop time since when every answer showed it without
+    :param idle_since: loop time since which every answer reported the target idle, or
+        ``None``.
+    :param without_requests_since: loop time since which every answer reported no
         requests, or ``None``.
     """
 
     status: EngineStatus
     probed_at: float
     idle_since: float | None
-    quiet_since: float | None
+    without_requests_since: float | None
 
 
 class Prober:
-    """Probes targets together and keeps the newest answers.
+    """Probes targets concurrently and keeps their newest answers.
 
     :param targets: :class:`~cowslipcourse.ports.TargetClient`
     """
@@ -39,57 +40,65 @@
     def __init__(self, targets):
         self._targets = targets
         self._health = {}
-        self._missing_since = {}
+        self._absent_since = {}
 
-    def get(self, name):
+    def latest(self, vm_name):
         """Return the newest :class:`TargetHealth` of a VM, or ``None``."""
-        return self._health.get(name)
+        return self._health.get(vm_name)
 
-    def fresh(self, name, since):
-        """Return the status if it was probed at or after a loop time, else ``None``."""
-        health = self._health.get(name)
+    def status_since(self, vm_name, since):
+        """Return a VM's status if probed at or after a loop time, else ``None``."""
+        health = self._health.get(vm_name)
         if health is None or health.probed_at < since:
             return None
         return health.status
 
-    def absent_s(self, name):
-        """Return the seconds since a VM was last known present."""
-        since = self._missing_since.get(name)
+    def absent_s(self, vm_name):
+        """Return the seconds since the first failed probe in a row; 0 if none failed."""
+        since = self._absent_since.get(vm_name)
         return 0.0 if since is None else now() - since
 
     async def probe(self, addresses):
-        """Probe targets.
+        """Probe targets and forget the answers of all others.
 
         :param addresses: base URL by VM name.
         :returns: loop time just before the probes were sent.
         """
         sent_at = now()
-        probes = [self._probe(name, url, sent_at) for name, url in addresses.items()]
+        probes = [
+            self._probe(vm_name, url, sent_at) for vm_name, url in addresses.items()
+        ]
         await asyncio.gather(*probes)
-        for name in set(self._health) - set(addresses):
-            del self._health[name]
-        for name in set(self._missing_since) - set(addresses):
-            del self._missing_since[name]
+        for vm_name in set(self._health) - set(addresses):
+            del self._health[vm_name]
+        for vm_name in set(self._absent_since) - set(addresses):
+            del self._absent_since[vm_name]
         return sent_at
 
-    async def _probe(self, name, address, sent_at):
+    async def _probe(self, vm_name, address, sent_at):
         try:
             status = await self._targets.probe(address)
         except TargetError:
-            self._missing_since.setdefault(name, sent_at)
+            self._absent_since.setdefault(vm_name, sent_at)
             return
-        if status.vm != name:
-            self._missing_since.setdefault(name, sent_at)
+        if status.vm != vm_name:
+            self._absent_since.setdefault(vm_name, sent_at)
             return
-        self._missing_since.pop(name, None)
-        before = self._health.get(name)
-        same = before is not None and before.status.incarnation == status.incarnation
-        idle_since = quiet_since = None
+        self._absent_since.pop(vm_name, None)
+        previous = self._health.get(vm_name)
+        same_incarnation = (
+            previous is not None and previous.status.incarnation == status.incarnation
+        )
+        idle_since = without_requests_since = None
         if status.state == "idle" and not status.group:
-            idle_since = (before.idle_since if same else None) or sent_at
+            idle_since = (previous.idle_since if same_incarnation else None) or sent_at
         if status.load.running + status.load.waiting == 0:
-            quiet_since = (before.quiet_since if same else None) or sent_at
-        self._health[name] = TargetHealth(status, sent_at, idle_since, quiet_since)
+            without_requests_since = (
+                previous.without_requests_since if same_incarnation else None
+            ) or sent_at
+        self._health[vm_name] = TargetHealth(
+            status, sent_at, idle_since, without_requests_since
+        )
 
 
 def member_fault(spec, member, status, vm: VM | None, draining):
@@ -97,8 +106,9 @@
 
     :param spec: :class:`~cowslipcourse.fleet.GroupSpec`
     :param member: :class:`~cowslipcourse.fleet.GroupMember`
-    :param status: fresh :class:`~cowslipcourse.ports.EngineStatus` or ``None``.
-    :param vm: the VM as listed, or ``None`` if it is not on the list.
+    :param status: :class:`~cowslipcourse.ports.EngineStatus` from this round of probes,
+        or ``None``.
+    :param vm: the VM as listed, or ``None`` if it is not listed.
     :param draining: names of VMs that operators drain.
     """
     if status is None:
@@ -111,8 +121,8 @@
         return "leaving"
     if member.vm in draining:
         return "drained"
-    held = (status.group, status.epoch, status.model, status.version)
-    if held != (spec.group, spec.epoch, spec.model, spec.version):
+    assignment = (status.group, status.epoch, status.model, status.version)
+    if assignment != (spec.group, spec.epoch, spec.model, spec.version):
         return REASON_OTHER_ASSIGNMENT
     if status.state != "ready":
         return "loading"
--- a/cowslipcourse/controller/leasing.py
+++ b/cowslipcourse/controller/leasing.py
@@ -1,7 +1,7 @@
 """Leases of shards in the table service.
 
-``lease/<shard>`` changes with each holder; the version of that row is the fencing
-token. ``lease/<shard>/renewal`` changes with each renewal.
+The row ``lease/<shard>`` is written whenever the holder changes; its version is the
+fencing token. The row ``lease/<shard>/renewal`` is written by each renewal.
 """
 
 import asyncio
@@ -26,10 +26,10 @@
 
 
 class LeaseTable:
-    """Takes, renews and observes leases for one daemon.
+    """Acquires, renews and observes leases for one daemon.
 
     :param table: :class:`~cowslipcourse.ports.TableService`
-    :param holder: name and incarnation of this daemon.
+    :param holder: name and incarnation of this daemon, as written to the lease row.
     :param times: :class:`~cowslipcourse.settings.TimeSettings`
     """
 
@@ -41,7 +41,7 @@
         self._holders = {}
 
     def holder_of(self, shard):
-        """Return who was last seen to hold a shard, or an empty string."""
+        """Return the last observed holder of a shard, or an empty string."""
         return self._holders.get(shard, "")
 
     async def observe(self):
@@ -50,22 +50,24 @@
         :raises StoreUnavailable: the table service did not answer.
         """
         rows = {row.key: row for row in await self._table.scan(LEASE_PREFIX)}
-        at = now()
+        read_at = now()
         for key, row in rows.items():
             if key.endswith(RENEWAL_SUFFIX):
                 continue
             shard = key.removeprefix(LEASE_PREFIX)
-            renewal = rows.get(key + RENEWAL_SUFFIX)
-            mark = (row.version, renewal.version if renewal else ABSENT)
-            known = self._observed.get(shard)
-            if known is None:
-                self._observed[shard] = ObservedLease(mark, at, self._terms)
+            renewal_row = rows.get(key + RENEWAL_SUFFIX)
+            row_versions = (row.version, renewal_row.version if renewal_row else ABSENT)
+            previous = self._observed.get(shard)
+            if previous is None:
+                self._observed[shard] = ObservedLease(
+                    row_versions, read_at, self._terms
+                )
             else:
-                self._observed[shard] = known.observed(mark, at)
+                self._observed[shard] = previous.observed(row_versions, read_at)
             self._holders[shard] = row.value["holder"]
 
-    def may_take(self, shard):
-        """Return whether a shard is free or its lease has lapsed for certain."""
+    def may_acquire(self, shard):
+        """Return whether a shard is free or its lease has certainly expired."""
         observed = self._observed.get(shard)
         return (
             observed is None
@@ -73,33 +75,35 @@
             or (observed.may_acquire(now()))
         )
 
-    async def take(self, shard):
-        """Take a lease and return it.
+    async def acquire(self, shard):
+        """Acquire a lease and return it.
 
-        :raises LeaseLost: another daemon was faster.
-        :raises StoreError: it is not known whether the lease was taken.
+        :raises LeaseLost: another daemon acquired it first.
+        :raises StoreError: it is not known whether the lease was acquired.
         """
         observed = self._observed.get(shard)
-        version, renewal = observed.row_versions if observed else (ABSENT, ABSENT)
+        holder_version, renewal_version = (
+            observed.row_versions if observed else (ABSENT, ABSENT)
+        )
         key = lease_key(shard)
         sent_at = now()
         try:
             fence = await self._table.commit(
                 Transaction(
-                    {key: version, key + RENEWAL_SUFFIX: renewal},
+                    {key: holder_version, key + RENEWAL_SUFFIX: renewal_version},
                     {key: {"holder": self._holder}, key + RENEWAL_SUFFIX: {}},
                 )
             )
         except ConditionFailed as error:
-            raise LeaseLost(f"{shard} was taken by another") from error
+            raise LeaseLost(f"another daemon acquired the lease of {shard}") from error
         log.info("lease-taken", shard=shard, fence=fence)
         return HeldLease(shard, fence, sent_at, self._terms)
 
     async def renew(self, lease):
         """Renew a lease and return it.
 
-        :raises LeaseLost: another daemon holds it.
-        :raises StoreError: it may or may not have been renewed.
+        :raises LeaseLost: another daemon holds the lease.
+        :raises StoreError: it is not known whether the lease was renewed.
         """
         key = lease_key(lease.shard)
         sent_at = now()
@@ -107,11 +111,13 @@
         try:
             await self._table.commit(transaction)
         except ConditionFailed as error:
-            raise LeaseLost(f"{lease.shard} is held by another") from error
+            raise LeaseLost(
+                f"another daemon holds the lease of {lease.shard}"
+            ) from error
         return lease.renewed(sent_at)
 
     async def release(self, lease):
-        """Give a lease up, so that another daemon need not wait."""
+        """Release a lease, so that another daemon need not wait until it expires."""
         key = lease_key(lease.shard)
         try:
             await self._table.commit(
--- a/cowslipcourse/controller/main.py
+++ b/cowslipcourse/controller/main.py
@@ -1,4 +1,4 @@
-"""Program ``cowslip-controller``."""
+"""The program ``cowslip-controller``."""
 
 import sys
 
@@ -19,7 +19,7 @@
 
 __all__ = ["Controller", "main"]
 
-VM_LIST_POLL_S = 1.0
+VM_LIST_POLL_INTERVAL_S = 1.0
 
 log = get_logger(__name__)
 
@@ -34,12 +34,15 @@
         self._settings = settings
 
     async def run(self, stopping):
-        """Work until told to stop."""
+        """Run until ``stopping`` is set, then stop as planned.
+
+        :param stopping: :class:`asyncio.Event`
+        """
         settings = self._settings
         platform = HttpPlatform(settings.platform, settings.daemon.name)
         targets = HttpTargets(settings.target)
         agent = Agent(settings, Role.CONTROLLER, platform)
-        fleet = FleetMonitor(platform, agent, VM_LIST_POLL_S)
+        fleet = FleetMonitor(platform, agent, VM_LIST_POLL_INTERVAL_S)
         context = ControllerContext(settings, agent, fleet, platform, targets)
         acceptor = RevisionAcceptor(agent, platform)
         shard_manager = ShardManager(context)
--- a/cowslipcourse/controller/observer.py
+++ b/cowslipcourse/controller/observer.py
@@ -1,10 +1,10 @@
-"""Go on reporting groups and services whose shard's holder has fallen silent.
+"""Reports of groups and services whose shard's holder is silent.
 
-To say that every member of a group is present needs no lease: it is what the targets
-say of themselves. So while a lease lapses and is taken anew, or the table service is
-down and it cannot be taken at all, the next controller in line probes the groups that
-it knows from records and publishes what it finds, under the same fencing token. It
-gives no orders and changes nothing.
+Reporting that every member of a group is present needs no lease, as it only repeats
+what the targets report of themselves. Until a lapsed lease is acquired again, which
+is impossible while the table service is down, the controller that ranks first among
+the rest probes the groups that it knows from records and publishes their reports under
+the same fencing token. It gives no orders and changes nothing.
 """
 
 import asyncio
@@ -21,12 +21,12 @@
 
 __all__ = ["Observer"]
 
-SILENT_PROBES = 1.6
-"""Probe intervals without news after which the holder counts as silent."""
+HOLDER_SILENCE_INTERVALS = 1.6
+"""Probe intervals without an answer or a report after which a holder is silent."""
 
 
 class Observer:
-    """Reports for shards that this controller does not hold.
+    """Publishes reports of shards that this controller does not hold.
 
     :param context: :class:`~cowslipcourse.controller.services.ControllerContext`
     :param shard_manager: :class:`~cowslipcourse.controller.shards.ShardManager`
@@ -37,22 +37,22 @@
         self._shard_manager = shard_manager
         self._prober = Prober(context.targets)
         self._publisher = ReportPublisher(
-            context.agent, self._prober, context.fleet, observes=True
+            context.agent, self._prober, context.fleet, is_observer=True
         )
 
     async def run(self):
-        """Look for ever."""
+        """Observe the shards, for ever."""
         interval_s = self._context.settings.repair.probe_s
         while True:
             started_at = now()
             if self._context.agent.may_serve():
-                await self._round()
+                await self._run_round()
             await asyncio.sleep(max(0.05, started_at + interval_s / 2 - now()))
 
-    async def _round(self):
-        groups = self._neglected(GROUP_PREFIX)
-        service_records = self._neglected(SERVICE_PREFIX)
-        reports = {record.key: decode_report(record) for record in groups}
+    async def _run_round(self):
+        group_records = self._unrenewed_records(GROUP_PREFIX)
+        service_records = self._unrenewed_records(SERVICE_PREFIX)
+        reports = {record.key: decode_report(record) for record in group_records}
         addresses = {}
         for report in reports.values():
             addresses |= {m.vm: m.address for m in report.spec.members}
@@ -64,26 +64,28 @@
         probed_at = await self._prober.probe(addresses)
         if not self._context.agent.may_serve():
             return
-        for record in groups:
+        for record in group_records:
             report = reports[record.key]
             if self._is_outdated(report.spec, probed_at):
                 continue
-            withheld = REASON_CHANGING if report.reason == REASON_CHANGING else ""
+            withholding_reason = (
+                REASON_CHANGING if report.reason == REASON_CHANGING else ""
+            )
             self._publisher.publish_group(
-                report.spec, withheld, probed_at, record.fence
+                report.spec, withholding_reason, probed_at, record.fence
             )
         for record in service_records:
             domain = record.key.split("/")[1]
             self._publisher.publish_services(domain, probed_at, record.fence)
 
     def _is_outdated(self, spec, probed_at):
-        """Whether the engines know more of a group than this observer does."""
+        """Whether the engines hold a newer assignment than the observer knows."""
         resolved = self._context.fleet.resolved_configuration
         fault = group_fault(spec, self._prober, probed_at, resolved)
         return fault.endswith(REASON_OTHER_ASSIGNMENT)
 
-    def _holder_speaks(self, domain, limit_s):
-        """Whether the run that holds a shard's lease answered lately."""
+    def _holder_is_responsive(self, domain, silence_limit_s):
+        """Whether the run of a daemon that holds a shard's lease answered recently."""
         name, _, incarnation = self._shard_manager.leases.holder_of(domain).partition(
             "/"
         )
@@ -96,27 +98,29 @@
         ):
             return False
         number = agent.revision.number
-        return agent.contacts.confirms_revision(member, number, now(), limit_s)
+        return agent.contacts.confirms_revision(member, number, now(), silence_limit_s)
 
-    def _neglected(self, prefix):
-        """Return records that nobody else renews and that are this one's to renew."""
+    def _unrenewed_records(self, prefix):
+        """Return records without a responsive holder that this controller must renew."""
         agent = self._context.agent
-        own = agent.member.name
-        limit_s = SILENT_PROBES * self._context.settings.repair.probe_s
-        found = []
+        own_name = agent.member.name
+        silence_limit_s = (
+            HOLDER_SILENCE_INTERVALS * self._context.settings.repair.probe_s
+        )
+        unrenewed = []
         for record in agent.records.with_prefix(prefix):
             domain = record.key.split("/")[1]
-            if domain in self._shard_manager.workers or self._holder_speaks(
-                domain, limit_s
+            if domain in self._shard_manager.workers or self._holder_is_responsive(
+                domain, silence_limit_s
             ):
                 continue
-            rank = self._shard_manager.rank(domain, record.origin, limit_s)
-            old = now() - record.observed_at > limit_s
-            if rank == 0 and (old or record.origin == own):
-                found.append(record)
+            rank = self._shard_manager.rank(domain, record.origin, silence_limit_s)
+            is_stale = now() - record.observed_at > silence_limit_s
+            if rank == 0 and (is_stale or record.origin == own_name):
+                unrenewed.append(record)
         return [
             record
-            for record in found
+            for record in unrenewed
             if not record.key.startswith(GROUP_PREFIX)
             or decode_report(record).spec.state == "active"
         ]
--- a/cowslipcourse/controller/orders.py
+++ b/cowslipcourse/controller/orders.py
@@ -7,39 +7,46 @@
 
 __all__ = ["OrderDispatcher"]
 
-REPEAT_AFTER_S = 3.0
+MIN_REPEAT_INTERVAL_S = 3.0
 
 log = get_logger(__name__)
 
 
 class OrderDispatcher:
-    """Gives orders, not too often to one engine and not too many loads at once.
+    """Sends orders, limiting their repetition to an engine and the concurrent loads.
 
     :param targets: :class:`~cowslipcourse.ports.TargetClient`
-    :param repair: :class:`~cowslipcourse.settings.RepairSettings`
+    :param repair_settings: :class:`~cowslipcourse.settings.RepairSettings`
     """
 
-    def __init__(self, targets, repair):
+    def __init__(self, targets, repair_settings):
         self._targets = targets
-        self._repair = repair
-        self._ordered_at = {}
-        self._loading = set()
+        self._repair_settings = repair_settings
+        self._last_orders = {}
+        self._loading_vms = set()
 
-    def note_loading(self, names):
-        """Take in which VMs load at the moment."""
-        at = now()
-        recent = {n for n in self._loading if at - self._ordered_at[n][1] < 1.0}
-        self._loading = recent | set(names)
-        for name in names:
-            self._ordered_at.setdefault(name, (None, at))
+    def update_loading(self, loading_vms):
+        """Set which VMs are loading, as probed in this round.
+
+        A VM that was ordered to load less than a second ago also counts as loading.
+        """
+        checked_at = now()
+        recently_ordered = {
+            vm_name
+            for vm_name in self._loading_vms
+            if checked_at - self._last_orders[vm_name][1] < 1.0
+        }
+        self._loading_vms = recently_ordered | set(loading_vms)
+        for vm_name in loading_vms:
+            self._last_orders.setdefault(vm_name, (None, checked_at))
 
     @property
-    def free_loads(self):
-        """Loads that may still be started now."""
-        return self._repair.loads_at_once - len(self._loading)
+    def free_load_slots(self):
+        """Number of loads that may still be started."""
+        return self._repair_settings.loads_at_once - len(self._loading_vms)
 
     async def load(self, lease, spec, member, weights_bytes):
-        """Order a member to load what its group needs."""
+        """Order a member to load its part of the group's model."""
         order = Order(
             OrderKind.LOAD,
             lease.fence,
@@ -51,28 +58,34 @@
             spec.vm_names,
             max(1, weights_bytes // len(spec.members)),
         )
-        if self.free_loads <= 0 and member.vm not in self._loading:
+        if self.free_load_slots <= 0 and member.vm not in self._loading_vms:
             return
-        if await self._give(lease, member.vm, member.address, order):
-            self._loading.add(member.vm)
+        if await self._send(lease, member.vm, member.address, order):
+            self._loading_vms.add(member.vm)
 
-    async def unload(self, lease, name, address):
-        """Order a VM to drop what it holds."""
-        await self._give(lease, name, address, Order(OrderKind.UNLOAD, lease.fence))
+    async def unload(self, lease, vm_name, address):
+        """Order a VM to unload what it holds."""
+        await self._send(lease, vm_name, address, Order(OrderKind.UNLOAD, lease.fence))
 
-    async def _give(self, lease, name, address, order):
-        at = now()
-        last = self._ordered_at.get(name)
-        if last is not None and last[0] == order and at - last[1] < REPEAT_AFTER_S:
+    async def _send(self, lease, vm_name, address, order):
+        checked_at = now()
+        last_order = self._last_orders.get(vm_name)
+        if (
+            last_order is not None
+            and last_order[0] == order
+            and checked_at - last_order[1] < MIN_REPEAT_INTERVAL_S
+        ):
             return False
-        # Nothing may be awaited between this check and the send.
-        if not lease.is_valid(at):
-            raise LeaseLost(f"{lease.shard} lapsed before an order")
-        self._ordered_at[name] = (order, at)
+        # No await may come between this check and the send: the lease could expire.
+        if not lease.is_valid(checked_at):
+            raise LeaseLost(
+                f"the lease of {lease.shard} expired before an order was sent"
+            )
+        self._last_orders[vm_name] = (order, checked_at)
         log.info(
             "order",
             kind=order.kind,
-            vm=name,
+            vm=vm_name,
             group=order.group,
             epoch=order.epoch,
             fence=order.fence,
@@ -80,6 +93,8 @@
         try:
             await self._targets.order(address, order)
         except TargetError as error:
-            log.warning("order-failed", vm=name, code=error.code, detail=error.detail)
+            log.warning(
+                "order-failed", vm=vm_name, code=error.code, detail=error.detail
+            )
             return False
         return True
--- a/cowslipcourse/controller/release.py
+++ b/cowslipcourse/controller/release.py
@@ -1,4 +1,4 @@
-"""Free VMs that left their group, once they hold nothing any more."""
+"""Release of VMs that left their group."""
 
 from cowslipcourse.daemon import now
 
@@ -6,7 +6,7 @@
 
 
 class VmRelease:
-    """Unloads released VMs and frees them after the fact.
+    """Unloads VMs that left their group, and frees them once they are empty.
 
     :param shard: :class:`~cowslipcourse.controller.worker.Shard`
     """
@@ -15,45 +15,45 @@
         self._shard = shard
 
     async def run(self):
-        """Free what is proven free and unload the rest."""
+        """Free the VMs that are proven empty and unload the others."""
         shard = self._shard
-        released = [c for c in shard.groups.claims.values() if c.releasing]
-        freed = [claim.vm for claim in released if self._holds_nothing(claim)]
-        if freed:
+        releasing = [c for c in shard.groups.claims.values() if c.releasing]
+        emptied_vms = [claim.vm for claim in releasing if self._is_proven_empty(claim)]
+        if emptied_vms:
             shard.require_lease()
-            await shard.groups.free(freed)
-        for claim in released:
-            if claim.vm not in freed:
+            await shard.groups.delete_claims(emptied_vms)
+        for claim in releasing:
+            if claim.vm not in emptied_vms:
                 await self._unload(claim.vm)
-        await self._unload_strays()
+        await self._unload_unclaimed()
 
-    def _holds_nothing(self, claim):
-        """Whether ground truth says that the VM no longer holds the group.
+    def _is_proven_empty(self, claim):
+        """Whether the VM certainly no longer holds the group's assignment.
 
-        It says so if the engine is idle, or the VM is no longer listed: its name
-        cannot come back with the old engine, since only a listed incarnation that
-        answers for itself is ever taken into a group.
+        This is so if its engine is proven idle, or if a recently read list no longer
+        has the VM: the old engine cannot return under its name, as only a listed
+        incarnation that answers for itself ever joins a group.
         """
         vm = self._shard.vms.get(claim.vm)
         if vm is None:
             age_s = self._shard.fleet.vm_list_age_s
             return age_s is not None and age_s < self._shard.settings.time.lease_term_s
-        return self._shard.idle_long_enough(claim.vm)
+        return self._shard.is_proven_idle(claim.vm)
 
-    async def _unload(self, name):
-        vm = self._shard.vms.get(name)
-        status = self._shard.status(name)
-        if vm is None or status is None or self._shard.idle_long_enough(name):
+    async def _unload(self, vm_name):
+        vm = self._shard.vms.get(vm_name)
+        status = self._shard.status(vm_name)
+        if vm is None or status is None or self._shard.is_proven_idle(vm_name):
             return
         if status.state != "idle" or status.group:
-            await self._shard.orders.unload(self._shard.lease, name, vm.address)
+            await self._shard.orders.unload(self._shard.lease, vm_name, vm.address)
 
-    async def _unload_strays(self):
-        """Unload engines that hold a group which the table does not know of."""
+    async def _unload_unclaimed(self):
+        """Unload engines that hold a group although the table has no claim on them."""
         shard = self._shard
-        if now() - shard.taken_at < shard.settings.repair.order_in_flight_s:
+        if now() - shard.acquired_at < shard.settings.repair.order_in_flight_s:
             return
         for names in shard.resolved_configuration.group_vms.values():
-            for name in names:
-                if name in shard.vms and name not in shard.groups.claims:
-                    await self._unload(name)
+            for vm_name in names:
+                if vm_name in shard.vms and vm_name not in shard.groups.claims:
+                    await self._unload(vm_name)
--- a/cowslipcourse/controller/reports.py
+++ b/cowslipcourse/controller/reports.py
@@ -1,4 +1,4 @@
-"""Publish what may serve, from the newest probes."""
+"""Publication of reports on groups and services, from the newest probes."""
 
 from cowslipcourse.controller.health import member_fault
 from cowslipcourse.daemon.reports import (
@@ -13,7 +13,7 @@
 __all__ = ["ReportPublisher", "group_fault"]
 
 
-HOLDER_STEP, OBSERVER_STEP = 1, 5
+HOLDER_SEQUENCE_STEP, OBSERVER_SEQUENCE_STEP = 1, 5
 
 
 def group_fault(spec, prober, probed_at, resolved):
@@ -25,7 +25,7 @@
     :param resolved: :class:`~cowslipcourse.config.ResolvedConfiguration`
     """
     for member in spec.members:
-        status = prober.fresh(member.vm, probed_at)
+        status = prober.status_since(member.vm, probed_at)
         vm = resolved.vms.get(member.vm)
         fault = member_fault(spec, member, status, vm, resolved.draining)
         if fault:
@@ -39,26 +39,30 @@
     :param agent: :class:`~cowslipcourse.daemon.Agent`
     :param prober: :class:`~cowslipcourse.controller.health.Prober`
     :param fleet: :class:`~cowslipcourse.controller.fleet_watch.FleetMonitor`
-    :param observes: whether it publishes in the place of a silent holder.
+    :param is_observer: whether it publishes in place of a silent holder.
     """
 
-    def __init__(self, agent, prober, fleet, observes=False):
-        self._observes = observes
+    def __init__(self, agent, prober, fleet, is_observer=False):
+        self._is_observer = is_observer
         self._agent = agent
         self._prober = prober
         self._fleet = fleet
 
-    def publish_group(self, spec, withheld, probed_at, fence):
-        """Publish whether a group may serve and return why it does not.
+    def publish_group(self, spec, withholding_reason, probed_at, fence):
+        """Publish whether a group may serve; returns why it may not.
 
         :param spec: :class:`~cowslipcourse.fleet.GroupSpec`
-        :param withheld: a reason of the controller's own not to let it serve.
+        :param withholding_reason: reason of the controller's own why a group without
+            faults must not serve; empty if there is none.
         :param probed_at: loop time from which the grant's age counts.
         :param fence: fencing token of the shard.
+        :returns: reason, empty if the group may serve.
         """
         resolved = self._fleet.resolved_configuration
-        fault = group_fault(spec, self._prober, probed_at, resolved) or withheld
-        leader = self._prober.fresh(spec.leader.vm, probed_at)
+        fault = (
+            group_fault(spec, self._prober, probed_at, resolved) or withholding_reason
+        )
+        leader = self._prober.status_since(spec.leader.vm, probed_at)
         report = GroupReport(
             spec=spec,
             serving=not fault,
@@ -71,24 +75,26 @@
         )
         return fault
 
-    def publish_gone(self, spec, fence, at):
-        """Publish that a group was given up."""
+    def publish_dissolved(self, spec, fence, observed_at):
+        """Publish that a group was dissolved."""
         report = GroupReport(
             spec._replace(state="dissolved"), False, "dissolved", EngineLoad()
         )
-        self._publish(f"{GROUP_PREFIX}{spec.domain}/{spec.group}", report, fence, at)
+        self._publish(
+            f"{GROUP_PREFIX}{spec.domain}/{spec.group}", report, fence, observed_at
+        )
 
     def publish_services(self, domain, probed_at, fence):
-        """Publish the plain services of a domain."""
+        """Publish which targets of plain services in a domain may be called."""
         resolved = self._fleet.resolved_configuration
-        for service, names in resolved.service_vms.items():
-            for name in names:
-                vm = resolved.vms[name]
+        for service, vm_names in resolved.service_vms.items():
+            for vm_name in vm_names:
+                vm = resolved.vms[vm_name]
                 if vm.domain != domain:
                     continue
                 reason = self._service_fault(vm, probed_at, resolved)
                 report = ServiceReport(
-                    name, service, vm.address, vm.data_centre, not reason, reason
+                    vm_name, service, vm.address, vm.data_centre, not reason, reason
                 )
                 self._publish(
                     f"{SERVICE_PREFIX}{domain}/{name}", report, fence, probed_at
@@ -99,15 +105,18 @@
             return "leaving"
         if vm.name in resolved.draining:
             return "drained"
-        if self._prober.fresh(vm.name, probed_at) is None:
+        if self._prober.status_since(vm.name, probed_at) is None:
             return "no-answer"
         return ""
 
     def _publish(self, key, report, fence, observed_at):
-        known = self._agent.records.get(key)
+        previous = self._agent.records.get(key)
         sequence = 0
-        if known is not None and known.fence == fence:
-            sequence = known.sequence
-        # An observer may have missed the silent holder's last reports.
-        sequence += OBSERVER_STEP if self._observes else HOLDER_STEP
+        if previous is not None and previous.fence == fence:
+            sequence = previous.sequence
+        # An observer may have missed the silent holder's last reports, so its sequence
+        # numbers advance in larger steps.
+        sequence += (
+            OBSERVER_SEQUENCE_STEP if self._is_observer else HOLDER_SEQUENCE_STEP
+        )
         self._agent.publish(key, report, fence, sequence, observed_at)
--- a/cowslipcourse/controller/services.py
+++ b/cowslipcourse/controller/services.py
@@ -1,4 +1,4 @@
-"""What the tasks of a controller share."""
+"""Objects shared by the tasks of a controller."""
 
 from typing import Any, NamedTuple
 
@@ -6,7 +6,7 @@
 
 
 class ControllerContext(NamedTuple):
-    """Ports and state that a controller is built with.
+    """Settings, ports and state that a controller's tasks work with.
 
     :param settings: :class:`~cowslipcourse.settings.ControllerSettings`
     :param agent: :class:`~cowslipcourse.daemon.Agent`
--- a/cowslipcourse/controller/shards.py
+++ b/cowslipcourse/controller/shards.py
@@ -1,8 +1,8 @@
-"""Which shards this controller works on.
+"""Assignment of shards to this controller.
 
-Each fabric domain is a shard. Controllers prefer shards by rendezvous hashing, so
-that the work spreads over all of them; whoever is not preferred takes a free shard
-only after a delay.
+Each fabric domain is a shard. Rendezvous hashing ranks the controllers for each shard,
+so that shards spread over all of them; a controller acquires a free shard only after a
+delay that grows with its rank.
 """
 
 import asyncio
@@ -19,13 +19,13 @@
 __all__ = ["ShardManager"]
 
 DELAY_PER_RANK_S = 1.0
-POLL_S = 1.0
+POLL_INTERVAL_S = 1.0
 
 log = get_logger(__name__)
 
 
 class ShardManager:
-    """Takes, renews and gives up shards, and runs their workers.
+    """Acquires, renews and releases shards, and runs their workers.
 
     :param context: :class:`~cowslipcourse.controller.services.ControllerContext`
     """
@@ -33,13 +33,13 @@
     def __init__(self, context):
         self._context = context
         member = context.agent.member
-        self._holder = f"{member.name}/{member.incarnation}"
+        self._holder_id = f"{member.name}/{member.incarnation}"
         times = context.settings.time
-        self._leases = LeaseTable(context.table, self._holder, times)
-        self._renew_s = times.lease_term_s / 3
+        self._leases = LeaseTable(context.table, self._holder_id, times)
+        self._renewal_interval_s = times.lease_term_s / 3
         self._workers = {}
         self._tasks = {}
-        self._free_since = {}
+        self._available_since = {}
 
     @property
     def workers(self):
@@ -52,18 +52,18 @@
         return self._leases
 
     async def run(self):
-        """Keep shards for ever."""
-        renewals = run_forever(self._renew_for_ever(), "renewals")
+        """Acquire and renew shards, for ever."""
+        renewal_task = run_forever(self._renew_leases(), "renewals")
         try:
             while True:
                 if self._context.agent.may_serve():
-                    await self._look()
-                await asyncio.sleep(POLL_S)
+                    await self._poll_leases()
+                await asyncio.sleep(POLL_INTERVAL_S)
         finally:
-            renewals.cancel()
+            renewal_task.cancel()
 
     async def stop(self):
-        """Stop the workers and give their leases up."""
+        """Stop the workers and release their leases."""
         tasks = list(self._tasks.values())
         for task in tasks:
             task.cancel()
@@ -71,84 +71,93 @@
         for worker in self._workers.values():
             await self._leases.release(worker.shard.lease)
 
-    async def _look(self):
+    async def _poll_leases(self):
         try:
             await self._leases.observe()
         except StoreError:
             return
         for domain in self._domains():
             if domain in self._workers:
-                self._drop_if_taken(domain)
-            elif self._leases.may_take(domain):
-                await self._take_in_turn(domain)
+                self._stop_worker_if_lost(domain)
+            elif self._leases.may_acquire(domain):
+                await self._acquire_by_rank(domain)
             else:
-                self._free_since.pop(domain, None)
+                self._available_since.pop(domain, None)
 
     def _domains(self):
         return sorted({vm.domain for vm in self._context.fleet.vms})
 
-    def rank(self, domain, without="", heard_within_s=None):
-        """Return this controller's place in the order of preference for a shard.
+    def rank(self, domain, excluded_controller="", silence_limit_s=None):
+        """Return this controller's rank for a shard; 0 is the most preferred.
 
         :param domain: fabric domain.
-        :param without: name of a controller that is left out, unless it is this one.
-        :param heard_within_s: leave out controllers that did not answer lately; as
-            long as a member may be silent if left out.
+        :param excluded_controller: name of a controller that is not ranked, unless it
+            is this one.
+        :param silence_limit_s: seconds without an answer after which a controller is
+            not ranked; the eviction time by default.
         """
-        own = self._context.agent.member
-        centres = {
+        own_member = self._context.agent.member
+        data_centres = {
             vm.data_centre for vm in self._context.fleet.vms if vm.domain == domain
         }
-        silent = self._context.agent.silent_members(heard_within_s)
+        silent = self._context.agent.silent_members(silence_limit_s)
 
-        def order(member):
+        def preference_key(member):
             digest = xxhash.xxh3_64_intdigest(f"{domain}/{member.name}".encode())
-            return (member.data_centre not in centres, digest)
+            return (member.data_centre not in data_centres, digest)
 
         members = self._context.agent.revision.members.values()
-        rivals = [
+        candidates = [
             member
             for member in members
             if member.role == Role.CONTROLLER
             and member.name not in silent
-            and (member.name != without or member == own)
+            and (member.name != excluded_controller or member == own_member)
         ]
-        return sum(order(rival) < order(own) for rival in rivals)
-
-    async def _take_in_turn(self, domain):
-        since = self._free_since.setdefault(domain, now())
-        if now() - since < self.rank(domain) * DELAY_PER_RANK_S:
+        return sum(
+            preference_key(candidate) < preference_key(own_member)
+            for candidate in candidates
+        )
+
+    async def _acquire_by_rank(self, domain):
+        available_since = self._available_since.setdefault(domain, now())
+        if now() - available_since < self.rank(domain) * DELAY_PER_RANK_S:
             return
         try:
-            lease = await self._leases.take(domain)
+            lease = await self._leases.acquire(domain)
         except (LeaseLost, StoreError) as error:
             log.info("lease-not-taken", shard=domain, code=error.code)
             return
-        self._free_since.pop(domain, None)
+        self._available_since.pop(domain, None)
         worker = ShardWorker(Shard(domain, lease, self._context))
         self._workers[domain] = worker
         self._tasks[domain] = run_forever(worker.run(), f"shard-{domain}")
 
-    def _drop_if_taken(self, domain):
-        if self._leases.holder_of(domain) != self._holder:
-            self._drop(domain)
+    def _stop_worker_if_lost(self, domain):
+        if self._leases.holder_of(domain) != self._holder_id:
+            self._stop_worker(domain)
 
-    def _drop(self, domain):
+    def _stop_worker(self, domain):
         log.info("shard-dropped", shard=domain)
         self._workers.pop(domain)
         self._tasks.pop(domain).cancel()
 
-    async def _renew_for_ever(self):
+    async def _renew_leases(self):
         while True:
-            await asyncio.sleep(self._renew_s)
-            held = list(self._workers.items())
-            await asyncio.gather(*(self._renew(d, w.shard) for d, w in held))
+            await asyncio.sleep(self._renewal_interval_s)
+            running_workers = list(self._workers.items())
+            await asyncio.gather(
+                *(
+                    self._renew(domain, worker.shard)
+                    for domain, worker in running_workers
+                )
+            )
 
     async def _renew(self, domain, shard):
         try:
             shard.lease = await self._leases.renew(shard.lease)
         except LeaseLost:
             if domain in self._workers:
-                self._drop(domain)
+                self._stop_worker(domain)
         except StoreError as error:
             log.info("lease-not-renewed", shard=domain, code=error.code)
--- a/cowslipcourse/controller/status.py
+++ b/cowslipcourse/controller/status.py
@@ -1,4 +1,4 @@
-"""What operators see of the system as it runs."""
+"""State of the running system for operators."""
 
 from cowslipcourse.daemon import now
 from cowslipcourse.daemon.reports import (
@@ -24,7 +24,7 @@
     return {
         "from": agent.member.name,
         "revision": revision.number if revision else 0,
-        "accepted": acceptor.accepted,
+        "accepted": acceptor.accepted_number,
         "missing": acceptor.members_behind(),
         "serving": agent.may_serve(),
         "table_answers": agent.table_answered,
@@ -44,65 +44,69 @@
 
 
 def _daemon_statuses(agent):
-    found = []
+    statuses = []
     if agent.revision is None:
-        return found
+        return statuses
     leaving = {
         report.gateway for report in _reports(agent, GATEWAY_PREFIX) if report.leaving
     }
     for member in agent.revision.members.values():
         contact = agent.contacts.get(member.name)
         if member == agent.member:
-            state, number, age_s = "serving", agent.revision.number, 0.0
+            state, revision_number, age_s = "serving", agent.revision.number, 0.0
         elif contact is None:
-            state, number, age_s = "unheard", 0, None
+            state, revision_number, age_s = "unheard", 0, None
         else:
             age_s = now() - contact.sent_at
             silent = age_s > agent.times.isolation_s
             state = "silent" if silent else "stopped" if contact.stopped else "serving"
-            number = contact.revision
+            revision_number = contact.revision
         if member.name in leaving and state == "serving":
             state = "leaving"
-        found.append(
+        statuses.append(
             {
                 "name": member.name,
                 "role": member.role,
                 "data_centre": member.data_centre,
                 "state": state,
-                "revision": number,
+                "revision": revision_number,
                 "heard_s": _rounded(age_s),
                 "address": member.public_address,
             }
         )
-    return sorted(found, key=lambda item: item["name"])
+    return sorted(statuses, key=lambda item: item["name"])
 
 
 def _reports(agent, prefix):
     return [decode_report(record) for record in agent.records.with_prefix(prefix)]
 
 
-def _seen_by_gateway(agent):
-    """Return the groups that each gateway which takes callers knows to serve.
+def _visible_groups_by_gateway(agent):
+    """Return the groups that serve as far as each gateway that accepts callers knows.
 
-    A controller knows first: right after a start callers found no group at a gateway
-    for a second or two, though status called all groups serving.
+    Controllers know of a serving group before gateways do. Just after a start, callers
+    found no group at a gateway for one or two seconds although the status reported all
+    groups as serving.
     """
-    oldest = now() - agent.times.isolation_s
-    seen = {
+    oldest_valid_at = now() - agent.times.isolation_s
+    visible_by_gateway = {
         daemon["name"]: ()
         for daemon in _daemon_statuses(agent)
         if daemon["role"] == Role.GATEWAY and daemon["state"] == "serving"
     }
     for record in agent.records.with_prefix(GATEWAY_PREFIX):
         report = decode_report(record)
-        if report.gateway in seen and record.observed_at >= oldest:
-            seen[report.gateway] = report.visible_groups
-    return seen
+        if (
+            report.gateway in visible_by_gateway
+            and record.observed_at >= oldest_valid_at
+        ):
+            visible_by_gateway[report.gateway] = report.visible_groups
+    return visible_by_gateway
 
 
 def _group_statuses(agent, grant_s):
-    found = []
-    seen = _seen_by_gateway(agent)
+    statuses = []
+    visible_by_gateway = _visible_groups_by_gateway(agent)
     for record in agent.records.with_prefix(GROUP_PREFIX):
         report = decode_report(record)
         if report.spec.state == "dissolved":
@@ -110,9 +114,11 @@
         age_s = now() - record.observed_at
         stale = age_s > grant_s
         unseen_by = sorted(
-            g for g, sees in seen.items() if report.spec.group not in sees
+            gateway
+            for gateway, visible in visible_by_gateway.items()
+            if report.spec.group not in visible
         )
-        found.append(
+        statuses.append(
             {
                 "group": report.spec.group,
                 "declaration": report.spec.declaration,
@@ -120,7 +126,7 @@
                 "model": f"{report.spec.model}@{report.spec.version}",
                 "epoch": report.spec.epoch,
                 "serving": report.serving and not stale and not unseen_by,
-                "reason": _reason(report, stale, unseen_by),
+                "reason": _not_serving_reason(report, stale, unseen_by),
                 "unseen_by": unseen_by,
                 "heard_s": _rounded(age_s),
                 "members": report.spec.vm_names,
@@ -128,11 +134,11 @@
                 "waiting": report.load.waiting,
             }
         )
-    return sorted(found, key=lambda item: (item["declaration"], item["group"]))
+    return sorted(statuses, key=lambda item: (item["declaration"], item["group"]))
 
 
-def _reason(report, stale, unseen_by):
-    """Return why a group does not serve callers everywhere, empty if it does."""
+def _not_serving_reason(report, stale, unseen_by):
+    """Return why a group does not serve callers of all gateways; empty if it does."""
     if stale:
         return "no-news"
     if report.reason or not unseen_by:
@@ -141,27 +147,27 @@
 
 
 def _service_statuses(agent):
-    found = [report._asdict() for report in _reports(agent, SERVICE_PREFIX)]
-    return sorted(found, key=lambda item: (item["service"], item["vm"]))
+    statuses = [report._asdict() for report in _reports(agent, SERVICE_PREFIX)]
+    return sorted(statuses, key=lambda item: (item["service"], item["vm"]))
 
 
 def _declaration_statuses(agent, fleet):
     groups = _group_statuses(agent, 1e9)
-    found = []
-    for name, declared in sorted(fleet.configuration.group.items()):
-        own = [group for group in groups if group["declaration"] == name]
-        found.append(
+    statuses = []
+    for name, declared_group in sorted(fleet.configuration.group.items()):
+        formed_groups = [group for group in groups if group["declaration"] == name]
+        statuses.append(
             {
                 "declaration": name,
-                "wanted": declared.count,
-                "formed": len(own),
-                "serving": sum(group["serving"] for group in own),
+                "wanted": declared_group.count,
+                "formed": len(formed_groups),
+                "serving": sum(group["serving"] for group in formed_groups),
                 "vms_selected": len(
                     fleet.resolved_configuration.group_vms.get(name, ())
                 ),
             }
         )
-    return found
+    return statuses
 
 
 def _shard_holders(fleet, shard_manager):
@@ -170,9 +176,9 @@
 
 
 def _free_vm_counts(shard_manager):
-    """Free VMs by domain, for the shards that this controller holds."""
-    found = {}
+    """Return the number of unclaimed VMs by domain, for shards held here."""
+    counts = {}
     for domain, worker in shard_manager.workers.items():
         claims = worker.shard.groups.claims
-        found[domain] = sum(name not in claims for name in worker.shard.vms)
-    return found
+        counts[domain] = sum(name not in claims for name in worker.shard.vms)
+    return counts
--- a/cowslipcourse/controller/worker.py
+++ b/cowslipcourse/controller/worker.py
@@ -1,9 +1,9 @@
-"""The worker of one shard: one fabric domain, under its lease.
+"""Worker of one shard: one fabric domain, under its lease.
 
-In each round it probes the domain's targets, publishes what may serve, and then,
-if its lease is good, acts: it frees, orders, repairs, forms and gives up groups.
-Publishing only repeats what the targets say of themselves, so it goes on without a
-lease while the table service is down; acting does not.
+In each round it probes the domain's targets, publishes which groups and services may
+serve, and then, under a valid lease only, releases VMs, repairs, forms and dissolves
+groups and sends orders. Publishing only repeats what the targets report of themselves,
+so it continues without a lease while the table service is down.
 """
 
 import asyncio
@@ -26,7 +26,7 @@
 
 
 class Shard:
-    """What the parts of a shard's worker share.
+    """State shared by the parts of a shard's worker.
 
     :param domain: fabric domain.
     :param lease: :class:`~cowslipcourse.leases.HeldLease`
@@ -44,51 +44,51 @@
         self.orders = OrderDispatcher(context.targets, context.settings.repair)
         self.publisher = ReportPublisher(context.agent, self.prober, context.fleet)
         self.changes = GroupChanges(self)
-        self.taken_at = now()
+        self.acquired_at = now()
         self.probed_at = now()
 
     @property
     def resolved_configuration(self):
-        """The configuration over the fleet."""
+        """The :class:`~cowslipcourse.config.ResolvedConfiguration` of the fleet."""
         return self.fleet.resolved_configuration
 
     @property
     def vms(self):
         """Listed VMs of the domain by name."""
-        found = self.resolved_configuration.vms.items()
-        return {name: vm for name, vm in found if vm.domain == self.domain}
+        listed = self.resolved_configuration.vms.items()
+        return {vm_name: vm for vm_name, vm in listed if vm.domain == self.domain}
 
-    def status(self, name):
-        """Return a VM's status from this round, or ``None``."""
-        return self.prober.fresh(name, self.probed_at)
+    def status(self, vm_name):
+        """Return a VM's status as probed in this round, or ``None``."""
+        return self.prober.status_since(vm_name, self.probed_at)
 
-    def idle_long_enough(self, name):
-        """Return whether a VM's engine holds nothing, for certain.
+    def is_proven_idle(self, vm_name):
+        """Return whether a VM's engine certainly holds no assignment.
 
-        A target that does not check fencing tokens may still get an old order that
-        was under way; it must have been idle for as long as that can take.
+        A target that does not check fencing tokens may still receive an old order, so
+        it must have been idle for as long as an order can be in flight.
         """
-        health = self.prober.get(name)
+        health = self.prober.latest(vm_name)
         if health is None or health.probed_at < self.probed_at:
             return False
         if health.idle_since is None:
             return False
-        if name not in self.resolved_configuration.unfenced:
+        if vm_name not in self.resolved_configuration.unfenced:
             return True
-        needed_s = self.settings.repair.order_in_flight_s
-        return self.probed_at - health.idle_since >= needed_s
+        required_idle_s = self.settings.repair.order_in_flight_s
+        return self.probed_at - health.idle_since >= required_idle_s
 
     def require_lease(self):
-        """Raise unless the lease is good at this moment.
+        """Raise unless the lease is valid now.
 
-        :raises LeaseLost: it lapsed.
+        :raises LeaseLost: the lease expired.
         """
         if not self.lease.is_valid(now()):
-            raise LeaseLost(self.domain)
+            raise LeaseLost(f"the lease of {self.domain} expired")
 
 
 class ShardWorker:
-    """Runs a shard for as long as its lease lasts.
+    """Runs the rounds of a shard.
 
     :param shard: :class:`Shard`
     """
@@ -101,16 +101,16 @@
 
     @property
     def shard(self):
-        """The :class:`Shard` that it works on."""
+        """The :class:`Shard` of this worker."""
         return self._shard
 
     async def run(self):
-        """Work for ever."""
+        """Run rounds, for ever."""
         interval_s = self._shard.settings.repair.probe_s
         while True:
             started_at = now()
             try:
-                await self._round()
+                await self._run_round()
             except StoreError as error:
                 if not isinstance(error, ConditionFailed):
                     log.info("round-cut", shard=self._shard.domain, code=error.code)
@@ -120,7 +120,7 @@
                 log.exception("round-failed", shard=self._shard.domain)
             await asyncio.sleep(max(0.05, started_at + interval_s - now()))
 
-    async def _round(self):
+    async def _run_round(self):
         shard = self._shard
         await self._probe()
         self._publish()
@@ -130,19 +130,19 @@
         if shard.groups.stale:
             await shard.groups.refresh()
             self._publish()
-        if not self._may_act():
+        if not self._may_give_orders():
             return
-        loading = [n for n in shard.vms if self._is_loading(n)]
-        shard.orders.note_loading(loading)
+        loading = [vm_name for vm_name in shard.vms if self._is_loading(vm_name)]
+        shard.orders.update_loading(loading)
         await self._release.run()
         await shard.changes.run()
         await self._repair.run()
         await self._formation.run()
-        await shard.changes.give_load_orders()
+        await shard.changes.send_load_orders()
 
     async def _probe(self):
         shard = self._shard
-        addresses = {name: vm.address for name, vm in shard.vms.items()}
+        addresses = {vm_name: vm.address for vm_name, vm in shard.vms.items()}
         for spec in shard.groups.specs.values():
             for member in spec.members:
                 addresses.setdefault(member.vm, member.address)
@@ -152,18 +152,20 @@
         shard = self._shard
         fence = shard.lease.fence
         for spec in shard.groups.specs.values():
-            withheld = shard.changes.withheld(spec)
-            shard.publisher.publish_group(spec, withheld, shard.probed_at, fence)
+            withholding_reason = shard.changes.withholding_reason(spec)
+            shard.publisher.publish_group(
+                spec, withholding_reason, shard.probed_at, fence
+            )
         shard.publisher.publish_services(shard.domain, shard.probed_at, fence)
 
-    def _may_act(self):
-        """Whether orders of the holder before can no longer be under way."""
+    def _may_give_orders(self):
+        """Whether no order of the previous holder can still be in flight."""
         shard = self._shard
         if not shard.resolved_configuration.unfenced.intersection(shard.vms):
             return True
-        waited_s = now() - shard.taken_at
+        waited_s = now() - shard.acquired_at
         return waited_s > shard.settings.repair.order_in_flight_s
 
-    def _is_loading(self, name):
-        status = self._shard.status(name)
+    def _is_loading(self, vm_name):
+        status = self._shard.status(vm_name)
         return status is not None and status.state == "loading"
--- a/cowslipcourse/daemon/__init__.py
+++ b/cowslipcourse/daemon/__init__.py
@@ -1,4 +1,4 @@
-"""What gateways and controllers have in common: membership at run time."""
+"""Runtime shared by gateways and controllers: event loop, membership and revisions."""
 
 from cowslipcourse.daemon.agent import Agent
 from cowslipcourse.daemon.revisions import RevisionTable
--- a/cowslipcourse/daemon/agent.py
+++ b/cowslipcourse/daemon/agent.py
@@ -1,7 +1,7 @@
-"""The agent: membership, heartbeats and spread state of one daemon.
+"""Membership, heartbeats and replicated records of one daemon.
 
-Gateways and controllers each run one. It owns the membership node and the sockets to
-the peers; other tasks ask it and publish through it.
+Every gateway and controller runs one agent. It owns the membership node and the
+connections to the peers; other tasks query it and publish their records through it.
 """
 
 import asyncio
@@ -27,18 +27,18 @@
 __all__ = ["Agent"]
 
 INCARNATION_BYTES = 6
-RETRY_S = 1.0
+RETRY_AFTER_S = 1.0
 
 log = get_logger(__name__)
 
 
 class Agent:
-    """Keeps this daemon in touch with its peers and the table.
+    """Exchanges heartbeats with the peers and polls the table for revisions.
 
     :param settings: :class:`~cowslipcourse.settings.DaemonFile`
     :param role: :class:`~cowslipcourse.membership.Role`
     :param table: :class:`~cowslipcourse.ports.TableService`
-    :param peers: :class:`~cowslipcourse.ports.PeerNetwork`, gRPC if left out.
+    :param peers: :class:`~cowslipcourse.ports.PeerNetwork`; gRPC by default.
     """
 
     def __init__(self, settings, role, table, peers=None):
@@ -58,7 +58,7 @@
         self._revisions = RevisionTable(table)
         tls = settings.tls and TlsFiles(**dict(settings.tls))
         self._peers = peers or GrpcPeers(daemon.peer_address, tls)
-        self._peer_tasks = {}
+        self._heartbeat_tasks = {}
         self._tasks = []
         self._sequence = 0
         self._leaving = False
@@ -75,7 +75,7 @@
 
     @property
     def member(self):
-        """This run of this daemon."""
+        """The :class:`~cowslipcourse.membership.Member` of this run of the daemon."""
         return self._node.member
 
     @property
@@ -90,7 +90,7 @@
 
     @property
     def records(self):
-        """:class:`~cowslipcourse.membership.RecordStore` of spread state."""
+        """:class:`~cowslipcourse.membership.RecordStore` of the replicated records."""
         return self._node.records
 
     @property
@@ -114,15 +114,15 @@
         return self._peers
 
     def on_record(self, listener):
-        """Call ``listener(record)`` with every newer record."""
+        """Add a listener, called as ``listener(record)`` for every newer record."""
         self._record_listeners.append(listener)
 
     def on_revision(self, listener):
-        """Call ``listener(revision)`` with every newer revision."""
+        """Add a listener, called as ``listener(revision)`` for every newer revision."""
         self._revision_listeners.append(listener)
 
     def on_forward(self, handler):
-        """Answer forwarded calls with ``await handler(call)``."""
+        """Set the handler of forwarded calls, used as ``await handler(call)``."""
         self._forward_handler = handler
 
     def may_serve(self):
@@ -137,28 +137,30 @@
     def require_serving(self):
         """Raise unless this daemon may take new work now.
 
-        :raises DaemonStopped: it cannot tell what is in force.
+        :raises DaemonStopped: the daemon cannot tell which revision is in force.
         """
         if not self.may_serve():
-            raise DaemonStopped("cut off from the other daemons", RETRY_S)
+            raise DaemonStopped("isolated from the other daemons", RETRY_AFTER_S)
 
     def silent_members(self, silence_limit_s=None):
         """Return the names of members that do not answer this daemon.
 
-        :param silence_limit_s: seconds of silence, the eviction time if left out.
+        :param silence_limit_s: seconds without an answer after which a member counts
+            as silent; the eviction time by default.
         """
         if silence_limit_s is None:
             silence_limit_s = self.times.eviction_s
         return self.contacts.silent_members(self._node.peers, now(), silence_limit_s)
 
     def publish(self, key, value, fence=0, sequence=None, observed_at=None):
-        """Spread a record.
+        """Publish a record to all members.
 
         :param key: record key.
         :param value: anything that msgspec encodes.
-        :param fence: fencing token under which it is written.
-        :param sequence: sequence number; a growing one is taken if left out.
-        :param observed_at: loop time from which its age counts, now if left out.
+        :param fence: fencing token under which the record is written.
+        :param sequence: sequence number; by default the next one of this agent.
+        :param observed_at: loop time from which the record's age counts; now by
+            default.
         """
         self._sequence += 1
         record = Record(
@@ -170,34 +172,34 @@
             origin=self.member.name,
         )
         if self.records.apply(record):
-            self._tell_record(record)
+            self._notify_record_listeners(record)
 
     async def start(self):
-        """Listen for peers and start the tasks; joins in the background."""
+        """Listen for peers and start the tasks; the daemon joins in the background."""
         await self._peers.listen(self)
         self._tasks = [
-            run_forever(self._watch_table(), "table-watch"),
-            run_forever(self._tidy(), "tidy"),
+            run_forever(self._poll_table(), "table-poll"),
+            run_forever(self._drop_expired_state(), "expired-state"),
         ]
 
     async def leave(self):
-        """Take this daemon out of the members; part of a planned stop."""
+        """Remove this daemon from the members, as part of a planned stop."""
         self._leaving = True
 
-        def without_self(members):
+        def remove_self(members):
             if members.get(self.member.name) != self.member:
                 return None
             del members[self.member.name]
             return members
 
         try:
-            await self._revisions.change_members(without_self, self.revision)
+            await self._revisions.change_members(remove_self, self.revision)
         except StoreError as error:
             log.warning("leave-failed", code=error.code)
 
     async def stop(self):
-        """End the tasks and close the sockets."""
-        tasks = [*self._tasks, *self._peer_tasks.values()]
+        """Cancel the tasks and close the connections."""
+        tasks = [*self._tasks, *self._heartbeat_tasks.values()]
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
@@ -214,53 +216,55 @@
 
     # Heartbeats to peers.
 
-    def _match_peer_tasks(self):
+    def _update_heartbeat_tasks(self):
         peers = set(self._node.peers)
-        for member in set(self._peer_tasks) - peers:
-            self._peer_tasks.pop(member).cancel()
-        for member in peers - set(self._peer_tasks):
+        for member in set(self._heartbeat_tasks) - peers:
+            self._heartbeat_tasks.pop(member).cancel()
+        for member in peers - set(self._heartbeat_tasks):
             name = f"heartbeats-{member.name}"
-            self._peer_tasks[member] = run_forever(self._heartbeats(member), name)
+            self._heartbeat_tasks[member] = run_forever(
+                self._send_heartbeats(member), name
+            )
 
-    async def _heartbeats(self, member):
-        # Spread the heartbeats of many daemons over the interval.
+    async def _send_heartbeats(self, member):
+        # A random delay spreads the heartbeats of many daemons over the interval.
         await asyncio.sleep(random.random() * self.times.heartbeat_s)
         while True:
             sent_at = now()
             try:
-                await self._heartbeat(member, sent_at)
+                await self._send_heartbeat(member, sent_at)
             except PeerUnreachable:
                 pass
             self.may_serve()
             await asyncio.sleep(max(0.0, sent_at + self.times.heartbeat_s - now()))
 
-    async def _heartbeat(self, member, sent_at):
+    async def _send_heartbeat(self, member, sent_at):
         heartbeat = self._node.build_heartbeat(member, sent_at)
         timeout_s = self.times.isolation_s / 2
         answer = await self._peers.heartbeat(member.peer_address, heartbeat, timeout_s)
         self.may_serve()
-        before = self._node.revision_number
+        previous_number = self._node.revision_number
         records = self._node.handle_heartbeat_answer(member, answer, sent_at, now())
-        self._tell_revision(before)
+        self._notify_if_revision_changed(previous_number)
         for record in records or ():
-            self._tell_record(record)
+            self._notify_record_listeners(record)
 
-    def _tell_record(self, record):
+    def _notify_record_listeners(self, record):
         for listener in self._record_listeners:
             listener(record)
 
     # Revisions.
 
-    def _tell_revision(self, number_before):
+    def _notify_if_revision_changed(self, previous_number):
         revision = self.revision
-        if self._node.revision_number == number_before:
+        if self._node.revision_number == previous_number:
             return
         log.info("revision", revision=revision.number, members=len(revision.members))
-        self._match_peer_tasks()
+        self._update_heartbeat_tasks()
         for listener in self._revision_listeners:
             listener(revision)
 
-    async def _watch_table(self):
+    async def _poll_table(self):
         while True:
             sent_at = now()
             try:
@@ -278,25 +282,25 @@
             log.info("table-answers")
         self._table_answered = True
         if revision is not None:
-            before = self._node.revision_number
+            previous_number = self._node.revision_number
             self._node.handle_table_revision(revision, sent_at, now())
-            self._tell_revision(before)
+            self._notify_if_revision_changed(previous_number)
         if not self._leaving and not self._node.is_listed:
             await self._join()
 
     async def _join(self):
-        def with_self(members):
+        def add_self(members):
             if members.get(self.member.name) == self.member:
                 return None
             members[self.member.name] = self.member
             return members
 
-        revision = await self._revisions.change_members(with_self, self.revision)
-        before = self._node.revision_number
+        revision = await self._revisions.change_members(add_self, self.revision)
+        previous_number = self._node.revision_number
         self._node.apply(revision, now())
-        self._tell_revision(before)
+        self._notify_if_revision_changed(previous_number)
 
-    async def _tidy(self):
+    async def _drop_expired_state(self):
         while True:
             await asyncio.sleep(self.times.eviction_s)
             self.records.drop_expired(now())
--- a/cowslipcourse/daemon/reports.py
+++ b/cowslipcourse/daemon/reports.py
@@ -1,4 +1,4 @@
-"""What controllers and gateways tell each other in records."""
+"""Reports that controllers and gateways exchange as records."""
 
 from typing import NamedTuple
 
@@ -27,17 +27,17 @@
 DEPARTURE_PREFIX = "departure/"
 QUARANTINE_PREFIX = "quarantine/"
 REASON_CHANGING = "changing"
-"""Reason of a group that is whole, but shall finish what runs before it changes."""
+"""Reason of a complete group that finishes its requests before it is changed."""
 
 
 class GroupReport(NamedTuple):
-    """Whether a group may serve. If so, the record's age is the grant's age.
+    """Whether a group may serve; if so, the record is a grant of the same age.
 
     :param spec: the group.
-    :param serving: whether every member was present when last probed.
-    :param reason: why it does not serve, empty if it does.
-    :param load: the leader's own load report.
-    :param cached_prefixes: prompt prefixes that the leader lately cached.
+    :param serving: whether every member was present in the last probe.
+    :param reason: why the group does not serve; empty if it does.
+    :param load: load as reported by the leader.
+    :param cached_prefixes: prompt prefixes that the leader cached recently.
     """
 
     spec: GroupSpec
@@ -48,14 +48,14 @@
 
 
 class ServiceReport(NamedTuple):
-    """Whether a plain service's target may be called.
+    """Whether a target of a plain service may be called.
 
     :param vm: VM name.
-    :param service: service declared on it.
+    :param service: service declared on the VM.
     :param address: base URL.
     :param data_centre: data centre.
-    :param serving: whether it answered and may take new work.
-    :param reason: why not.
+    :param serving: whether the target answered and may take new work.
+    :param reason: why it may not be called; empty if it may.
     """
 
     vm: str
@@ -67,7 +67,7 @@
 
 
 class DepartureReport(NamedTuple):
-    """VMs that shall get no new work, as one controller sees it.
+    """VMs that must get no new work, as one controller observes them.
 
     :param controller: daemon name.
     :param vms: names of VMs that are leaving, drained, or no longer listed.
@@ -78,13 +78,13 @@
 
 
 class GatewayReport(NamedTuple):
-    """What a gateway tells the others.
+    """Load and view of one gateway.
 
     :param gateway: daemon name.
-    :param leaving: whether it no longer wants new callers.
+    :param leaving: whether the gateway no longer accepts new callers.
     :param in_flight_by_group: requests in flight by group.
     :param in_flight_by_workspace: requests in flight by ``workspace``.
-    :param visible_groups: ids of the groups that it knows to serve.
+    :param visible_groups: ids of the groups that serve as far as the gateway knows.
     """
 
     gateway: str
@@ -94,7 +94,7 @@
     visible_groups: tuple[str, ...] = ()
 
 
-_TYPES = {
+_SCHEMAS_BY_PREFIX = {
     GROUP_PREFIX: GroupReport,
     SERVICE_PREFIX: ServiceReport,
     GATEWAY_PREFIX: GatewayReport,
@@ -103,11 +103,11 @@
 
 
 def decode_report(record):
-    """Return the report that a record holds, or ``None`` for other records.
+    """Return the report in a record, or ``None`` if its prefix is of no report type.
 
     :param record: :class:`~cowslipcourse.membership.Record`
     """
-    for prefix, schema in _TYPES.items():
+    for prefix, schema in _SCHEMAS_BY_PREFIX.items():
         if record.key.startswith(prefix):
             return msgspec.json.decode(record.value, type=schema)
     return None
--- a/cowslipcourse/daemon/revisions.py
+++ b/cowslipcourse/daemon/revisions.py
@@ -1,7 +1,7 @@
 """Revisions in the platform's table service.
 
-``config/head`` holds the newest revision's number and members, and
-``config/document/N`` the configuration made by the edit of revision N.
+``config/head`` holds the number and the members of the newest revision, and
+``config/document/N`` the configuration that the edit of revision N committed.
 """
 
 import msgspec
@@ -29,7 +29,7 @@
 
 
 def document_key(number):
-    """Return the key of the configuration made at a revision."""
+    """Return the key of the configuration committed by a revision's edit."""
     return f"config/document/{number:010d}"
 
 
@@ -53,42 +53,45 @@
     def __init__(self, table):
         self._table = table
 
-    async def read_newest(self, known):
+    async def read_newest(self, cached_revision):
         """Return the newest revision, or ``None`` before the first.
 
-        :param known: a revision known here, or ``None``; saves reading the
-            configuration again.
+        :param cached_revision: a revision read earlier, or ``None``; its configuration
+            is not read again if it is still the newest.
         :raises StoreUnavailable: the table service did not answer.
         """
         row = await self._table.read(HEAD_KEY)
-        return None if row is None else await self._load(row, known)
+        return None if row is None else await self._decode_head(row, cached_revision)
 
-    async def read_head(self, known):
+    async def read_head(self, cached_revision):
         """Return ``(revision, version of the head row)``.
 
-        Before the first edit, the revision is number 0 and the version absent.
+        Before the first revision, its number is 0 and the version is ``ABSENT``.
+
+        :param cached_revision: as for :meth:`read_newest`.
         """
         row = await self._table.read(HEAD_KEY)
         if row is None:
             return Revision(0, {}, {}, 0), ABSENT
-        return await self._load(row, known), row.version
+        return await self._decode_head(row, cached_revision), row.version
 
     async def read_accepted_number(self):
         """Return the number of the last accepted revision; 0 before the first."""
         row = await self._table.read(ACCEPTED_KEY)
         return row.value["number"] if row is not None else 0
 
-    async def change_members(self, change, known=None):
-        """Commit a revision with other members.
+    async def change_members(self, update, cached_revision=None):
+        """Commit a revision with changed members.
 
-        :param change: called with the members by name; returns the new members, or
-            ``None`` if nothing is to be done.
-        :returns: the newest revision, whether or not it was changed here.
-        :raises StoreError: it is not known whether the change was made.
+        :param update: called with the members by name; returns the new members, or
+            ``None`` if there is nothing to change.
+        :param cached_revision: as for :meth:`read_newest`.
+        :returns: the newest revision, whether or not this call committed it.
+        :raises StoreError: it is not known whether the change was committed.
         """
         for _ in range(MAX_COMMIT_ATTEMPTS):
-            head, version = await self.read_head(known)
-            members = change(dict(head.members))
+            head, version = await self.read_head(cached_revision)
+            members = update(dict(head.members))
             if members is None:
                 return head
             revision = head.next(members, await self.read_accepted_number())
@@ -100,18 +103,23 @@
             except ConditionFailed:
                 continue
             return revision
-        raise ReplyLost("the head row is contended")
-
-    async def _load(self, row, known):
-        value = row.value
-        number = value["configuration_number"]
-        if known is not None and known.configuration_number == number:
-            configuration = known.configuration
+        raise ReplyLost(
+            f"the head row is contended: {MAX_COMMIT_ATTEMPTS} commits conflicted"
+        )
+
+    async def _decode_head(self, head_row, cached_revision):
+        head = head_row.value
+        number = head["configuration_number"]
+        if (
+            cached_revision is not None
+            and cached_revision.configuration_number == number
+        ):
+            configuration = cached_revision.configuration
         elif number == 0:
             configuration = {}
         else:
             document = await self._table.read(document_key(number))
             configuration = document.value["configuration"]
-        members = members_from_rows(value["members"])
-        lists = lists_from_rows(value["lists"])
-        return Revision(value["number"], members, configuration, number, lists)
+        members = members_from_rows(head["members"])
+        lists = lists_from_rows(head["lists"])
+        return Revision(head["number"], members, configuration, number, lists)
--- a/cowslipcourse/daemon/runtime.py
+++ b/cowslipcourse/daemon/runtime.py
@@ -1,4 +1,4 @@
-"""Event loop, clock and signals of a daemon."""
+"""Event loop, clock and signal handling of a daemon."""
 
 import asyncio
 import gc
@@ -25,39 +25,39 @@
     return asyncio.get_running_loop().time()
 
 
-def run_daemon(arguments, schema, build):
-    """Run a daemon until it is told to stop.
+def run_daemon(arguments, settings_schema, build_daemon):
+    """Run a daemon until a signal stops it.
 
-    The first SIGTERM or SIGINT asks for a planned stop, a second one ends it at once.
+    The first SIGTERM or SIGINT requests a planned stop, the second ends it at once.
 
-    :param arguments: command-line arguments; the only one is the settings file.
-    :param schema: schema of the settings file.
-    :param build: called with the settings; returns an object with ``run(stopping)``,
-        where ``stopping`` is an :class:`asyncio.Event`.
+    :param arguments: command-line arguments: the path of the settings file.
+    :param settings_schema: schema of the settings file.
+    :param build_daemon: called with the settings; returns an object with
+        ``run(stopping)``, where ``stopping`` is an :class:`asyncio.Event`.
     :returns: exit code.
     """
     if len(arguments) != 1 or arguments[0].startswith("-"):
-        print("one argument is needed: the settings file (TOML)", file=sys.stderr)
+        print("expected one argument: the settings file (TOML)", file=sys.stderr)
         return EXIT_BAD_SETTINGS
     try:
-        settings = load_settings(arguments[0], schema)
+        settings = load_settings(arguments[0], settings_schema)
     except SettingsError as error:
         for problem in error.problems:
             print(problem, file=sys.stderr)
         return EXIT_BAD_SETTINGS
     set_up_logging(settings.log)
-    _spare_collections()
+    _reduce_garbage_collections()
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
         try:
-            runner.run(_run_until_signal(build(settings)))
+            runner.run(_run_until_signal(build_daemon(settings)))
         except CowslipError as error:
             log.warning("daemon-failed", code=error.code, detail=error.detail)
             return EXIT_FAILED
     return 0
 
 
-def _spare_collections():
-    """Collect garbage less often: what a request makes is freed by reference counts."""
+def _reduce_garbage_collections():
+    """Collect garbage less often: reference counts free the objects of a request."""
     gc.collect()
     gc.freeze()
     gc.set_threshold(*GC_THRESHOLDS)
@@ -66,15 +66,15 @@
 async def _run_until_signal(daemon):
     loop = asyncio.get_running_loop()
     stopping = asyncio.Event()
-    main = asyncio.current_task()
+    main_task = asyncio.current_task()
 
     def on_signal():
         if stopping.is_set():
-            main.cancel()
+            main_task.cancel()
         stopping.set()
 
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, on_signal)
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, on_signal)
     try:
         await daemon.run(stopping)
     except asyncio.CancelledError:
--- a/cowslipcourse/daemon/tasks.py
+++ b/cowslipcourse/daemon/tasks.py
@@ -1,4 +1,4 @@
-"""Tasks that run for as long as their daemon."""
+"""Tasks that run as long as their daemon."""
 
 import asyncio
 import os
@@ -13,13 +13,13 @@
 
 
 def run_forever(coroutine, name):
-    """Run a coroutine that is not expected to end.
+    """Run a coroutine that is not expected to return.
 
-    If it fails, the whole process ends at once: a daemon that goes on without one
-    of its tasks is worse than one that is restarted.
+    If it fails, the process exits at once: a daemon that continues without one of
+    its tasks is worse than one that is restarted.
 
-    :param coroutine: for example ``keeper.run()``.
-    :param name: name for logs.
+    :param coroutine: for example ``shard_manager.run()``.
+    :param name: name of the task in logs.
     :returns: :class:`asyncio.Task`
     """
     task = asyncio.create_task(coroutine, name=name)
