--- a/cowslipcourse/controller/acceptor.py
+++ b/cowslipcourse/controller/acceptor.py
@@ -20,7 +20,7 @@
 class RevisionAcceptor:
     """Accepts revisions and evicts members that a majority cannot reach.
 
-    Every controller runs one. Each waits ``DELAY_PER_RANK_S`` per rank before it writes,
+    Every controller runs one and waits ``DELAY_PER_RANK_S`` per rank before it writes,
     so that usually only one of them does.
 
     :param agent: :class:`~cowslipcourse.daemon.Agent`
@@ -83,7 +83,7 @@
         await self._commit_accepted_number()
 
     async def _read_accepted_number(self):
-        """Read the number that other controllers accepted; returns the row's version."""
+        """Read the number accepted by any controller; returns the row's version."""
         row = await self._table.read(ACCEPTED_KEY)
         if row is None:
             return ABSENT
--- a/cowslipcourse/controller/edits.py
+++ b/cowslipcourse/controller/edits.py
@@ -136,7 +136,7 @@
             return head.number, head.configuration
         row = await self._table.read(document_key(number))
         if row is None:
-            raise UnknownObject(f"no edit committed revision {number}")
+            raise UnknownObject(f"revision {number} was not committed by an edit")
         return number, row.value["configuration"]
 
     async def read_audit_records(self):
--- a/cowslipcourse/controller/health.py
+++ b/cowslipcourse/controller/health.py
@@ -54,7 +54,7 @@
         return health.status
 
     def absent_s(self, vm_name):
-        """Return the seconds since the first failed probe in a row; 0 if none failed."""
+        """Return the seconds since the first of consecutive failed probes, or 0."""
         since = self._absent_since.get(vm_name)
         return 0.0 if since is None else now() - since
 
--- a/cowslipcourse/controller/leasing.py
+++ b/cowslipcourse/controller/leasing.py
@@ -95,7 +95,7 @@
                 )
             )
         except ConditionFailed as error:
-            raise LeaseLost(f"another daemon acquired the lease of {shard}") from error
+            raise LeaseLost(f"{shard}: another daemon acquired the lease") from error
         log.info("lease-taken", shard=shard, fence=fence)
         return HeldLease(shard, fence, sent_at, self._terms)
 
@@ -111,9 +111,7 @@
         try:
             await self._table.commit(transaction)
         except ConditionFailed as error:
-            raise LeaseLost(
-                f"another daemon holds the lease of {lease.shard}"
-            ) from error
+            raise LeaseLost(f"{lease.shard}: another daemon holds the lease") from error
         return lease.renewed(sent_at)
 
     async def release(self, lease):
--- a/cowslipcourse/controller/observer.py
+++ b/cowslipcourse/controller/observer.py
@@ -101,7 +101,7 @@
         return agent.contacts.confirms_revision(member, number, now(), silence_limit_s)
 
     def _unrenewed_records(self, prefix):
-        """Return records without a responsive holder that this controller must renew."""
+        """Return records without a responsive holder, for this controller to renew."""
         agent = self._context.agent
         own_name = agent.member.name
         silence_limit_s = (
--- a/cowslipcourse/controller/orders.py
+++ b/cowslipcourse/controller/orders.py
@@ -79,7 +79,7 @@
         # No await may come between this check and the send: the lease could expire.
         if not lease.is_valid(checked_at):
             raise LeaseLost(
-                f"the lease of {lease.shard} expired before an order was sent"
+                f"{lease.shard}: the lease expired before an order was sent"
             )
         self._last_orders[vm_name] = (order, checked_at)
         log.info(
--- a/cowslipcourse/controller/reports.py
+++ b/cowslipcourse/controller/reports.py
@@ -97,7 +97,7 @@
                     vm_name, service, vm.address, vm.data_centre, not reason, reason
                 )
                 self._publish(
-                    f"{SERVICE_PREFIX}{domain}/{name}", report, fence, probed_at
+                    f"{SERVICE_PREFIX}{domain}/{vm_name}", report, fence, probed_at
                 )
 
     def _service_fault(self, vm, probed_at, resolved):
--- a/cowslipcourse/controller/worker.py
+++ b/cowslipcourse/controller/worker.py
@@ -84,7 +84,7 @@
         :raises LeaseLost: the lease expired.
         """
         if not self.lease.is_valid(now()):
-            raise LeaseLost(f"the lease of {self.domain} expired")
+            raise LeaseLost(f"{self.domain}: the lease expired")
 
 
 class ShardWorker:
