--- a/cowslipcourse/adapters/peer/codec.py
+++ b/cowslipcourse/adapters/peer/codec.py
@@ -80,8 +80,8 @@
         position=answer.position,
         silent=answer.silent,
     )
-    if answer.newer is not None:
-        reply.revision_content = _encode_revision(answer.newer)
+    if answer.newer_revision is not None:
+        reply.revision_content = _encode_revision(answer.newer_revision)
     for record in answer.records:
         reply.records.add(
             key=record.key,
@@ -107,6 +107,6 @@
         stopped=reply.stopped,
         position=reply.position,
         silent=frozenset(reply.silent),
-        newer=_decode_revision(content) if content else None,
+        newer_revision=_decode_revision(content) if content else None,
         records=tuple(records),
     )
--- a/cowslipcourse/entry/daemon.py
+++ b/cowslipcourse/entry/daemon.py
@@ -208,12 +208,12 @@
         member = Member(
             name=settings.name,
             incarnation=self._incarnation,
-            registration=self._registrar.version,
+            registration_version=self._registrar.version,
             peer_address=settings.listen.peer,
             front_address=settings.listen.front,
             data_centre=settings.data_centre,
             is_ready=self._is_ready,
-            configuration=self.replica.configuration_version,
+            configuration_version=self.replica.configuration_version,
         )
         return Heartbeat(
             member=member,
--- a/cowslipcourse/entry/forwarding.py
+++ b/cowslipcourse/entry/forwarding.py
@@ -56,4 +56,4 @@
                 "no complete response before the deadline"
             ) from error
         finally:
-            self._context.quarantine.note_finished(call)
+            self._context.quarantine.record_finished(call)
--- a/cowslipcourse/entry/retrying.py
+++ b/cowslipcourse/entry/retrying.py
@@ -51,7 +51,7 @@
                 raise final_error(possible_runs, LossCause.NO_RETRY_BUDGET) from error
             continue
         if run.succeeded:
-            context.quarantine.note_answered(call)
+            context.quarantine.record_answered(call)
         return entry, len(tried_ids)
 
 
@@ -83,4 +83,4 @@
         events=run.relayed_events,
         ended_by_target=run.ended_by_target,
     )
-    context.quarantine.note_failed(call, run)
+    context.quarantine.record_failed(call, run)
--- a/cowslipcourse/gateway/generation.py
+++ b/cowslipcourse/gateway/generation.py
@@ -81,7 +81,7 @@
                 async for piece in pieces:
                     yield piece
         finally:
-            quarantine.note_finished(self._suspect)
+            quarantine.record_finished(self._suspect)
 
     async def _attempts(self):
         attempts = self._tools.settings.limits.attempts
@@ -104,7 +104,7 @@
                 if not self._may_repeat(error) or number == attempts - 1:
                     raise self._final(error) from error
                 continue
-            self._tools.quarantine.note_answered(self._suspect)
+            self._tools.quarantine.record_answered(self._suspect)
             return
 
     async def _before_retry(self, number):
@@ -196,7 +196,7 @@
     def _note_failure(self, error):
         self._tried.add(self._group)
         self._run.ended_by_target = isinstance(error, TargetUnreachable) and error.sent
-        self._tools.quarantine.note_failed(self._suspect, self._run)
+        self._tools.quarantine.record_failed(self._suspect, self._run)
         self._started = self._started or _may_have_started(error)
         if isinstance(error, TargetRefused):
             if error.reason != "grant-lapsed":
--- a/cowslipcourse/membership/acceptance.py
+++ b/cowslipcourse/membership/acceptance.py
@@ -56,12 +56,14 @@
 
     def _accepted(self, number, revision, last_accepted, now):
         """Return whether no revision before a number can be served."""
-        following = [item.first for item in revision.lists[1:]]
+        following = [
+            member_list.first_revision_number for member_list in revision.lists[1:]
+        ]
         for listed, next_first in zip(
             revision.lists, [*following, number], strict=True
         ):
             newest_with_list = min(next_first, number) - 1
-            if newest_with_list < max(listed.first, last_accepted):
+            if newest_with_list < max(listed.first_revision_number, last_accepted):
                 continue
             if not self._cannot_be_served(listed.runs, newest_with_list, revision, now):
                 return False
--- a/cowslipcourse/membership/members.py
+++ b/cowslipcourse/membership/members.py
@@ -35,11 +35,11 @@
 class MemberList(NamedTuple):
     """Who was listed from some revision on, until the next list.
 
-    :param first: first revision with this list.
+    :param first_revision_number: number of the first revision with this list.
     :param runs: ``(incarnation, peer address)`` by daemon name.
     """
 
-    first: int
+    first_revision_number: int
     runs: dict[str, tuple[str, str]]
 
 
@@ -77,6 +77,6 @@
         if members != self.members or not lists:
             runs = {n: (m.incarnation, m.peer_address) for n, m in members.items()}
             lists = (*lists, MemberList(number, runs))
-        while len(lists) > 1 and lists[1].first <= accepted:
+        while len(lists) > 1 and lists[1].first_revision_number <= accepted:
             lists = lists[1:]
         return self._replace(number=number, members=dict(members), lists=lists)
--- a/cowslipcourse/membership/messages.py
+++ b/cowslipcourse/membership/messages.py
@@ -37,7 +37,7 @@
     :param stopped: whether it takes no new work.
     :param position: position of its last record.
     :param silent: members that it cannot reach.
-    :param newer: its revision if the asker's is older, else ``None``.
+    :param newer_revision: its revision if the asker's is older, else ``None``.
     :param records: records that the asker lacks, ``observed_at`` replaced by the age
         in seconds.
     """
@@ -47,5 +47,5 @@
     stopped: bool
     position: int
     silent: frozenset[str]
-    newer: Revision | None
+    newer_revision: Revision | None
     records: tuple[Record, ...]
--- a/cowslipcourse/membership/node.py
+++ b/cowslipcourse/membership/node.py
@@ -146,7 +146,7 @@
             stopped=not serving,
             position=self._records.position,
             silent=self.silent_members(now),
-            newer=newer,
+            newer_revision=newer,
             records=records,
         )
 
@@ -162,8 +162,8 @@
         self.may_serve(now)
         if answer.incarnation != member.incarnation:
             return None
-        if answer.newer is not None:
-            self.apply(self._with_configuration(answer.newer), now)
+        if answer.newer_revision is not None:
+            self.apply(self._with_configuration(answer.newer_revision), now)
         contact = Contact(
             sent_at, answer.incarnation, answer.revision, answer.stopped, answer.silent
         )
--- a/cowslipcourse/peers/messages.py
+++ b/cowslipcourse/peers/messages.py
@@ -33,22 +33,22 @@
 
     :param name: name of the daemon.
     :param incarnation: run of its process.
-    :param registration: store version of its registration; 0 if not registered.
+    :param registration_version: store version of its registration; 0 if not registered.
     :param peer_address: ``ip:port`` for datagrams and for reading its state.
     :param front_address: ``ip:port`` for callers.
     :param data_centre: where it runs.
     :param is_ready: whether callers may be sent to it.
-    :param configuration: version of its configuration, 0 for none.
+    :param configuration_version: version of its configuration, 0 for none.
     """
 
     name: str
     incarnation: _Count
-    registration: _Count
+    registration_version: _Count
     peer_address: Address
     front_address: Address
     data_centre: str
     is_ready: bool
-    configuration: _Count
+    configuration_version: _Count
 
 
 class Heartbeat(NamedTuple):
--- a/cowslipcourse/peers/registry.py
+++ b/cowslipcourse/peers/registry.py
@@ -48,7 +48,7 @@
 
 def registration_order(member):
     """Return the key by which those that registered first come first."""
-    return member.registration, member.name
+    return member.registration_version, member.name
 
 
 class PeerRegistry:
@@ -280,7 +280,9 @@
         :param own: this daemon's own :class:`~cowslipcourse.peers.Heartbeat`.
         """
         local = [own, *self.local_heartbeats(now)]
-        eligible = [h.member for h in local if h.member.registration and h.is_healthy]
+        eligible = [
+            h.member for h in local if h.member.registration_version and h.is_healthy
+        ]
         eligible.sort(key=registration_order)
         number = 2 if len(local) > SINGLE_REPORTER_DAEMONS else 1
         return [member.name for member in eligible[:number]]
@@ -319,7 +321,7 @@
         ]
         found = {}
         for member in sorted(eligible, key=registration_order):
-            if member.registration:
+            if member.registration_version:
                 found.setdefault(member.data_centre, member)
         return found
 
@@ -357,9 +359,11 @@
         local = [
             h.member
             for h in self.local_heartbeats(now)
-            if h.member.configuration > version
+            if h.member.configuration_version > version
         ]
         if local:
             return local
         reporters = [digest.reporter for digest in self.remote_digests(now)]
-        return [member for member in reporters if member.configuration > version]
+        return [
+            member for member in reporters if member.configuration_version > version
+        ]
--- a/cowslipcourse/quarantine/judging.py
+++ b/cowslipcourse/quarantine/judging.py
@@ -157,7 +157,7 @@
             return []
         return list(suspect.reports.values())
 
-    def note_answered(self, fingerprint, now, is_local=True):
+    def record_answered(self, fingerprint, now, is_local=True):
         """Clear a request that a target answered whole; return if it was suspected.
 
         :param is_local: whether this daemon passed the answer on, or another one.
--- a/cowslipcourse/quarantining/daemon_part.py
+++ b/cowslipcourse/quarantining/daemon_part.py
@@ -120,7 +120,7 @@
             self._broadcast(QuarantineUpdate((trial.verdict,)))
             log.warning("trial-begun", request=call.id, fingerprint=fingerprint.hex())
 
-    def note_finished(self, call):
+    def record_finished(self, call):
         """Note that a request is over, whatever became of it."""
         if self._trial_calls.get(call.fingerprint) is call:
             del self._trial_calls[call.fingerprint]
@@ -149,10 +149,10 @@
             log.info("run-stopped", target=run.entry.id, fingerprint=fingerprint.hex())
             run.abort(AnswerBroken("the request is quarantined"))
 
-    def note_answered(self, call):
+    def record_answered(self, call):
         """Note that a target has answered a request whole: it does not end targets."""
         fingerprint = call.fingerprint
-        was_suspected = self._suspects.note_answered(fingerprint, _now())
+        was_suspected = self._suspects.record_answered(fingerprint, _now())
         if self._verdicts.get(fingerprint) is not None:
             self._lift(fingerprint)
         elif was_suspected:
@@ -165,14 +165,14 @@
         self._spawn(self._remove_stored(fingerprint))
         self._broadcast(RequestCleared(fingerprint))
 
-    def note_failed(self, call, run):
+    def record_failed(self, call, run):
         """Take note of a run that failed; look into it if the target broke it off.
 
         :param call: :class:`~cowslipcourse.entry.calls.Call`
         :param run: :class:`~cowslipcourse.entry.attempts.TargetRun`
         """
         # A trial is one run.
-        self.note_finished(call)
+        self.record_finished(call)
         if run.ended_by_target:
             self._reporting.report_if_exited(call, run)
 
@@ -243,7 +243,7 @@
             if self._learn_verdicts(message.verdicts, "peer"):
                 self._save_due()
         else:
-            self._suspects.note_answered(message.fingerprint, _now(), is_local=False)
+            self._suspects.record_answered(message.fingerprint, _now(), is_local=False)
             if self._verdicts.drop(message.fingerprint):
                 log.info("quarantine-lifted", fingerprint=message.fingerprint.hex())
 
--- a/cowslipcourse/streams/events.py
+++ b/cowslipcourse/streams/events.py
@@ -8,18 +8,18 @@
 __all__ = ["Event", "EventSplitter"]
 
 MAX_EVENT_BYTES = 1 << 20
-_END = re.compile(rb"\r\n\r\n|\n\n|\r\r")
-_ID = re.compile(rb"(?:^|\n|\r)id: ?(\d+)")
+_EVENT_END = re.compile(rb"\r\n\r\n|\n\n|\r\r")
+_EVENT_ID = re.compile(rb"(?:^|\n|\r)id: ?(\d+)")
 
 
 class Event(NamedTuple):
     """A complete event.
 
-    :param number: its id, or ``None`` if it has none.
+    :param event_id: its id, or ``None`` if it has none.
     :param raw: its bytes including the terminating blank line.
     """
 
-    number: int | None
+    event_id: int | None
     raw: bytes
 
 
@@ -41,10 +41,10 @@
         """
         content = self._rest + content
         events, start = [], 0
-        for end in _END.finditer(content):
+        for end in _EVENT_END.finditer(content):
             raw = content[start : end.end()]
-            found = _ID.search(raw)
-            events.append(Event(int(found[1]) if found else None, raw))
+            id_match = _EVENT_ID.search(raw)
+            events.append(Event(int(id_match[1]) if id_match else None, raw))
             start = end.end()
         self._rest = content[start:]
         if len(self._rest) > MAX_EVENT_BYTES:
--- a/cowslipcourse/streams/position.py
+++ b/cowslipcourse/streams/position.py
@@ -8,11 +8,11 @@
 class StreamPosition:
     """Relays each event once and in order.
 
-    :param resumed_after: id of the last event that the caller has, or ``None``.
+    :param last_event_id: id of the last event that the caller has, or ``None``.
     """
 
-    def __init__(self, resumed_after=None):
-        self.last_event_id = resumed_after
+    def __init__(self, last_event_id=None):
+        self.last_event_id = last_event_id
         self.relayed_events = 0
 
     def filter_events(self, events):
@@ -22,20 +22,20 @@
         :returns: ``(bytes, MalformedAnswer or None)``; the bytes before
             a gap in the event ids are to be relayed.
         """
-        wanted = []
+        relayed = []
         for event in events:
-            if event.number is None:
-                wanted.append(event.raw)
+            if event.event_id is None:
+                relayed.append(event.raw)
                 continue
-            if self.last_event_id is not None and event.number <= self.last_event_id:
+            if self.last_event_id is not None and event.event_id <= self.last_event_id:
                 continue
             if (
                 self.last_event_id is not None
-                and event.number != self.last_event_id + 1
+                and event.event_id != self.last_event_id + 1
             ):
                 fault = MalformedAnswer(f"event {self.last_event_id + 1} is missing")
-                return b"".join(wanted), fault
-            self.last_event_id = event.number
+                return b"".join(relayed), fault
+            self.last_event_id = event.event_id
             self.relayed_events += 1
-            wanted.append(event.raw)
-        return b"".join(wanted), None
+            relayed.append(event.raw)
+        return b"".join(relayed), None
--- a/features/steps/judging_steps.py
+++ b/features/steps/judging_steps.py
@@ -54,7 +54,7 @@
     for step in ends.split(", "):
         words = step.split()
         if step == "answered":
-            suspects.note_answered(FINGERPRINT, now)
+            suspects.record_answered(FINGERPRINT, now)
         elif words[1] == "s":
             now += float(words[0])
         elif words[1] == "events":
@@ -235,7 +235,7 @@
         except (RequestQuarantined, TargetFailed) as error:
             return error
         finally:
-            quarantine.note_finished(call)
+            quarantine.record_finished(call)
         return None
 
     async def at_all(self):
--- a/features/steps/knowledge_steps.py
+++ b/features/steps/knowledge_steps.py
@@ -283,7 +283,7 @@
 @when("ten peers have configuration 8")
 def step_ten(context):
     for number in range(10):
-        ahead = member(f"p{number}", 20 + number)._replace(configuration=8)
+        ahead = member(f"p{number}", 20 + number)._replace(configuration_version=8)
         beat = Heartbeat(ahead, 1, True, 5, {}, {})
         context.registry.record_heartbeat(beat, 10.0)
 
--- a/features/support/daemon_network.py
+++ b/features/support/daemon_network.py
@@ -129,7 +129,9 @@
         in_flight = {f"i-{head * 0x123457:010x}": 1 for head in heads}
         in_flight |= self.burst
         if self.registering is not None:
-            self.member = self.member._replace(registration=self.registering.version)
+            self.member = self.member._replace(
+                registration_version=self.registering.version
+            )
         beat = Heartbeat(self.member, self._sequence, True, 99, in_flight, {})
         return beat._replace(interval_s=self.heartbeat_interval_s())
 
--- a/features/support/outside.py
+++ b/features/support/outside.py
@@ -133,7 +133,9 @@
 
 def _check_member(member):
     assert _is_address(member.peer_address) and _is_address(member.front_address)
-    assert isinstance(member.is_ready, bool) and type(member.registration) is int
+    assert (
+        isinstance(member.is_ready, bool) and type(member.registration_version) is int
+    )
 
 
 def _check_heartbeat(message):
--- a/features/support/spread_runs.py
+++ b/features/support/spread_runs.py
@@ -100,7 +100,7 @@
 def _report_target_exit(daemon, number):
     run = TargetRun(_entry(number))
     run.answer_started = run.ended_by_target = True
-    daemon.quarantine.note_failed(REQUEST, run)
+    daemon.quarantine.record_failed(REQUEST, run)
 
 
 async def _simulate(scenario, network):
