--- a/features/group_plans/practice.feature
+++ b/features/group_plans/practice.feature
@@ -1,35 +1,35 @@
-Feature: Spares practise a join
-  A join takes 0.2 s if the engine's last group had the same model, else its host loads the weights
-  first. A spare that has joined a group of its own once repairs another one that much sooner.
+Feature: Spares perform a warm-up join
+  A join takes 0.2 s if the engine's last group had the same model; otherwise the engine loads the
+  weights from its host first. A spare that has joined a warm-up group repairs another group sooner.
 
-  Scenario Outline: A spare practises once, if it holds a model of its domain and nothing else is on
-    Given a spare that holds <held>, joined <joined> last, and has <orders> orders by report
+  Scenario Outline: An idle spare warms up once if its host stores a model of the domain
+    Given a spare that stores <stored>, joined <joined> last, and has <orders> orders by report
     Then in a domain of large it is to <do>
 
     Examples:
-      | held    | joined  | orders | do                               |
-      | large   | nothing | 0      | join a group of its own          |
-      | large   | nothing | no     | be asked for its count           |
-      | large   | large   | 2      | rest                             |
-      | large   | small   | 2      | join a group of its own          |
-      | small   | nothing | 0      | rest                             |
-      | nothing | nothing | 0      | rest                             |
+      | stored  | joined  | orders | do                    |
+      | large   | nothing | 0      | join a warm-up group  |
+      | large   | nothing | no     | be asked for a report |
+      | large   | large   | 2      | do nothing            |
+      | large   | small   | 2      | join a warm-up group  |
+      | small   | nothing | 0      | do nothing            |
+      | nothing | nothing | 0      | do nothing            |
 
-  Scenario: It is left alone until it is ready, and told to leave then
-    Given a spare that is joining a group of its own
-    Then nothing is ordered
-    When it is ready there
-    Then it is told to leave that group
+  Scenario: A warm-up group is left only once the spare is ready
+    Given a spare that is joining a warm-up group
+    Then no order is sent
+    When it is ready in that group
+    Then it is ordered to leave that group
 
-  Scenario: It repairs a group also while it practises
-    Given a spare that is joining a group of its own
+  Scenario: A spare counts as free during a warm-up
+    Given a spare that is joining a warm-up group
     Then it counts as free
 
-  Scenario: A planned group is never taken for practice, whatever its domain is called
-    Given a stray in the group x-alone-12 of a domain called x-alone
+  Scenario: A planned group is not taken for a warm-up group because of its domain's name
+    Given an unplanned member of the group x-alone-12 in a domain called x-alone
     Then it does not count as free
 
-  Scenario: A group serves more than a second sooner after a loss
-    Given a coordinator of nine engines, one group of which serves
-    When a member of the group is lost, with practised spares and with others
-    Then the group serves again at least 1.2 s sooner with practised spares
+  Scenario: Warm-ups shorten the repair of a group by more than a second
+    Given a coordinator of nine engines with one serving group
+    When a member of the group is lost, with and without warm-ups of the spares
+    Then the group serves again at least 1.2 s sooner with warm-ups
--- a/features/steps/balance_steps.py
+++ b/features/steps/balance_steps.py
@@ -1,4 +1,4 @@
-"""Steps over the balance of groups among models."""
+"""Steps for the balance of groups among models."""
 
 import asyncio
 from types import SimpleNamespace
@@ -31,21 +31,21 @@
         EngineModel("large", large, large_share, 1.0, 16.0, 1.6),
         EngineModel("small", small, small_share, 0.6, 12.0, 1.1),
     )
-    context.plans, context.places = {}, {}
-    context.held, context.lacking = {}, set()
+    context.plans, context.data_centres = {}, {}
+    context.stored_models, context.incomplete_groups = {}, set()
 
 
-def _domain(context, model, number, groups):
+def _add_domain(context, model, number, group_count):
     domain = f"{model.name}-{number}"
-    context.places[domain] = DATA_CENTRES[number % len(DATA_CENTRES)]
+    context.data_centres[domain] = DATA_CENTRES[number % len(DATA_CENTRES)]
     planned = tuple(
         PlannedGroup(
-            f"{domain}-g{each}",
+            f"{domain}-g{index}",
             model.name,
             1,
-            tuple(f"{domain}-{each}-{rank}" for rank in range(model.size)),
+            tuple(f"{domain}-{index}-{rank}" for rank in range(model.size)),
         )
-        for each in range(groups)
+        for index in range(group_count)
     )
     context.plans[domain] = DomainPlan(domain, 1, planned)
 
@@ -56,152 +56,168 @@
 )
 def step_domains(context, large, large_groups, small, small_groups):
     for number in range(1, large + 1):
-        _domain(context, context.models[0], number, large_groups)
+        _add_domain(context, context.models[0], number, large_groups)
     for number in range(1, small + 1):
-        _domain(context, context.models[1], number, small_groups)
+        _add_domain(context, context.models[1], number, small_groups)
 
 
-def _lose(context, names):
+def _lose_domains(context, domains):
     """Retire the groups of domains, as their coordinators do."""
-    for name in names:
+    for name in domains:
         plan = context.plans[name]
         retired = tuple(group._replace(is_retired=True) for group in plan.groups)
         context.plans[name] = plan._replace(groups=retired)
 
 
 @when("one domain of small is lost")
-def step_lose_one(context):
-    _lose(context, ["small-1"])
+def step_lose_domain_of_small(context):
+    _lose_domains(context, ["small-1"])
 
 
 @when("both domains of small are lost")
-def step_lose_small(context):
-    _lose(context, ["small-1", "small-2"])
+def step_lose_domains_of_small(context):
+    _lose_domains(context, ["small-1", "small-2"])
 
 
 @when("all domains of large are lost")
-def step_lose_large(context):
-    _lose(context, [name for name in context.plans if name.startswith("large")])
+def step_lose_domains_of_large(context):
+    _lose_domains(context, [name for name in context.plans if name.startswith("large")])
 
 
-def _group(context, which, domain):
+def _group_name(context, which, domain):
     return context.plans[domain].groups[ORDINALS[which]].name
 
 
-@given("the hosts of the {which} group of {domain} hold small")
-@when("the hosts of the {which} group of {domain} hold small")
-def step_hold(context, which, domain):
-    context.held[_group(context, which, domain)] = "small"
+@given("the hosts of the {which} group of {domain} store small")
+@when("the hosts of the {which} group of {domain} store small")
+def step_hosts_store(context, which, domain):
+    context.stored_models[_group_name(context, which, domain)] = "small"
 
 
 @when("the {which} group of {domain} lacks a member")
-def step_lacks(context, which, domain):
-    context.lacking.add(_group(context, which, domain))
+def step_lacks_member(context, which, domain):
+    context.incomplete_groups.add(_group_name(context, which, domain))
 
 
-def _held(context):
-    def held(group, domain, model):
-        return len(group.members) * (context.held.get(group.name) == model)
+def _warm_member_counter(context):
+    def count_warm_members(group, domain, model):
+        return len(group.members) * (context.stored_models.get(group.name) == model)
 
-    return held
+    return count_warm_members
 
 
-def _changes(context):
+def _reassignments(context):
     return choose_reassignments(
         context.plans,
         context.models,
-        lambda group, domain: group.name not in context.lacking,
-        _held(context),
+        lambda group, domain: group.name not in context.incomplete_groups,
+        _warm_member_counter(context),
     )
 
 
-def _begin(context, changes):
-    for change in changes:
-        plan = context.plans[change.domain]
+def _begin(context, reassignments):
+    for reassignment in reassignments:
+        plan = context.plans[reassignment.domain]
         groups = tuple(
-            group._replace(is_retired=True, successor=change.model)
-            if group.name in change.groups
+            group._replace(is_retired=True, successor=reassignment.model)
+            if group.name in reassignment.groups
             else group
             for group in plan.groups
         )
-        context.plans[change.domain] = plan._replace(groups=groups)
+        context.plans[reassignment.domain] = plan._replace(groups=groups)
 
 
-@when("the first of these changes has begun")
+@when("the first of these reassignments has begun")
 def step_begin_first(context):
-    _begin(context, _changes(context)[:1])
+    _begin(context, _reassignments(context)[:1])
 
 
-@when("the rest of these changes have begun")
+@when("the rest of these reassignments have begun")
 def step_begin_rest(context):
-    _begin(context, _changes(context))
+    _begin(context, _reassignments(context))
 
 
-@then("no group is to change over")
-def step_none(context):
-    assert _changes(context) == [], _changes(context)
+@then("no group is to be reassigned")
+def step_no_reassignment(context):
+    assert _reassignments(context) == [], _reassignments(context)
 
 
-@then("{number:d} groups of large are to change over to small, in {domains:d} domains")
-def step_number(context, number, domains):
-    changes = _changes(context)
-    assert {change.model for change in changes} == {"small"}, changes
-    assert sum(len(change.groups) for change in changes) == number, changes
-    assert len({change.domain for change in changes}) == domains, changes
+@then(
+    "{number:d} groups of large are to be reassigned to small, in {domains:d} domains"
+)
+def step_reassignment_count(context, number, domains):
+    reassignments = _reassignments(context)
+    assert {reassignment.model for reassignment in reassignments} == {"small"}, (
+        reassignments
+    )
+    assert sum(len(reassignment.groups) for reassignment in reassignments) == number, (
+        reassignments
+    )
+    assert len({reassignment.domain for reassignment in reassignments}) == domains, (
+        reassignments
+    )
 
 
-@then("the first to change over is the {which} group of {domain}, which is warm")
-def step_first(context, which, domain):
-    first = _changes(context)[0]
-    assert first.groups == (_group(context, which, domain),), first
+@then("the first to be reassigned is the {which} group of {domain}, which is warm")
+def step_first_reassigned(context, which, domain):
+    first = _reassignments(context)[0]
+    assert first.groups == (_group_name(context, which, domain),), first
     assert first.is_warm, first
 
 
 @then("the others are not warm")
-def step_others(context):
-    assert not any(change.is_warm for change in _changes(context)[1:])
+def step_others_cold(context):
+    assert not any(reassignment.is_warm for reassignment in _reassignments(context)[1:])
 
 
-@then("the {which} group of {domain} is not among those to change over")
-def step_not_among(context, which, domain):
-    name = _group(context, which, domain)
-    assert all(name not in change.groups for change in _changes(context))
+@then("the {which} group of {domain} is not among those to be reassigned")
+def step_not_reassigned(context, which, domain):
+    name = _group_name(context, which, domain)
+    assert all(
+        name not in reassignment.groups for reassignment in _reassignments(context)
+    )
 
 
-@then("2 groups of one domain are to change over to large together")
-def step_together(context):
-    first = _changes(context)[0]
+@then("2 groups of one domain are to be reassigned to large together")
+def step_reassigned_together(context):
+    first = _reassignments(context)[0]
     assert first.model == "large" and len(first.groups) == 2, first
 
 
 def _standby(context):
-    return choose_standby(context.plans, context.places, context.models, _held(context))
+    return choose_standby(
+        context.plans,
+        context.data_centres,
+        context.models,
+        _warm_member_counter(context),
+    )
 
 
 @then(
-    "hosts of {number:d} groups of large are to hold small, in {places:d} data centres"
+    "hosts of {number:d} groups of large are to store small, in {data_centres:d} data "
+    "centres"
 )
-def step_standby(context, number, places):
+def step_standby_groups(context, number, data_centres):
     chosen = _standby(context)
-    names = [name for name, model in chosen.items() if model == "small"]
-    assert len(names) == number, chosen
-    found = {context.places[name.rsplit("-", 1)[0]] for name in names}
-    assert len(found) == places, chosen
+    groups = [name for name, model in chosen.items() if model == "small"]
+    assert len(groups) == number, chosen
+    found = {context.data_centres[name.rsplit("-", 1)[0]] for name in groups}
+    assert len(found) == data_centres, chosen
 
 
-@then("no host is to hold large")
+@then("no host is to store large")
 def step_no_large(context):
     assert "large" not in _standby(context).values(), _standby(context)
 
 
-@then("the {which} group of {domain} is among those that are to hold small")
-def step_among(context, which, domain):
-    name = _group(context, which, domain)
+@then("the {which} group of {domain} is among those that are to store small")
+def step_group_on_standby(context, which, domain):
+    name = _group_name(context, which, domain)
     assert _standby(context).get(name) == "small", _standby(context)
 
 
-class _Table:
-    """Meets what :class:`GroupBalancer` uses of the plan table; always just read."""
+class _FreshPlanTable:
+    """The part of a plan table that :class:`GroupBalancer` uses, always up to date."""
 
     def __init__(self, plans):
         self.plans = plans
@@ -222,49 +238,57 @@
     )
 
 
-def _members(plan):
-    """Return the entries of all members of a plan's groups."""
+def _member_entries(plan):
+    """Return the list entries of all members of a plan's groups."""
     return [
-        _entry(member, plan.domain, GroupMembership(g.name, 1, rank, GroupState.READY))
-        for g in plan.groups
-        for rank, member in enumerate(g.members)
+        _entry(
+            member, plan.domain, GroupMembership(group.name, 1, rank, GroupState.READY)
+        )
+        for group in plan.groups
+        for rank, member in enumerate(group.members)
     ]
 
 
 @given("a coordinator of all domains")
 def step_coordinator(context):
     context.spec = ServiceSpec("llm", models=context.models, slots=13)
-    table = RouteTable(1, (), (context.spec,), CallerLimits(), {})
-    context.tools = SimpleNamespace(table=table, fleet=FleetView())
-    context.newcomers = ()
+    route_table = RouteTable(1, (), (context.spec,), CallerLimits(), {})
+    context.coordinator_context = SimpleNamespace(table=route_table, fleet=FleetView())
+    context.added_entries = ()
 
 
-@when("{number:d} engines come to {domain}")
-def step_come(context, number, domain):
-    context.newcomers = tuple(_entry(f"new-{n}", domain) for n in range(number))
+@when("{number:d} engines are added to {domain}")
+def step_add_engines(context, number, domain):
+    context.added_entries = tuple(_entry(f"new-{n}", domain) for n in range(number))
 
 
-async def _chosen_after(context, seconds):
-    domains = DomainTracker(context.tools)
+async def _reassignments_after(context, seconds):
+    domains = DomainTracker(context.coordinator_context)
     for plan in context.plans.values():
-        domains.update_entries(_members(plan))
+        domains.update_entries(_member_entries(plan))
     await asyncio.sleep(10.0)
-    domains.update_entries(context.newcomers)
+    domains.update_entries(context.added_entries)
     await asyncio.sleep(seconds)
     now = asyncio.get_running_loop().time()
-    balancing = GroupBalancer(context.tools, domains, _Table(context.plans))
-    await balancing.rebalance(context.spec, set(context.plans), now)
+    balancer = GroupBalancer(
+        context.coordinator_context, domains, _FreshPlanTable(context.plans)
+    )
+    await balancer.rebalance(context.spec, set(context.plans), now)
     return [
-        c for domain in context.plans for c in balancing.changes_to_begin(domain, now)
+        reassignment
+        for domain in context.plans
+        for reassignment in balancer.changes_to_begin(domain, now)
     ]
 
 
-@then("after {seconds:d} s it has chosen nothing")
-def step_chosen_nothing(context, seconds):
-    assert not run_paused(_chosen_after(context, seconds))
+@then("after {seconds:d} s it has chosen no reassignment")
+def step_no_reassignment_after(context, seconds):
+    assert not run_paused(_reassignments_after(context, seconds))
 
 
-@then("after {seconds:d} s it has chosen changes to small")
-def step_chosen(context, seconds):
-    changes = run_paused(_chosen_after(context, seconds))
-    assert {change.model for change in changes} == {"small"}, changes
+@then("after {seconds:d} s it has chosen reassignments to small")
+def step_reassignments_after(context, seconds):
+    reassignments = run_paused(_reassignments_after(context, seconds))
+    assert {reassignment.model for reassignment in reassignments} == {"small"}, (
+        reassignments
+    )
--- a/features/steps/evidence_steps.py
+++ b/features/steps/evidence_steps.py
@@ -1,4 +1,4 @@
-"""Steps over what is known of an engine, and how old that is."""
+"""Steps for the age of evidence about an engine."""
 
 from behave import given, then, when
 
@@ -36,27 +36,29 @@
 
 
 @given(
-    "an engine whose reports say from {at:f} s that it is in no group, with 5 orders"
+    "an engine whose reports since {requested_at:f} s say that it is in no group, with "
+    "5 orders"
 )
-def step_reports_none(context, at):
+def step_reports_ungrouped(context, requested_at):
     context.engine = ObservedEngine(_entry(_membership(3)))
-    context.engine.update_from_report(EngineReport(5, None, ()), at)
+    context.engine.update_from_report(EngineReport(5, None, ()), requested_at)
 
 
-@when("a report asked for at {at:f} s says the same")
-def step_same(context, at):
-    context.engine.update_from_report(EngineReport(5, None, ()), at)
+@when("a report requested at {requested_at:f} s says the same")
+def step_same_report(context, requested_at):
+    context.engine.update_from_report(EngineReport(5, None, ()), requested_at)
 
 
 @when(
-    "a report asked for at {at:f} s says that it is in no group, with {orders:d} orders"
+    "a report requested at {requested_at:f} s says that it is in no group, with "
+    "{orders:d} orders"
 )
-def step_other_count(context, at, orders):
-    context.engine.update_from_report(EngineReport(orders, None, ()), at)
+def step_report_with_count(context, requested_at, orders):
+    context.engine.update_from_report(EngineReport(orders, None, ()), requested_at)
 
 
-@then("it has been away for {seconds:f} s")
-def step_away(context, seconds):
+@then("it has been ungrouped for {seconds:f} s")
+def step_ungrouped_for(context, seconds):
     assert abs(context.engine.ungrouped_s - seconds) < 1e-6, context.engine.ungrouped_s
 
 
@@ -65,55 +67,58 @@
     context.engine = ObservedEngine(_entry(_membership(epoch)))
 
 
-@when("the list says that it is in no group")
-def step_list(context):
+@when("the target list says that it is in no group")
+def step_listed_ungrouped(context):
     context.engine.update_from_entry(_entry())
 
 
 @when("a report says that it is in group g1 at epoch {epoch:d}")
-def step_report_group(context, epoch):
+def step_report_in_group(context, epoch):
     context.engine.update_from_report(EngineReport(5, _membership(epoch), ()), 11.0)
 
 
-@then("it is known in epoch {epoch:d}")
+@then("its known epoch is {epoch:d}")
 def step_known_epoch(context, epoch):
     assert context.engine.membership.epoch == epoch
 
 
-@given("a domain whose engine refused an order at {at:f} s as its count differed")
-def step_refused(context, at):
+@given(
+    "a domain whose engine refused an order at {at:f} s because its order count "
+    "differed"
+)
+def step_refused_order(context, at):
     context.engine = ObservedEngine(_entry())
     context.engine.mark_order_refused(at)
     group = PlannedGroup("g1", "large", 4, ("e1",))
     context.plan = DomainPlan("north", 3, (group,))
 
 
-def _kinds(context, now):
+def _step_kinds(context, now):
     engines, models = {"e1": context.engine}, {"large": LARGE}
     steps = next_steps(context.plan, engines, models, STALL_S, now)
     return [step.kind for step in steps]
 
 
-@then("nothing is asked at {now:f} s")
-def step_not_asked(context, now):
-    assert _kinds(context, now) == []
+@then("no report is requested at {now:f} s")
+def step_no_report_requested(context, now):
+    assert _step_kinds(context, now) == []
 
 
-@then("it is asked at {now:f} s")
-def step_asked(context, now):
-    assert _kinds(context, now) == [StepKind.ASK]
+@then("a report is requested at {now:f} s")
+def step_report_requested(context, now):
+    assert _step_kinds(context, now) == [StepKind.ASK]
 
 
 @given("a retired group whose head is lost, with {engine} that left at {at:f} s")
-def step_retired(context, engine, at):
+def step_retired_group(context, engine, at):
     context.engine = ObservedEngine(_entry())
     context.engine.update_from_report(EngineReport(5, None, ()), at)
     group = PlannedGroup("g1", "large", 4, ("e0", "e1"), is_retired=True)
     context.plan = DomainPlan("north", 3, (group,))
 
 
-@when("it becomes known at {now:f} s that its group is given up")
-def step_given_up(context, now):
+@when("its group becomes known as retired at {now:f} s")
+def step_retirement_known(context, now):
     domain = ObservedDomain()
     domain.engines["e1"] = context.engine
     group = PlannedGroup("g1", "large", 3, ("e1",), is_retired=True)
@@ -121,9 +126,9 @@
 
 
 @given(
-    "engines e1 and e2, ready in g1 at epoch {epoch:d}, of which it has told e1 to open"
+    "engines e1 and e2, ready in g1 at epoch {epoch:d}, with an open order sent to e1"
 )
-def step_told_to_open(context, epoch):
+def step_open_order_sent(context, epoch):
     context.engines = {}
     for rank, name in enumerate(("e1", "e2")):
         membership = GroupMembership("g1", epoch, rank, GroupState.READY, "small")
@@ -135,13 +140,13 @@
     )
 
 
-@when("a plan holds them in g2 instead")
-def step_instead(context):
+@when("a plan assigns them to g2 instead")
+def step_planned_in_g2(context):
     group = PlannedGroup("g2", "small", 5, ("e1", "e2"))
     context.plan = DomainPlan("north", 5, (group,))
 
 
-@then("e1 and e2 are told to leave g1 and nobody is joined")
+@then("e1 and e2 are ordered to leave g1 and no engine is ordered to join")
 def step_both_leave(context):
     steps = next_steps(context.plan, context.engines, {}, STALL_S, 10.1)
     orders = [(step.engine, step.order.operation, step.order.group) for step in steps]
@@ -150,7 +155,7 @@
     )
 
 
-def _domain(context):
+def _observed_domain(context):
     context.domain = getattr(context, "domain", None) or ObservedDomain()
     context.domain.engines["e1"] = context.engine
     return context.domain
@@ -158,18 +163,20 @@
 
 @when("another coordinator's plan without groups becomes known at {now:f} s")
 def step_other_plan(context, now):
-    _domain(context).update_from_plan(DomainPlan("north", 9), now)
+    _observed_domain(context).update_from_plan(DomainPlan("north", 9), now)
 
 
 @then("it is free in a domain without groups")
-def step_is_free(context):
-    assert is_free(DomainPlan("north"), _domain(context), context.engine, STALL_S)
+def step_free_without_groups(context):
+    assert is_free(
+        DomainPlan("north"), _observed_domain(context), context.engine, STALL_S
+    )
 
 
-@then("it is not free, and is asked")
-def step_is_not_free(context):
+@then("it is not free, and a report is requested")
+def step_not_free_and_requested(context):
     plan = DomainPlan("north")
-    assert not is_free(plan, _domain(context), context.engine, STALL_S)
+    assert not is_free(plan, _observed_domain(context), context.engine, STALL_S)
     steps = next_steps(plan, {"e1": context.engine}, {}, STALL_S, 21.0)
     assert [step.kind for step in steps] == [StepKind.ASK], steps
 
@@ -177,7 +184,7 @@
 @given(
     "a planned group g2 of e1 and e2, which are in the open group g1 at epoch {epoch:d}"
 )
-def step_open_elsewhere(context, epoch):
+def step_members_of_open_group(context, epoch):
     context.engines = {}
     for rank, engine in enumerate(("e1", "e2")):
         state = GroupState.READY if rank else GroupState.OPEN
@@ -189,15 +196,15 @@
     context.plan = DomainPlan("north", epoch + 1, (group,))
 
 
-@then("e1 is told to leave g1 and nobody is joined")
-def step_only_leave(context):
+@then("e1 is ordered to leave g1 and no engine is ordered to join")
+def step_only_e1_leaves(context):
     steps = next_steps(context.plan, context.engines, {}, STALL_S, 30.0)
     orders = [(step.engine, step.order.operation, step.order.group) for step in steps]
     assert orders == [("e1", OrderOperation.LEAVE, "g1")], orders
 
 
 @given("an engine that reported group g1 and began to leave it, and no plan")
-def step_left_unknown(context):
+def step_leaving_unplanned_group(context):
     context.engine = ObservedEngine(_entry(_membership(3)))
     context.engine.update_from_report(EngineReport(5, _membership(3), ()), 10.0)
     leave = EngineOrder(OrderOperation.LEAVE, 5, group="g1", epoch=3)
@@ -205,14 +212,14 @@
     context.plan = DomainPlan("north")
 
 
-@then("it is asked")
-def step_is_asked(context):
-    assert _kinds(context, 11.0) == [StepKind.ASK], _kinds(context, 11.0)
+@then("a report of it is requested")
+def step_its_report_requested(context):
+    assert _step_kinds(context, 11.0) == [StepKind.ASK], _step_kinds(context, 11.0)
 
 
-@then("it is free, and not asked any more")
-def step_is_free(context):
+@then("it is free, and no further report is requested")
+def step_free_and_not_requested(context):
     domain = ObservedDomain()
     domain.engines["e1"] = context.engine
     assert is_free(context.plan, domain, context.engine, STALL_S)
-    assert _kinds(context, 12.5) == [], _kinds(context, 12.5)
+    assert _step_kinds(context, 12.5) == [], _step_kinds(context, 12.5)
--- a/features/steps/practice_steps.py
+++ b/features/steps/practice_steps.py
@@ -1,4 +1,4 @@
-"""Steps over spares that practise a join."""
+"""Steps for warm-up joins of spares."""
 
 import asyncio
 import random
@@ -37,33 +37,34 @@
     )
 
 
-def _alone(state):
+def _warmup_membership(state):
     return GroupMembership("d1-e1.alone", 7, 0, state, "large")
 
 
 def _report(context, membership):
     report = EngineReport(1, membership, ("large",), incarnation=1)
-    context.knowledge.update_from_report("e1", report, 5.0)
+    context.observed.update_from_report("e1", report, 5.0)
 
 
 @given(
-    "a spare that holds {held}, joined {joined} last, and has {orders} orders by report"
+    "a spare that stores {stored}, joined {joined} last, and has {orders} orders by "
+    "report"
 )
-def step_spare(context, held, joined, orders):
-    staged = () if held == "nothing" else (held,)
-    context.knowledge = ObservedDomain()
-    context.knowledge.update_from_entry(_entry(staged))
-    engine = context.knowledge.engines["e1"]
+def step_spare(context, stored, joined, orders):
+    staged = () if stored == "nothing" else (stored,)
+    context.observed = ObservedDomain()
+    context.observed.update_from_entry(_entry(staged))
+    engine = context.observed.engines["e1"]
     engine.joined_model = None if joined == "nothing" else joined
     engine.order_count = None if orders == "no" else int(orders)
 
 
 @then("in a domain of large it is to {do}")
 def step_is_to(context, do):
-    step = warmup_step(PLAN, context.knowledge.engines["e1"], ["large"])
-    if do == "rest":
+    step = warmup_step(PLAN, context.observed.engines["e1"], ["large"])
+    if do == "do nothing":
         assert step is None, step
-    elif do == "be asked for its count":
+    elif do == "be asked for a report":
         assert step.kind is StepKind.ASK, step
     else:
         order = step.order
@@ -73,29 +74,29 @@
         assert order.epoch == PLAN.version and order.model == "large", order
 
 
-@given("a spare that is joining a group of its own")
-def step_joining(context):
-    context.knowledge = ObservedDomain()
-    context.knowledge.update_from_entry(_entry())
-    _report(context, _alone(GroupState.JOINING))
+@given("a spare that is joining a warm-up group")
+def step_joining_warmup_group(context):
+    context.observed = ObservedDomain()
+    context.observed.update_from_entry(_entry())
+    _report(context, _warmup_membership(GroupState.JOINING))
 
 
 def _steps(context):
-    return next_steps(PLAN, context.knowledge.engines, {}, STALL_S, 10.0)
+    return next_steps(PLAN, context.observed.engines, {}, STALL_S, 10.0)
 
 
-@then("nothing is ordered")
-def step_nothing(context):
+@then("no order is sent")
+def step_no_order(context):
     assert _steps(context) == []
 
 
-@when("it is ready there")
+@when("it is ready in that group")
 def step_ready(context):
-    _report(context, _alone(GroupState.READY))
+    _report(context, _warmup_membership(GroupState.READY))
 
 
-@then("it is told to leave that group")
-def step_leave(context):
+@then("it is ordered to leave that group")
+def step_ordered_to_leave(context):
     (step,) = _steps(context)
     assert step.order.operation is OrderOperation.LEAVE, step
     assert step.order.group == "d1-e1.alone", step
@@ -103,72 +104,72 @@
 
 @then("it counts as free")
 def step_is_free(context):
-    engine = context.knowledge.engines["e1"]
-    assert is_free(PLAN, context.knowledge, engine, STALL_S)
+    engine = context.observed.engines["e1"]
+    assert is_free(PLAN, context.observed, engine, STALL_S)
 
 
-@given("a stray in the group {group} of a domain called {domain}")
-def step_stray(context, group, domain):
-    context.knowledge = ObservedDomain()
-    found = GroupMembership(group, 7, 1, GroupState.READY, "large")
-    context.knowledge.update_from_entry(
-        _entry()._replace(domain=domain, membership=found)
+@given("an unplanned member of the group {group} in a domain called {domain}")
+def step_unplanned_member(context, group, domain):
+    context.observed = ObservedDomain()
+    membership = GroupMembership(group, 7, 1, GroupState.READY, "large")
+    context.observed.update_from_entry(
+        _entry()._replace(domain=domain, membership=membership)
     )
 
 
 @then("it does not count as free")
 def step_not_free(context):
-    engine = context.knowledge.engines["e1"]
-    assert not is_free(PLAN, context.knowledge, engine, STALL_S)
+    engine = context.observed.engines["e1"]
+    assert not is_free(PLAN, context.observed, engine, STALL_S)
 
 
-LIST_S = 0.25
-LOOK_S = 0.05
+LIST_INTERVAL_S = 0.25
+CHECK_INTERVAL_S = 0.05
 LOST_AT_S = 12.0
-PATIENCE_S = 20.0
+REPAIR_TIMEOUT_S = 20.0
 
 
-class _Tools:
+class _CoordinatorContext:
     table = RouteTable(
         1, (), (ServiceSpec(SERVICE, models=(LARGE,), slots=13),), CallerLimits(), {}
     )
     fleet = FleetView()
 
 
-async def _list(world, coordinator):
-    listed = set()
+async def _update_target_list(world, coordinator):
+    previous_ids = set()
     while True:
         entries = world.entries()
-        present = {entry.id for entry in entries}
-        coordinator.domains.mark_unlisted(listed - present)
+        current_ids = {entry.id for entry in entries}
+        coordinator.domains.mark_unlisted(previous_ids - current_ids)
         coordinator.domains.update_entries(entries)
-        listed = present
-        await asyncio.sleep(LIST_S)
+        previous_ids = current_ids
+        await asyncio.sleep(LIST_INTERVAL_S)
 
 
-async def _repair_s():
+async def _measure_repair_s():
     """Return the seconds from the loss of a member until its group serves again."""
     faults = Faults(late=0, lost=0, unanswered=0, pause=0, store=0)
     world = World(random.Random(1), faults, (LARGE,), remembers_models=True)
     for _ in range(9):
         world.add_engine("d1", ("large",))
     coordinator = Coordinator(
-        _Tools(),
+        _CoordinatorContext(),
         world,
         world,
         ControlSettings(),
         WholeSite(lambda: True),
-        lambda news: None,
+        lambda update: None,
     )
-    running = coordinator.run(), world.run(), _list(world, coordinator)
-    tasks = [asyncio.create_task(coroutine) for coroutine in running]
+    coroutines = coordinator.run(), world.run(), _update_target_list(world, coordinator)
+    tasks = [asyncio.create_task(coroutine) for coroutine in coroutines]
     await asyncio.sleep(LOST_AT_S)
     loop = asyncio.get_running_loop()
     (head,) = [engine for engine in world.engines.values() if engine.is_open_head]
     del world.engines[head.members[-1]]
     lost_at = loop.time()
-    while loop.time() < lost_at + PATIENCE_S:
-        await asyncio.sleep(LOOK_S)
+    while loop.time() < lost_at + REPAIR_TIMEOUT_S:
+        await asyncio.sleep(CHECK_INTERVAL_S)
         if any(e.is_open_head and world.is_whole(e) for e in world.engines.values()):
             break
     for task in tasks:
@@ -176,19 +177,19 @@
     return loop.time() - lost_at
 
 
-@given("a coordinator of nine engines, one group of which serves")
-def step_nine(context):
-    context.took_s = {}
+@given("a coordinator of nine engines with one serving group")
+def step_coordinator(context):
+    context.repair_s = {}
 
 
-@when("a member of the group is lost, with practised spares and with others")
-def step_lost(context):
+@when("a member of the group is lost, with and without warm-ups of the spares")
+def step_lose_member(context):
     for policy in ("as-is", "without-practice"):
         with in_force(policy):
-            context.took_s[policy] = run_paused(_repair_s())
+            context.repair_s[policy] = run_paused(_measure_repair_s())
 
 
-@then("the group serves again at least {seconds:f} s sooner with practised spares")
-def step_sooner(context, seconds):
-    took_s = context.took_s
-    assert took_s["without-practice"] - took_s["as-is"] >= seconds, took_s
+@then("the group serves again at least {seconds:f} s sooner with warm-ups")
+def step_repaired_sooner(context, seconds):
+    repair_s = context.repair_s
+    assert repair_s["without-practice"] - repair_s["as-is"] >= seconds, repair_s
--- a/features/steps/question_steps.py
+++ b/features/steps/question_steps.py
@@ -1,4 +1,4 @@
-"""Steps over questions to engines."""
+"""Steps for report requests to engines and the silence of engines."""
 
 import asyncio
 from unittest import mock
@@ -14,12 +14,12 @@
 from cowslipcourse.groups import ObservedEngine
 from cowslipcourse.ports import EngineReport, TargetEntry
 
-TRIP_S = 0.003
+ROUND_TRIP_S = 0.003
 SETTINGS = ControlSettings()
 
 
-class _SlowProcess:
-    """A control whose calls share one slow processor: half to send, half to read."""
+class _SlowEngineControl:
+    """Engine control whose calls share a processor: half to send, half to read."""
 
     def __init__(self, call_s):
         self._call_s = call_s
@@ -28,207 +28,229 @@
     async def report(self, entry):
         try:
             async with asyncio.timeout(SETTINGS.report_timeout_s):
-                await self._work()
-                await asyncio.sleep(TRIP_S)
-                await self._work()
+                await self._use_processor()
+                await asyncio.sleep(ROUND_TRIP_S)
+                await self._use_processor()
         except TimeoutError as error:
-            raise TargetUnreachable("too late") from error
+            raise TargetUnreachable(
+                "no report in time: the processor is busy"
+            ) from error
         return EngineReport(1, None, ())
 
-    async def _work(self):
+    async def _use_processor(self):
         async with self._processor:
             await asyncio.sleep(self._call_s / 2)
 
 
-class _Deaf:
-    """A control that gets no answer, in a process that stands still at times."""
+class _UnansweredEngineControl:
+    """Engine control without answers, in a process that pauses during each request."""
 
     def __init__(self, pause_s):
         self._pause_s = pause_s
-        self.questions = 0
+        self.request_count = 0
 
     async def report(self, entry):
-        self.questions += 1
+        self.request_count += 1
         await asyncio.sleep(SETTINGS.report_timeout_s + self._pause_s)
-        raise TargetUnreachable("no answer")
+        raise TargetUnreachable("no answer to the report request")
 
 
 def _engine(number):
     return ObservedEngine(TargetEntry(f"e{number}", "llm", "a:1", "dc", 13))
 
 
-def _ask_all(context, make_control, seconds):
+def _request_all_reports(context, make_control, seconds):
     async def run():
-        heard = []
+        reported = []
         context.control = make_control()
-        calls = EngineClient(
+        engine_client = EngineClient(
             context.control,
             SETTINGS,
-            lambda engine, report, asked_at: heard.append(engine.id),
+            lambda engine, report, requested_at: reported.append(engine.id),
             lambda: None,
             None,
         )
         for engine in context.engines:
-            calls.request_report(engine)
+            engine_client.request_report(engine)
         await asyncio.sleep(seconds)
-        context.heard = heard
+        context.reported = reported
 
     run_paused(run())
 
 
-def _silent(context):
+def _silent_ids(context):
     return [e.id for e in context.engines if e.silent_since is not None]
 
 
 @given(
-    "{number:d} sound engines and a coordinator whose calls take {call_ms:d} ms of its "
-    "time each"
+    "{number:d} healthy engines and a coordinator whose calls take {call_ms:d} ms of "
+    "processor time each"
 )
-def step_sound(context, number, call_ms):
-    context.engines = [_engine(each) for each in range(number)]
+def step_healthy_engines(context, number, call_ms):
+    context.engines = [_engine(index) for index in range(number)]
     context.call_s = call_ms / 1000
 
 
-@when("it asks them all at once")
-def step_ask_all(context):
-    _ask_all(context, lambda: _SlowProcess(context.call_s), 8)
+@when("it requests reports of all of them at once")
+def step_request_all(context):
+    _request_all_reports(context, lambda: _SlowEngineControl(context.call_s), 8)
 
 
-@when("it asks them all at once, with no limit on the calls under way")
-def step_ask_unlimited(context):
+@when(
+    "it requests reports of all of them at once, with no limit on concurrent requests"
+)
+def step_request_all_unlimited(context):
     with mock.patch.object(engine_calls, "MAX_CONCURRENT_REPORTS", 10_000):
-        _ask_all(context, lambda: _SlowProcess(context.call_s), 8)
+        _request_all_reports(context, lambda: _SlowEngineControl(context.call_s), 8)
 
 
-@then("all are heard within 8 s and none is silent")
-def step_all_heard(context):
-    assert len(set(context.heard)) == len(context.engines), len(context.heard)
-    assert not _silent(context), len(_silent(context))
+@then("all have reported within 8 s and none is silent")
+def step_all_reported(context):
+    assert len(set(context.reported)) == len(context.engines), len(context.reported)
+    assert not _silent_ids(context), len(_silent_ids(context))
 
 
 @then("more than {number:d} seem silent")
 def step_seem_silent(context, number):
-    assert len(_silent(context)) > number, len(_silent(context))
+    assert len(_silent_ids(context)) > number, len(_silent_ids(context))
 
 
 class _Domain:
+    """A domain with its engines by id."""
+
     def __init__(self, engines):
         self.engines = {engine.id: engine for engine in engines}
 
 
 class _Domains:
+    """All domains by name."""
+
     def __init__(self, by_name):
         self.by_name = by_name
 
 
-class _Reach:
-    """A control that reaches the engines which a scenario leaves it."""
+class _PartitionedEngineControl:
+    """Engine control that cannot reach some engines.
+
+    :param unreachable: ids of these engines.
+    """
 
-    def __init__(self, unreached):
-        self._unreached = unreached
+    def __init__(self, unreachable):
+        self._unreachable = unreachable
 
     async def report(self, entry):
-        if entry.id in self._unreached:
+        if entry.id in self._unreachable:
             await asyncio.sleep(SETTINGS.report_timeout_s)
-            raise TargetUnreachable("no answer")
-        await asyncio.sleep(TRIP_S)
+            raise TargetUnreachable("no answer to the report request")
+        await asyncio.sleep(ROUND_TRIP_S)
         return EngineReport(1, None, ())
 
 
-@given("a coordinator that keeps {own:d} of {all_:d} domains of {size:d} engines")
-def step_keeps(context, own, all_, size):
+@given("a coordinator that owns {owned:d} of {total:d} domains of {size:d} engines")
+def step_coordinator(context, owned, total, size):
     by_name = {
-        f"d{number}": _Domain(_engine(number * size + each) for each in range(size))
-        for number in range(all_)
+        f"d{number}": _Domain(_engine(number * size + index) for index in range(size))
+        for number in range(total)
     }
     context.domains = _Domains(by_name)
-    context.tended = [f"d{number}" for number in range(own)]
+    context.owned_domains = [f"d{number}" for number in range(owned)]
 
 
-def _ask_domains(context, asked, unreached):
-    context.doubted_at = None
+def _request_domain_reports(context, engines, unreachable):
+    context.isolated_at = None
 
     async def run():
         loop = asyncio.get_running_loop()
-        begun = loop.time()
+        started_at = loop.time()
 
-        def look():
-            links.check(context.tended, loop.time())
-            if links.isolated_until and context.doubted_at is None:
-                context.doubted_at = loop.time() - begun
+        def check_isolation():
+            detector.check(context.owned_domains, loop.time())
+            if detector.isolated_until and context.isolated_at is None:
+                context.isolated_at = loop.time() - started_at
 
-        def heard(engine, report, asked_at):
+        def on_report(engine, report, requested_at):
             engine.silent_since = None
 
-        calls = EngineClient(_Reach(unreached), SETTINGS, heard, look, None)
-        links = IsolationDetector(context.domains, calls)
+        engine_client = EngineClient(
+            _PartitionedEngineControl(unreachable),
+            SETTINGS,
+            on_report,
+            check_isolation,
+            None,
+        )
+        detector = IsolationDetector(context.domains, engine_client)
         for _ in range(4):
-            for engine in asked:
-                calls.request_report(engine)
+            for engine in engines:
+                engine_client.request_report(engine)
             await asyncio.sleep(1.0)
             context.silent = {
                 engine.id
-                for name in context.tended
+                for name in context.owned_domains
                 for engine in context.domains.by_name[name].engines.values()
                 if engine.silent_since is not None
             }
-            if context.doubted_at is not None:
+            if context.isolated_at is not None:
                 return
 
     run_paused(run())
 
 
-@when("one of its domains goes dark, and it asks that domain's engines for 4 s")
-def step_dark_domain(context):
-    dark = context.domains.by_name["d0"].engines
-    _ask_domains(context, list(dark.values()), set(dark))
+@when(
+    "one of its domains becomes unreachable, and it requests reports of its engines "
+    "for 4 s"
+)
+def step_unreachable_domain(context):
+    unreachable = context.domains.by_name["d0"].engines
+    _request_domain_reports(context, list(unreachable.values()), set(unreachable))
 
 
-@when("it reaches no engine, and asks those of its domains for 4 s")
+@when("it reaches no engine, and requests reports of those of its domains for 4 s")
 def step_reaches_none(context):
     domains = context.domains.by_name
-    own = [e for name in context.tended for e in domains[name].engines.values()]
-    everyone = {each for domain in domains.values() for each in domain.engines}
-    _ask_domains(context, own, everyone)
+    owned = [
+        e for name in context.owned_domains for e in domains[name].engines.values()
+    ]
+    all_ids = {engine_id for d in domains.values() for engine_id in d.engines}
+    _request_domain_reports(context, owned, all_ids)
 
 
-@then("it goes on coordinating, and those {number:d} engines are silent")
-def step_goes_on(context, number):
-    assert context.doubted_at is None and len(context.silent) == number
+@then("it continues to coordinate, and those {number:d} engines are silent")
+def step_continues(context, number):
+    assert context.isolated_at is None and len(context.silent) == number
 
 
 @then(
-    "it stops to coordinate within {seconds:f} s, and calls no engine of its domains "
+    "it stops coordinating within {seconds:f} s, and finds no engine of its domains "
     "silent"
 )
-def step_stops(context, seconds):
-    assert context.doubted_at is not None and context.doubted_at <= seconds
+def step_stops_coordinating(context, seconds):
+    assert context.isolated_at is not None and context.isolated_at <= seconds
     assert not context.silent, context.silent
 
 
 @given("an engine that never answers")
-def step_deaf(context):
+def step_unanswered(context):
     context.engines, context.pause_s = [_engine(1)], 0.0
 
 
 @given(
-    "an engine that never answers, and a process that stands still for {pause_s:f} s "
-    "in each question"
+    "an engine that never answers, and a process that pauses for {pause_s:f} s in each "
+    "request"
 )
-def step_deaf_pause(context, pause_s):
+def step_unanswered_with_pause(context, pause_s):
     context.engines, context.pause_s = [_engine(1)], pause_s
 
 
-@when("it is asked")
-def step_ask(context):
-    _ask_all(context, lambda: _Deaf(context.pause_s), 10)
+@when("a report is requested")
+def step_request(context):
+    _request_all_reports(context, lambda: _UnansweredEngineControl(context.pause_s), 10)
 
 
-@then("it is silent after {number:d} questions")
-def step_silent(context, number):
-    assert _silent(context) and context.control.questions == number
+@then("it is silent after {number:d} report requests")
+def step_is_silent(context, number):
+    assert _silent_ids(context) and context.control.request_count == number
 
 
-@then("it is not silent after {number:d} questions")
+@then("it is not silent after {number:d} report requests")
 def step_not_silent(context, number):
-    assert not _silent(context) and context.control.questions == number
+    assert not _silent_ids(context) and context.control.request_count == number
