--- a/features/support/daemon_network.py
+++ b/features/support/daemon_network.py
@@ -131,7 +131,9 @@
         in_flight = {f"i-{target * 0x123457:010x}": 1 for target in busy_targets}
         in_flight |= self.extra_in_flight
         if self.registrar is not None:
-            self.member = self.member._replace(registration=self.registrar.version)
+            self.member = self.member._replace(
+                registration_version=self.registrar.version
+            )
         heartbeat = Heartbeat(self.member, self._sequence, True, 99, in_flight, {})
         return heartbeat._replace(interval_s=self.heartbeat_interval_s())
 
