--- a/cowslipcourse/adapters/answers.py
+++ b/cowslipcourse/adapters/answers.py
@@ -8,13 +8,13 @@
 
 import msgspec
 
-__all__ = ["Answer", "json_answer", "one_path_app", "problem_answer"]
+__all__ = ["BufferedResponse", "json_response", "problem_response", "single_path_app"]
 
 NOT_FOUND = 404
 METHOD_NOT_ALLOWED = 405
 
 
-class Answer:
+class BufferedResponse:
     """An answer in one piece.
 
     :param body: bytes.
@@ -45,15 +45,17 @@
         await send({"type": "http.response.body", "body": body})
 
 
-def json_answer(value, status=200, headers=None):
+def json_response(value, status=200, headers=None):
     """Return a JSON answer.
 
     :param value: anything that msgspec encodes.
     """
-    return Answer(msgspec.json.encode(value), status, headers, "application/json")
+    return BufferedResponse(
+        msgspec.json.encode(value), status, headers, "application/json"
+    )
 
 
-def problem_answer(error, headers=None):
+def problem_response(error, headers=None):
     """Return a problem+json answer for a failed request.
 
     :param error: :class:`~cowslipcourse.exceptions.RequestError`
@@ -72,23 +74,24 @@
         whole_s = max(1, round(error.retry_after_s + 0.49))
         headers.setdefault("Retry-After", str(whole_s))
     body = msgspec.json.encode(content)
-    return Answer(body, error.status, headers, "application/problem+json")
+    return BufferedResponse(body, error.status, headers, "application/problem+json")
 
 
-def one_path_app(path, respond):
+def single_path_app(path, respond):
     """Return an application that answers GET on one path.
 
     :param path: the path.
-    :param respond: takes the query's last values by name; returns an :class:`Answer`.
+    :param respond: callable that takes the query's last values by name and returns a
+        :class:`BufferedResponse`.
     """
 
     async def app(scope, receive, send):
         if scope["type"] != "http":
             return
         if scope["path"] != path:
-            answer = Answer(status=NOT_FOUND)
+            answer = BufferedResponse(status=NOT_FOUND)
         elif scope["method"] not in ("GET", "HEAD"):
-            answer = Answer(status=METHOD_NOT_ALLOWED)
+            answer = BufferedResponse(status=METHOD_NOT_ALLOWED)
         else:
             answer = respond(dict(parse_qsl(scope["query_string"].decode("latin-1"))))
         await answer(scope, receive, send)
--- a/cowslipcourse/adapters/peer/__init__.py
+++ b/cowslipcourse/adapters/peer/__init__.py
@@ -1,6 +1,6 @@
 """gRPC between the daemons of the system."""
 
-from cowslipcourse.adapters.peer.network import GrpcPeers
+from cowslipcourse.adapters.peer.network import GrpcPeerNetwork
 from cowslipcourse.adapters.peer.tls import TlsFiles
 
-__all__ = ["GrpcPeers", "TlsFiles"]
+__all__ = ["GrpcPeerNetwork", "TlsFiles"]
--- a/cowslipcourse/adapters/peer/codec.py
+++ b/cowslipcourse/adapters/peer/codec.py
@@ -14,11 +14,11 @@
 )
 
 __all__ = [
-    "decode_answer",
     "decode_heartbeat",
-    "encode_answer",
+    "decode_heartbeat_answer",
     "encode_heartbeat",
-    "lists_from_rows",
+    "encode_heartbeat_answer",
+    "member_lists_from_rows",
     "members_from_rows",
     "members_to_rows",
 ]
@@ -35,7 +35,7 @@
     return {m.name: m._replace(role=Role(m.role)) for m in members}
 
 
-def lists_from_rows(rows):
+def member_lists_from_rows(rows):
     """Return member lists from plain lists."""
     return tuple(msgspec.convert(row, MemberList) for row in rows)
 
@@ -49,7 +49,7 @@
 def _decode_revision(content):
     value = msgspec.json.decode(content)
     members = members_from_rows(value.pop("members"))
-    lists = lists_from_rows(value.pop("lists"))
+    lists = member_lists_from_rows(value.pop("lists"))
     return Revision(members=members, lists=lists, **value)
 
 
@@ -71,7 +71,7 @@
     )
 
 
-def encode_answer(answer):
+def encode_heartbeat_answer(answer):
     """Return a ``HeartbeatReply``."""
     reply = peer_pb2.HeartbeatReply(
         incarnation=answer.incarnation,
@@ -94,7 +94,7 @@
     return reply
 
 
-def decode_answer(reply):
+def decode_heartbeat_answer(reply):
     """Return a :class:`~cowslipcourse.membership.HeartbeatAnswer`."""
     content = reply.revision_content
     records = (
--- a/cowslipcourse/adapters/peer/network.py
+++ b/cowslipcourse/adapters/peer/network.py
@@ -7,7 +7,7 @@
 from cowslipcourse.exceptions import PeerUnreachable
 from cowslipcourse.ports.peers import ForwardedCall, ForwardResponse
 
-__all__ = ["GrpcPeers"]
+__all__ = ["GrpcPeerNetwork"]
 
 STOP_GRACE_S = 0.5
 
@@ -27,7 +27,7 @@
 
     async def Heartbeat(self, request, context):  # noqa: N802
         answer = await self._handler.heartbeat(codec.decode_heartbeat(request))
-        return codec.encode_answer(answer)
+        return codec.encode_heartbeat_answer(answer)
 
     async def Forward(self, request, context):  # noqa: N802
         fields = {name: getattr(request, name) for name in ForwardedCall._fields}
@@ -35,7 +35,7 @@
         return peer_pb2.ForwardReply(**answer._asdict())
 
 
-class GrpcPeers:
+class GrpcPeerNetwork:
     """One server for peers, and one channel for each peer, opened on first use.
 
     :param address: ``ip:port`` to listen on.
@@ -65,7 +65,9 @@
         """See :class:`~cowslipcourse.ports.PeerNetwork`."""
         stub = await self._stub(address)
         request = codec.encode_heartbeat(heartbeat)
-        return codec.decode_answer(await _call(stub.Heartbeat, request, timeout_s))
+        return codec.decode_heartbeat_answer(
+            await _call(stub.Heartbeat, request, timeout_s)
+        )
 
     async def forward(self, address, call, timeout_s):
         """See :class:`~cowslipcourse.ports.PeerNetwork`."""
--- a/cowslipcourse/adapters/platform.py
+++ b/cowslipcourse/adapters/platform.py
@@ -13,14 +13,14 @@
 from cowslipcourse.fleet import VM, TargetKind, VmState
 from cowslipcourse.ports import Row
 
-__all__ = ["HttpPlatform"]
+__all__ = ["HttpPlatformClient"]
 
 HTTP_CONFLICT = 409
 _NOT_SENT = (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError)
 _NETWORK = (aiohttp.ClientError, asyncio.TimeoutError, OSError)
 
 
-class HttpPlatform:
+class HttpPlatformClient:
     """Table service, object store and VM list of the platform.
 
     Meets :class:`~cowslipcourse.ports.TableService`,
--- a/cowslipcourse/adapters/targets.py
+++ b/cowslipcourse/adapters/targets.py
@@ -12,14 +12,14 @@
 import msgspec
 
 from cowslipcourse.exceptions import (
-    MalformedAnswer,
+    MalformedResponse,
     TargetRefused,
     TargetUnreachable,
 )
 from cowslipcourse.ports import EngineLoad, EngineStatus, ServiceResponse
 from cowslipcourse.quarantining import refuses_connections
 
-__all__ = ["END_EVENT", "HttpTargets"]
+__all__ = ["END_EVENT", "HttpTargetClient"]
 
 END_EVENT = b"[DONE]"
 EVENT_END = b"\n\n"
@@ -30,7 +30,7 @@
 _NETWORK = (aiohttp.ClientError, asyncio.TimeoutError, OSError)
 
 
-class HttpTargets:
+class HttpTargetClient:
     """Calls to targets; meets :class:`~cowslipcourse.ports.TargetClient`.
 
     :param settings: :class:`~cowslipcourse.settings.TargetSettings`
@@ -140,7 +140,7 @@
         except _NETWORK as error:
             raise TargetUnreachable(repr(error)) from error
         if response.headers.get("x-attempt") != attempt_id:
-            raise MalformedAnswer("answer to another call")
+            raise MalformedResponse("answer to another call")
         if response.status == HTTP_REFUSED and "x-not-started" in response.headers:
             raise TargetRefused(_reason(answer))
         return ServiceResponse(response.status, response.content_type, answer)
@@ -165,7 +165,7 @@
         prefixes = tuple(found.pop("prefixes", ()))
         return EngineStatus(**found, load=load, prefixes=prefixes)
     except (msgspec.DecodeError, TypeError, AttributeError) as error:
-        raise MalformedAnswer(f"unreadable status: {error!r}") from error
+        raise MalformedResponse(f"unreadable status: {error!r}") from error
 
 
 def _reason(answer):
@@ -183,7 +183,7 @@
     expected = (request.attempt_id, request.group, str(request.epoch))
     found = tuple(response.headers.get(n) for n in ("x-attempt", "x-group", "x-epoch"))
     if found != expected:
-        raise MalformedAnswer(f"answer of {found}, expected {expected}")
+        raise MalformedResponse(f"answer of {found}, expected {expected}")
 
 
 class _Silence:
@@ -226,7 +226,7 @@
         silence.heard = True
         *events, rest = (rest + piece).split(EVENT_END)
         if len(rest) > MAX_EVENT_BYTES:
-            raise MalformedAnswer("an event is too long")
+            raise MalformedResponse("an event is too long")
         if events:
             yield events
     if rest:
--- a/cowslipcourse/adapters/web.py
+++ b/cowslipcourse/adapters/web.py
@@ -8,7 +8,7 @@
 
 from cowslipcourse.exceptions import AddressTaken
 
-__all__ = ["StreamedAnswer", "WebServer"]
+__all__ = ["StreamedResponse", "WebServer"]
 
 
 class WebServer:
@@ -78,7 +78,7 @@
             self._server.force_exit = True
 
 
-class StreamedAnswer:
+class StreamedResponse:
     """An answer sent in pieces, with as little as possible done for each piece.
 
     If the caller leaves, the pieces are closed at once.
--- a/cowslipcourse/controller/api.py
+++ b/cowslipcourse/controller/api.py
@@ -8,7 +8,7 @@
 from starlette.applications import Starlette
 from starlette.routing import Route
 
-from cowslipcourse.adapters.answers import json_answer
+from cowslipcourse.adapters.answers import json_response
 from cowslipcourse.adapters.log import get_logger
 from cowslipcourse.config import Change, Edit, ObjectRef
 from cowslipcourse.config.objects import KINDS
@@ -121,26 +121,26 @@
         )
         if body.trial:
             made = await self._edits.plan(edit)
-            return json_answer(_made(made))
+            return json_response(_made(made))
         made = await self._edits.commit(edit)
         accepted = await self._acceptor.wait_accepted(made.revision, body.wait_s)
         missing = [] if accepted else self._acceptor.members_behind()
-        return json_answer({**_made(made), "accepted": accepted, "missing": missing})
+        return json_response({**_made(made), "accepted": accepted, "missing": missing})
 
     async def _accepted(self, request, operator):
         number = _number(request, "revision", 0)
         wait_s = min(float(_number(request, "wait_s", 0)), 60.0)
         accepted = await self._acceptor.wait_accepted(number, wait_s)
         missing = [] if accepted else self._acceptor.members_behind()
-        return json_answer({"accepted": accepted, "missing": missing})
+        return json_response({"accepted": accepted, "missing": missing})
 
     async def _configuration(self, request, operator):
         number = _number(request, "revision", None)
         number, configuration = await self._edits.read_configuration(number)
-        return json_answer({"revision": number, "configuration": configuration})
+        return json_response({"revision": number, "configuration": configuration})
 
     async def _status(self, request, operator):
-        return json_answer(
+        return json_response(
             system_status(self._context, self._acceptor, self._shard_manager)
         )
 
@@ -157,7 +157,7 @@
             and (wanted_object is None or wanted_object in record["changed"])
             and record["revision"] >= since
         ]
-        return json_answer(found[:limit])
+        return json_response(found[:limit])
 
 
 async def _read_body(request):
@@ -235,4 +235,4 @@
         content["outcome"] = "unknown" if isinstance(error, ReplyLost) else "not_run"
     else:
         log.warning("operator-request-failed", code=error.code, detail=error.detail)
-    return json_answer(content, status)
+    return json_response(content, status)
--- a/cowslipcourse/controller/main.py
+++ b/cowslipcourse/controller/main.py
@@ -3,8 +3,8 @@
 import sys
 
 from cowslipcourse.adapters.log import get_logger
-from cowslipcourse.adapters.platform import HttpPlatform
-from cowslipcourse.adapters.targets import HttpTargets
+from cowslipcourse.adapters.platform import HttpPlatformClient
+from cowslipcourse.adapters.targets import HttpTargetClient
 from cowslipcourse.adapters.web import WebServer
 from cowslipcourse.controller.acceptor import RevisionAcceptor
 from cowslipcourse.controller.api import OperatorApi
@@ -36,8 +36,8 @@
     async def run(self, stopping):
         """Work until told to stop."""
         settings = self._settings
-        platform = HttpPlatform(settings.platform, settings.daemon.name)
-        targets = HttpTargets(settings.target)
+        platform = HttpPlatformClient(settings.platform, settings.daemon.name)
+        targets = HttpTargetClient(settings.target)
         agent = Agent(settings, Role.CONTROLLER, platform)
         fleet = FleetMonitor(platform, agent, VM_LIST_POLL_S)
         context = ControllerContext(settings, agent, fleet, platform, targets)
--- a/cowslipcourse/daemon/agent.py
+++ b/cowslipcourse/daemon/agent.py
@@ -11,7 +11,7 @@
 import msgspec
 
 from cowslipcourse.adapters.log import get_logger
-from cowslipcourse.adapters.peer import GrpcPeers, TlsFiles
+from cowslipcourse.adapters.peer import GrpcPeerNetwork, TlsFiles
 from cowslipcourse.daemon.revisions import RevisionTable
 from cowslipcourse.daemon.runtime import now
 from cowslipcourse.daemon.tasks import run_forever
@@ -35,7 +35,7 @@
 class Agent:
     """Keeps this daemon in touch with its peers and the table.
 
-    :param settings: :class:`~cowslipcourse.settings.DaemonFile`
+    :param settings: :class:`~cowslipcourse.settings.BaseDaemonSettings`
     :param role: :class:`~cowslipcourse.membership.Role`
     :param table: :class:`~cowslipcourse.ports.TableService`
     :param peers: :class:`~cowslipcourse.ports.PeerNetwork`, gRPC if left out.
@@ -57,7 +57,7 @@
         self._node = MembershipNode(member, membership_times, times.record_keep_s)
         self._revisions = RevisionTable(table)
         tls = settings.tls and TlsFiles(**dict(settings.tls))
-        self._peers = peers or GrpcPeers(daemon.peer_address, tls)
+        self._peers = peers or GrpcPeerNetwork(daemon.peer_address, tls)
         self._peer_tasks = {}
         self._tasks = []
         self._sequence = 0
--- a/cowslipcourse/daemon/revisions.py
+++ b/cowslipcourse/daemon/revisions.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from cowslipcourse.adapters.peer.codec import (
-    lists_from_rows,
+    member_lists_from_rows,
     members_from_rows,
     members_to_rows,
 )
@@ -113,5 +113,5 @@
             document = await self._table.read(document_key(number))
             configuration = document.value["configuration"]
         members = members_from_rows(value["members"])
-        lists = lists_from_rows(value["lists"])
+        lists = member_lists_from_rows(value["lists"])
         return Revision(value["number"], members, configuration, number, lists)
--- a/cowslipcourse/decoding.py
+++ b/cowslipcourse/decoding.py
@@ -2,20 +2,20 @@
 
 import msgspec
 
-from cowslipcourse.exceptions import MalformedAnswer
+from cowslipcourse.exceptions import MalformedResponse
 
-__all__ = ["decoded"]
+__all__ = ["decode_untrusted"]
 
 
-def decoded(decoder, content, what):
+def decode_untrusted(decoder, content, what):
     """Return what a decoder reads from bytes.
 
     :param decoder: :class:`msgspec.json.Decoder` or :class:`msgspec.msgpack.Decoder`.
     :param content: bytes.
     :param what: says in the error what was decoded.
-    :raises MalformedAnswer: the bytes cannot be read or do not fit the type.
+    :raises MalformedResponse: the bytes cannot be read or do not fit the type.
     """
     try:
         return decoder.decode(content)
     except (msgspec.MsgspecError, ValueError, RecursionError) as error:
-        raise MalformedAnswer(f"unreadable {what}: {error}") from error
+        raise MalformedResponse(f"unreadable {what}: {error}") from error
--- a/cowslipcourse/emulator/batches.py
+++ b/cowslipcourse/emulator/batches.py
@@ -9,7 +9,7 @@
 import heapq
 import itertools
 
-from cowslipcourse.exceptions import AnswerBroken
+from cowslipcourse.exceptions import IncompleteResponse
 from cowslipcourse.ports import GroupState
 
 __all__ = ["CRASH_S", "BatchedRequest", "GroupBatch"]
@@ -166,5 +166,5 @@
     def _break_off(self):
         for request in self._running + [request for _, _, request in self._waiting]:
             if not request.is_cancelled:
-                request.break_off(AnswerBroken("the group has ended"))
+                request.break_off(IncompleteResponse("the group has ended"))
         self._running, self._waiting = [], []
--- a/cowslipcourse/entry/calls.py
+++ b/cowslipcourse/entry/calls.py
@@ -6,7 +6,7 @@
 from cowslipcourse.exceptions import (
     BadRequest,
     BodyTooLarge,
-    CallerGone,
+    CallerDisconnected,
     HeadTooLarge,
     NoConfiguration,
 )
@@ -118,7 +118,7 @@
     while True:
         message = await receive()
         if message["type"] == "http.disconnect":
-            raise CallerGone(
+            raise CallerDisconnected(
                 "the caller closed the connection before sending the whole request"
             )
         chunks.append(message.get("body", b""))
--- a/cowslipcourse/entry/engine_calls.py
+++ b/cowslipcourse/entry/engine_calls.py
@@ -3,7 +3,7 @@
 import asyncio
 
 from cowslipcourse.adapters.log import get_logger
-from cowslipcourse.exceptions import MalformedAnswer, TargetError
+from cowslipcourse.exceptions import MalformedResponse, TargetError
 from cowslipcourse.groups.orders import REJOIN_S
 from cowslipcourse.groups.views import SLOW_PACE_FACTOR
 from cowslipcourse.ports import OrderOperation, OrderResult
@@ -100,7 +100,7 @@
                 first_requested_at = first_requested_at or requested_at
                 try:
                     report = await self._control.report(engine.entry)
-                except (TargetError, MalformedAnswer) as error:
+                except (TargetError, MalformedResponse) as error:
                     failure = error
                 else:
                     self._handle_report(engine, report, requested_at)
--- a/cowslipcourse/entry/following.py
+++ b/cowslipcourse/entry/following.py
@@ -6,7 +6,7 @@
 from cowslipcourse.exceptions import (
     ConfigurationError,
     HistoryDropped,
-    MalformedAnswer,
+    MalformedResponse,
     StoreError,
 )
 
@@ -104,7 +104,7 @@
                 log.warning("history-dropped", table=self._table, version=self._version)
                 self._version = None
                 continue
-            except (StoreError, ConfigurationError, MalformedAnswer) as error:
+            except (StoreError, ConfigurationError, MalformedResponse) as error:
                 self._record_failure(error)
                 await asyncio.sleep(retry_s)
                 retry_s = min(MAX_RETRY_S, retry_s * 2)
--- a/cowslipcourse/entry/front.py
+++ b/cowslipcourse/entry/front.py
@@ -3,12 +3,12 @@
 import asyncio
 import time
 
-from cowslipcourse.adapters.answers import problem_answer
+from cowslipcourse.adapters.answers import problem_response
 from cowslipcourse.adapters.log import get_logger
 from cowslipcourse.entry.accounting import SERVED
 from cowslipcourse.entry.calls import Responder, read_call
 from cowslipcourse.entry.stopping import RequestDurations, can_finish
-from cowslipcourse.exceptions import CallerGone, GatewayDraining, RequestError
+from cowslipcourse.exceptions import CallerDisconnected, GatewayDraining, RequestError
 from cowslipcourse.platform.edge import attempt_id, retry_after_header
 
 __all__ = ["FrontApp"]
@@ -66,7 +66,7 @@
         outcome, result = "ok", _RequestResult()
         try:
             await self._serve(scope, receive, responder, result)
-        except CallerGone as error:
+        except CallerDisconnected as error:
             outcome, result.cause = error.code, error.cause
         except RequestError as error:
             outcome, result.cause = error.code, error.cause
@@ -98,7 +98,7 @@
                     model=result.model,
                     seconds=round(_now() - call.arrived_at, 3),
                 )
-                raise CallerGone("the caller closed the connection")
+                raise CallerDisconnected("the caller closed the connection")
             forwarding.result()
             self._durations.record(call.route, _now() - call.arrived_at)
         finally:
@@ -139,7 +139,7 @@
         headers = retry_after_header(error.retry_after_s)
         if self.is_draining:
             headers["Connection"] = "close"
-        await problem_answer(error, headers)(scope, receive, send)
+        await problem_response(error, headers)(scope, receive, send)
 
 
 def _now():
--- a/cowslipcourse/entry/knowledge.py
+++ b/cowslipcourse/entry/knowledge.py
@@ -15,7 +15,7 @@
 from cowslipcourse.entry.target_list import TargetList
 from cowslipcourse.exceptions import (
     ConfigurationError,
-    MalformedAnswer,
+    MalformedResponse,
     PeerUnreachable,
 )
 from cowslipcourse.peers import PeerState, TargetChanges, encode_state, split_changes
@@ -322,7 +322,7 @@
             try:
                 state = await read_state(self._session, member.peer_address, *known)
                 self._apply_peer_state(state)
-            except (PeerUnreachable, MalformedAnswer) as error:
+            except (PeerUnreachable, MalformedResponse) as error:
                 log.info("peer-not-read", peer=member.name, why=error)
                 continue
             return True
--- a/cowslipcourse/entry/outcomes.py
+++ b/cowslipcourse/entry/outcomes.py
@@ -1,8 +1,8 @@
 """Classify failed attempts by whether the request may have run. Pure functions."""
 
 from cowslipcourse.exceptions import (
-    AnswerBroken,
-    MalformedAnswer,
+    IncompleteResponse,
+    MalformedResponse,
     NoTargetAvailable,
     TargetFailed,
     TargetRefused,
@@ -28,7 +28,7 @@
         return False
     if isinstance(error, TargetUnreachable):
         return error.sent
-    return isinstance(error, AnswerBroken | MalformedAnswer | TargetSilent)
+    return isinstance(error, IncompleteResponse | MalformedResponse | TargetSilent)
 
 
 def may_retry(route, possible_runs, error):
--- a/cowslipcourse/entry/peer_link.py
+++ b/cowslipcourse/entry/peer_link.py
@@ -3,7 +3,7 @@
 import asyncio
 
 from cowslipcourse.adapters.log import get_logger
-from cowslipcourse.exceptions import AddressTaken, MalformedAnswer
+from cowslipcourse.exceptions import AddressTaken, MalformedResponse
 from cowslipcourse.peers import (
     CrashReports,
     DigestWriter,
@@ -176,7 +176,7 @@
     def _handle_datagram(self, content):
         try:
             message = decode(content)
-        except MalformedAnswer as error:
+        except MalformedResponse as error:
             log.info("datagram-unreadable", why=error)
             return
         now = asyncio.get_running_loop().time()
--- a/cowslipcourse/entry/peer_reading.py
+++ b/cowslipcourse/entry/peer_reading.py
@@ -97,7 +97,7 @@
     :param configuration_version: known version of the configuration.
     :param targets_version: known store version of the targets.
     :raises PeerUnreachable: if no successful answer arrives in time.
-    :raises MalformedAnswer: if the answer cannot be decoded.
+    :raises MalformedResponse: if the answer cannot be decoded.
     """
     known = {
         "configuration": str(configuration_version),
--- a/cowslipcourse/entry/plain.py
+++ b/cowslipcourse/entry/plain.py
@@ -7,7 +7,7 @@
 from cowslipcourse.entry.choosing import choose_target
 from cowslipcourse.entry.outcomes import NOT_EXECUTED_STATUSES
 from cowslipcourse.entry.retrying import try_targets
-from cowslipcourse.exceptions import AnswerBroken, TargetError, TargetRefused
+from cowslipcourse.exceptions import IncompleteResponse, TargetError, TargetRefused
 from cowslipcourse.platform.edge import is_not_executed, response_headers
 
 __all__ = ["UnaryForwarder"]
@@ -67,9 +67,9 @@
                 attempt.connection.abort()
                 raise
         if head.status >= 500 and call.route.is_retryable and not is_last:
-            raise AnswerBroken(f"answered {head.status}")
+            raise IncompleteResponse(f"answered {head.status}")
         if head.status in NOT_EXECUTED_STATUSES:
-            raise AnswerBroken(
+            raise IncompleteResponse(
                 f"answered {head.status} without proof that it did not run"
             )
         run.succeeded = head.status < MIN_FAILURE_STATUS
--- a/cowslipcourse/entry/plan_table.py
+++ b/cowslipcourse/entry/plan_table.py
@@ -3,7 +3,7 @@
 import asyncio
 
 from cowslipcourse.adapters.log import get_logger
-from cowslipcourse.exceptions import ConditionFailed, MalformedAnswer
+from cowslipcourse.exceptions import ConditionFailed, MalformedResponse
 from cowslipcourse.groups import DomainPlan, decode_plan, encode_plan
 from cowslipcourse.ports import RowWrite, era_of
 
@@ -91,7 +91,7 @@
         for row in snapshot.rows:
             try:
                 plan = decode_plan(row.key, row.value, row.version)
-            except MalformedAnswer as error:
+            except MalformedResponse as error:
                 # The members of its groups are unknown, so the domain is left alone.
                 log.warning("plan-unreadable", domain=row.key, why=error)
                 unreadable.add(row.key)
--- a/cowslipcourse/entry/registering.py
+++ b/cowslipcourse/entry/registering.py
@@ -3,7 +3,7 @@
 import asyncio
 
 from cowslipcourse.adapters.log import get_logger
-from cowslipcourse.exceptions import MalformedAnswer, StoreError
+from cowslipcourse.exceptions import MalformedResponse, StoreError
 from cowslipcourse.peers import Registration, decode_registration, encode_registration
 from cowslipcourse.ports import RowWrite
 
@@ -92,7 +92,7 @@
         for row in snapshot.rows:
             try:
                 registrations.append(decode_registration(row.value))
-            except MalformedAnswer as error:
+            except MalformedResponse as error:
                 log.warning("registration-unreadable", daemon=row.key, why=error)
         self._on_registrations(registrations)
         return True
--- a/cowslipcourse/entry/side_apps.py
+++ b/cowslipcourse/entry/side_apps.py
@@ -1,6 +1,6 @@
 """Applications beside the front: metrics, and the state that peers read."""
 
-from cowslipcourse.adapters.answers import Answer, one_path_app
+from cowslipcourse.adapters.answers import BufferedResponse, single_path_app
 
 __all__ = ["metrics_app", "peer_app"]
 
@@ -12,8 +12,9 @@
 
     :param metrics: :class:`~cowslipcourse.entry.metrics.EntryMetrics`
     """
-    return one_path_app(
-        "/metrics", lambda query: Answer(metrics.render(), media_type="text/plain")
+    return single_path_app(
+        "/metrics",
+        lambda query: BufferedResponse(metrics.render(), media_type="text/plain"),
     )
 
 
@@ -29,8 +30,10 @@
             configuration_version = int(query.get("configuration", 0))
             targets_version = int(query.get("targets", 0))
         except ValueError:
-            return Answer(b"versions are numbers", BAD_REQUEST, media_type="text/plain")
+            return BufferedResponse(
+                b"versions are numbers", BAD_REQUEST, media_type="text/plain"
+            )
         content = encoded_state(configuration_version, targets_version)
-        return Answer(content, media_type="application/msgpack")
+        return BufferedResponse(content, media_type="application/msgpack")
 
-    return one_path_app("/state", answer_state)
+    return single_path_app("/state", answer_state)
--- a/cowslipcourse/entry/streaming.py
+++ b/cowslipcourse/entry/streaming.py
@@ -8,7 +8,7 @@
 from cowslipcourse.entry.placing import StreamTargetChooser
 from cowslipcourse.entry.retrying import try_targets
 from cowslipcourse.entry.silence import WatchedStream
-from cowslipcourse.exceptions import AnswerBroken, TargetError, TargetRefused
+from cowslipcourse.exceptions import IncompleteResponse, TargetError, TargetRefused
 from cowslipcourse.platform.edge import is_not_executed, response_headers
 from cowslipcourse.streams import EventSplitter, StreamPosition
 
@@ -110,7 +110,7 @@
             stream.has_events = True
             await self._relay_events(progress, run, head, events)
         if splitter.has_partial_event:
-            raise AnswerBroken("the stream ended inside an event")
+            raise IncompleteResponse("the stream ended inside an event")
         run.succeeded = True
         if not responder.started:
             await responder.start(200, _stream_headers(head))
@@ -132,7 +132,7 @@
     async def _relay_error(self, head, attempt, responder):
         body = await attempt.connection.read_all()
         if responder.started or head.status in NOT_EXECUTED_STATUSES:
-            raise AnswerBroken(f"answered {head.status}")
+            raise IncompleteResponse(f"answered {head.status}")
         await responder.start(head.status, response_headers(head.headers))
         await responder.finish(body)
 
--- a/cowslipcourse/entry/target_list.py
+++ b/cowslipcourse/entry/target_list.py
@@ -9,7 +9,7 @@
 from typing import NamedTuple
 
 from cowslipcourse.adapters.log import get_logger
-from cowslipcourse.exceptions import MalformedAnswer
+from cowslipcourse.exceptions import MalformedResponse
 from cowslipcourse.platform import decode_entry
 from cowslipcourse.ports import UNKNOWN_INCARNATION
 
@@ -78,8 +78,8 @@
         try:
             entry = decode_entry(target, content)
             if entry.incarnation == UNKNOWN_INCARNATION != newest_incarnation:
-                raise MalformedAnswer("the entry no longer tells its incarnation")
-        except MalformedAnswer as error:
+                raise MalformedResponse("the entry no longer tells its incarnation")
+        except MalformedResponse as error:
             self._contents[target] = content
             return self._mark_leaving(target, content, error)
         if entry.incarnation < newest_incarnation:
--- a/cowslipcourse/exceptions.py
+++ b/cowslipcourse/exceptions.py
@@ -9,10 +9,9 @@
 __all__ = [
     "AddressTaken",
     "AdmissionError",
-    "AnswerBroken",
     "BadRequest",
     "BodyTooLarge",
-    "CallerGone",
+    "CallerDisconnected",
     "ConditionFailed",
     "ConfigurationError",
     "ConfirmationRequired",
@@ -25,12 +24,13 @@
     "GatewayDraining",
     "HeadTooLarge",
     "HistoryDropped",
+    "IncompleteResponse",
     "KeyExpired",
     "KeyHomeStopped",
     "KeyReused",
     "LeaseLost",
-    "MalformedAnswer",
     "MalformedBody",
+    "MalformedResponse",
     "NoConfiguration",
     "NoTargetAvailable",
     "NotAuthorised",
@@ -244,13 +244,13 @@
         self.reason = reason
 
 
-class MalformedAnswer(TargetError):
+class MalformedResponse(TargetError):
     """The target's answer is not the answer to the request that was sent."""
 
     code = "malformed-answer"
 
 
-class AnswerBroken(TargetError):
+class IncompleteResponse(TargetError):
     """An answer ended before it was complete."""
 
     code = "answer-broken"
@@ -439,7 +439,7 @@
     status = 504
 
 
-class CallerGone(RequestError):
+class CallerDisconnected(RequestError):
     """The caller closed its connection before the answer was complete."""
 
     code = "caller-gone"
--- a/cowslipcourse/exchange/connection.py
+++ b/cowslipcourse/exchange/connection.py
@@ -13,7 +13,11 @@
 
 import httptools
 
-from cowslipcourse.exceptions import AnswerBroken, MalformedAnswer, TargetUnreachable
+from cowslipcourse.exceptions import (
+    IncompleteResponse,
+    MalformedResponse,
+    TargetUnreachable,
+)
 from cowslipcourse.exchange.request import encode_request
 
 __all__ = ["ResponseHead", "TargetConnection"]
@@ -135,7 +139,7 @@
         """Return the :class:`ResponseHead` of the response to the last request.
 
         :raises TargetUnreachable: the connection ended before the head was received.
-        :raises MalformedAnswer: the received bytes are not an HTTP response.
+        :raises MalformedResponse: the received bytes are not an HTTP response.
         """
         while self._response is None or self._response.head is None:
             if self._closed:
@@ -148,14 +152,14 @@
     async def read(self):
         """Return the next bytes of the body; empty at its end.
 
-        :raises AnswerBroken: the response ended before it was complete.
+        :raises IncompleteResponse: the response ended before it was complete.
         """
         response = self._response
         while not response.chunks:
             if response.complete:
                 return b""
             if self._closed:
-                raise self._error or AnswerBroken(
+                raise self._error or IncompleteResponse(
                     "the connection ended before the end of the body"
                 )
             await self._wait()
@@ -170,7 +174,7 @@
     async def read_all(self):
         """Return the rest of the body.
 
-        :raises AnswerBroken: the response ended before it was complete.
+        :raises IncompleteResponse: the response ended before it was complete.
         """
         chunks_read = []
         while chunk := await self.read():
@@ -225,7 +229,7 @@
             if self._response is not None and self._response.complete:
                 self._has_stray_data = True
             else:
-                self.abort(MalformedAnswer(f"invalid HTTP response: {error!r}"))
+                self.abort(MalformedResponse(f"invalid HTTP response: {error!r}"))
         self._wake_waiter()
 
     def eof_received(self):
--- a/cowslipcourse/gateway/app.py
+++ b/cowslipcourse/gateway/app.py
@@ -4,10 +4,10 @@
 from starlette.responses import Response
 from starlette.routing import Route, Router
 
-from cowslipcourse.adapters.answers import json_answer, problem_answer
+from cowslipcourse.adapters.answers import json_response, problem_response
 from cowslipcourse.adapters.log import get_logger
 from cowslipcourse.exceptions import (
-    CallerGone,
+    CallerDisconnected,
     GatewayDraining,
     RequestError,
     RequestFailed,
@@ -23,13 +23,13 @@
 class CallerApi:
     """Routes for callers.
 
-    :param tools: :class:`~cowslipcourse.gateway.tools.GatewayTools`
-    :param chat: :class:`~cowslipcourse.gateway.chat.ChatRequests`
-    :param services: :class:`~cowslipcourse.gateway.services.ServiceRequests`
+    :param context: :class:`~cowslipcourse.gateway.tools.GatewayContext`
+    :param chat: :class:`~cowslipcourse.gateway.chat.ChatHandler`
+    :param services: :class:`~cowslipcourse.gateway.services.ServiceHandler`
     """
 
-    def __init__(self, tools, chat, services):
-        self._tools = tools
+    def __init__(self, context, chat, services):
+        self._context = context
         self._chat = chat
         self._services = services
         self._running = 0
@@ -43,8 +43,8 @@
 
     def app(self):
         """Return the ASGI application."""
-        chat = self._guarded(self._chat.answer)
-        service = self._guarded(self._services.answer)
+        chat = self._guarded(self._chat.respond)
+        service = self._guarded(self._services.respond)
         path = "/v1/services/{service}/{operation}"
         routes = [
             Route("/v1/addresses", self._addresses),
@@ -65,16 +65,16 @@
 
     async def _answer(self, handler, request):
         """Return the response of a handler, or the problem that it ended with."""
-        metrics = self._tools.metrics
+        metrics = self._context.metrics
         metrics.count("requests.received")
         try:
             if self.refusing:
                 raise GatewayDraining("use another address", 0.0)
-            call = read_call(request, self._tools.view)
-            self._tools.agent.require_serving()
+            call = read_call(request, self._context.fleet_view)
+            self._context.agent.require_serving()
             return await handler(request, call)
         except ClientDisconnect:
-            error = CallerGone()
+            error = CallerDisconnected()
         except RequestError as failed:
             error = failed
         except Exception as failed:
@@ -89,22 +89,22 @@
         request_id = request.headers.get("x-request-id", "")
         if request_id and request_id.isprintable() and request_id.isascii():
             headers["x-request-id"] = request_id[:100]
-        return problem_answer(error, headers)
+        return problem_response(error, headers)
 
     async def _addresses(self, request):
-        return json_answer(address_answer(self._tools, self.leaving))
+        return json_response(address_answer(self._context, self.leaving))
 
     async def _models(self, request):
         try:
-            call = read_call(request, self._tools.view)
+            call = read_call(request, self._context.fleet_view)
         except RequestError as error:
             return self._problem(error, request)
-        names = self._tools.view.resolved.models_for(call.workspace)
+        names = self._context.fleet_view.resolved.models_for(call.workspace)
         models = [{"id": name, "object": "model"} for name in names]
-        return json_answer({"object": "list", "data": models})
+        return json_response({"object": "list", "data": models})
 
     async def _health(self, request):
-        serving = self._tools.agent.may_serve() and not self.refusing
+        serving = self._context.agent.may_serve() and not self.refusing
         return Response("serving" if serving else "stopped", 200 if serving else 503)
 
 
--- a/cowslipcourse/gateway/callers.py
+++ b/cowslipcourse/gateway/callers.py
@@ -109,7 +109,7 @@
     """
     headers = request.headers
     key = headers.get("authorization", "").removeprefix("Bearer ")
-    workspace = view.workspace_of(hashlib.sha256(key.encode()).hexdigest())
+    workspace = view.workspace_for_key(hashlib.sha256(key.encode()).hexdigest())
     if workspace is None:
         raise NotAuthorised("the key belongs to no workspace")
     idempotency_key = headers.get(KEY_HEADER, "")
--- a/cowslipcourse/gateway/chat.py
+++ b/cowslipcourse/gateway/chat.py
@@ -5,9 +5,9 @@
 
 import msgspec
 
-from cowslipcourse.adapters.answers import json_answer
+from cowslipcourse.adapters.answers import json_response
 from cowslipcourse.adapters.log import get_logger
-from cowslipcourse.adapters.web import StreamedAnswer
+from cowslipcourse.adapters.web import StreamedResponse
 from cowslipcourse.daemon import now
 from cowslipcourse.exceptions import (
     DeadlinePassed,
@@ -20,7 +20,7 @@
 from cowslipcourse.gateway.generation import Generation
 from cowslipcourse.gateway.problems import problem_event
 
-__all__ = ["ChatRequests"]
+__all__ = ["ChatHandler"]
 
 DONE_EVENT = b"data: [DONE]\n\n"
 MAX_TOKENS = 1_000_000
@@ -76,32 +76,32 @@
     return parsed
 
 
-class ChatRequests:
+class ChatHandler:
     """Answers model requests, streamed or whole.
 
-    :param tools: :class:`~cowslipcourse.gateway.tools.GatewayTools`
+    :param context: :class:`~cowslipcourse.gateway.tools.GatewayContext`
     """
 
-    def __init__(self, tools):
-        self._tools = tools
+    def __init__(self, context):
+        self._context = context
 
-    async def answer(self, request, call):
+    async def respond(self, request, call):
         """Return the response to a model request.
 
         :param request: starlette request.
         :param call: :class:`~cowslipcourse.gateway.callers.Call`
         :raises RequestError: it ends without its answer.
         """
-        body = await read_body(request, self._tools.settings.limits.body_bytes)
+        body = await read_body(request, self._context.settings.limits.body_bytes)
         parsed = parse_chat_body(body)
-        chooser = self._tools.chooser
+        chooser = self._context.chooser
         declarations = chooser.admit(call, parsed.model)
-        running = _Running(call, body, declarations, self._tools)
+        running = _Running(call, body, declarations, self._context)
         try:
             await running.first_piece()
             if parsed.stream:
                 headers = {"x-request-id": call.request_id, "cache-control": "no-store"}
-                return StreamedAnswer(running.stream(), headers, "text/event-stream")
+                return StreamedResponse(running.stream(), headers, "text/event-stream")
         except BaseException:
             await running.close()
             raise
@@ -109,7 +109,7 @@
             text = await running.whole_text()
         finally:
             await running.close()
-        return json_answer(
+        return json_response(
             _completion(call.request_id, parsed.model, text, running.tokens),
             headers={"x-request-id": call.request_id},
         )
@@ -118,13 +118,13 @@
 class _Running:
     """One admitted model request."""
 
-    def __init__(self, call, body, declarations, tools):
+    def __init__(self, call, body, declarations, context):
         self._call = call
-        self._tools = tools
-        self._generation = Generation(call, body, declarations, tools)
-        self._pieces = self._generation.pieces()
+        self._context = context
+        self._generation = Generation(call, body, declarations, context)
+        self._pieces = self._generation.chunks()
         self._first = None
-        self._entered_at = tools.chooser.entered(call.workspace)
+        self._entered_at = context.chooser.record_admitted(call.workspace)
         self._closed = False
         self.tokens = 0
 
@@ -136,7 +136,7 @@
         except TimeoutError:
             raise self._late() from None
         took_s = now() - self._entered_at
-        self._tools.metrics.timing("first_token", took_s)
+        self._context.metrics.timing("first_token", took_s)
 
     async def stream(self):
         """Yield the answer for a streaming response."""
@@ -176,11 +176,15 @@
         self._closed = True
         await self._pieces.aclose()
         completed = self._generation.complete
-        self._tools.chooser.left(self._call.workspace, self._entered_at, completed)
-        self._tools.metrics.count("requests.completed" if completed else "requests.cut")
+        self._context.chooser.record_finished(
+            self._call.workspace, self._entered_at, completed
+        )
+        self._context.metrics.count(
+            "requests.completed" if completed else "requests.cut"
+        )
 
     def _late(self):
-        if self._generation.groups:
+        if self._generation.attempted_groups:
             return DeadlineWhileRunning("the deadline passed", 1.0)
         return DeadlinePassed("the deadline passed", 1.0)
 
--- a/cowslipcourse/gateway/chooser.py
+++ b/cowslipcourse/gateway/chooser.py
@@ -18,7 +18,7 @@
     prefix_hashes,
 )
 
-__all__ = ["Chooser"]
+__all__ = ["GroupChooser"]
 
 ANSWER_SMOOTHING = 0.1
 FIRST_ANSWER_S = 1.0
@@ -26,7 +26,7 @@
 STRAGGLER_LOOK_S = 1.0
 
 
-class Chooser:
+class GroupChooser:
     """Lets requests in and chooses their groups.
 
     :param view: :class:`~cowslipcourse.gateway.fleet_view.FleetView`
@@ -44,7 +44,7 @@
         self._stragglers_at = 0.0
         self._prefixes = PrefixMap()
         self._in_flight = InFlight()
-        self._by_workspace = {}
+        self._in_flight_by_workspace = {}
         self._reported = 0
         self._answer_s = FIRST_ANSWER_S
 
@@ -54,13 +54,13 @@
         return self._in_flight
 
     @property
-    def by_workspace(self):
+    def in_flight_by_workspace(self):
         """Requests in flight by workspace."""
-        return self._by_workspace
+        return self._in_flight_by_workspace
 
-    def reported(self):
+    def record_reported(self):
         """Note that the requests in flight were reported to the other gateways."""
-        self._reported = sum(self._by_workspace.values())
+        self._reported = sum(self._in_flight_by_workspace.values())
 
     def admit(self, call, model):
         """Let a request in.
@@ -74,22 +74,24 @@
         declarations = self._view.resolved.declarations_for(call.workspace, model)
         if not declarations:
             raise UnknownModel(f"no model {model!r} is placed for {call.workspace}")
-        grants = self._view.grants(declarations)
+        grants = self._view.group_grants(declarations)
         capacity = self._capacity(grants)
         remaining_s = call.remaining_s()
         self._admission.admit(call.workspace, call.priority, remaining_s, capacity)
         return declarations
 
-    def entered(self, workspace):
+    def record_admitted(self, workspace):
         """Note that a request of a workspace was let in; returns its start time."""
-        self._by_workspace[workspace] = self._by_workspace.get(workspace, 0) + 1
+        self._in_flight_by_workspace[workspace] = (
+            self._in_flight_by_workspace.get(workspace, 0) + 1
+        )
         return now()
 
-    def left(self, workspace, entered_at, completed):
+    def record_finished(self, workspace, entered_at, completed):
         """Note that a request of a workspace ended."""
-        self._by_workspace[workspace] -= 1
-        if not self._by_workspace[workspace]:
-            del self._by_workspace[workspace]
+        self._in_flight_by_workspace[workspace] -= 1
+        if not self._in_flight_by_workspace[workspace]:
+            del self._in_flight_by_workspace[workspace]
         if completed:
             took_s = now() - entered_at
             self._answer_s += ANSWER_SMOOTHING * (took_s - self._answer_s)
@@ -103,7 +105,7 @@
         :returns: :class:`~cowslipcourse.fleet.GroupSpec`
         :raises NoTargetAvailable: none may serve now.
         """
-        grants = self._view.grants(declarations)
+        grants = self._view.group_grants(declarations)
         if not grants:
             raise NoTargetAvailable("no group serves this model now", NO_GROUP_RETRY_S)
         by_name = {grant.report.spec.group: grant for grant in grants}
@@ -115,16 +117,16 @@
         self._prefixes.add(chosen.name, hashes, now())
         return by_name[chosen.name].report.spec
 
-    def hashes(self, prompt):
+    def prefix_hashes(self, prompt):
         """Return the prefix hashes of a prompt."""
         return prefix_hashes(prompt)
 
-    def take_events(self, report):
+    def record_cached_prefixes(self, report):
         """Take in which prefixes a group lately cached."""
         if report.cached_prefixes:
             self._prefixes.add(report.spec.group, report.cached_prefixes, now())
 
-    def forget_cache(self, group):
+    def forget_cached_prefixes(self, group):
         """Drop what was known of a group's cache."""
         self._prefixes.remove_target(group)
 
@@ -154,7 +156,7 @@
 
     def _capacity(self, grants):
         _, in_flight = self._view.peers_in_flight()
-        for name, count in self._by_workspace.items():
+        for name, count in self._in_flight_by_workspace.items():
             in_flight[name] = in_flight.get(name, 0) + count
         workspaces = self._view.configuration.workspace
         views = self._views(grants, ())
@@ -170,8 +172,8 @@
 
     def _unseen(self):
         """Requests that the other gateways let in unseen, if they do as this one."""
-        grown = sum(self._by_workspace.values()) - self._reported
-        return max(0, grown) * self._view.other_gateways
+        grown = sum(self._in_flight_by_workspace.values()) - self._reported
+        return max(0, grown) * self._view.other_gateway_count
 
     def _watch_stragglers(self, grants):
         if now() - self._stragglers_at < STRAGGLER_LOOK_S:
--- a/cowslipcourse/gateway/claims.py
+++ b/cowslipcourse/gateway/claims.py
@@ -18,7 +18,7 @@
 )
 from cowslipcourse.ports.platform import ABSENT, Transaction
 
-__all__ = ["Claim", "ClaimDesk", "claim_key"]
+__all__ = ["Claim", "ClaimCommitter", "claim_key"]
 
 MOST_AT_ONCE = 64
 STORE_RETRY_S = 5.0
@@ -51,7 +51,7 @@
     return f"claim/{digest}"
 
 
-class ClaimDesk:
+class ClaimCommitter:
     """Commits claims one batch after another.
 
     :param table: :class:`~cowslipcourse.ports.TableService`
--- a/cowslipcourse/gateway/fleet_view.py
+++ b/cowslipcourse/gateway/fleet_view.py
@@ -76,16 +76,16 @@
         return self._groups
 
     @property
-    def other_gateways(self):
+    def other_gateway_count(self):
         """Number of other gateways that reported lately."""
         oldest = now() - self._agent.times.isolation_s
         return sum(g.observed_at >= oldest for g in self._gateways.values())
 
-    def workspace_of(self, key_sha256):
+    def workspace_for_key(self, key_sha256):
         """Return the workspace that a key belongs to, or ``None``."""
         return self._workspaces_by_key.get(key_sha256)
 
-    def grants(self, declarations):
+    def group_grants(self, declarations):
         """Return the groups of declarations that may be sent requests now.
 
         :param declarations: names of group declarations.
@@ -96,7 +96,7 @@
             grant
             for declaration in declarations
             for group in self._by_declaration.get(declaration, ())
-            if self._is_good(group, grant := self._groups[group], at)
+            if self._is_usable(group, grant := self._groups[group], at)
             and self._departing.isdisjoint(grant.report.spec.vm_names)
         ]
 
@@ -104,7 +104,7 @@
         """Whether a VM shall get no new work."""
         return vm in self._departing
 
-    def seen_groups(self):
+    def visible_groups(self):
         """Return the ids of the groups that are known to serve."""
         oldest = now() - self._grant_s
         return tuple(
@@ -123,9 +123,9 @@
             return False
         if not self._departing.isdisjoint(spec.vm_names):
             return False
-        return self._is_good(spec.group, grant, now())
+        return self._is_usable(spec.group, grant, now())
 
-    def was_granted(self, spec, granted_at, checked_at):
+    def was_sent_under_grant(self, spec, granted_at, checked_at):
         """Return whether a request was sent under a grant, seen from its answer.
 
         The process may have been paused between the check and the send. The request
@@ -148,18 +148,18 @@
         """Return the loop time from which a group's grant counts."""
         return self._groups[spec.group].observed_at
 
-    def services(self, service):
+    def service_grants(self, service):
         """Return the targets of a plain service that may be called now."""
         at = now()
         return [
             grant
             for vm, grant in self._services.items()
             if grant.report.service == service
-            and self._is_good(vm, grant, at)
+            and self._is_usable(vm, grant, at)
             and vm not in self._departing
         ]
 
-    def refused(self, name):
+    def record_refusal(self, name):
         """Note that a target refused new work; it is left alone for a moment."""
         self._refused_until[name] = now() + REFUSED_FOR_S
 
@@ -180,7 +180,7 @@
         """Return the names of gateways that want no new callers."""
         return {g.report.gateway for g in self._gateways.values() if g.report.leaving}
 
-    def _is_good(self, name, grant, at):
+    def _is_usable(self, name, grant, at):
         if not grant.report.serving or at - grant.observed_at >= self._grant_s:
             return False
         return self._refused_until.get(name, 0.0) <= at
@@ -198,12 +198,12 @@
             self._services[report.vm] = grant
         elif record.key.startswith(DEPARTURE_PREFIX):
             self._departures[report.controller] = grant
-            self._join_departures()
+            self._update_departing()
         elif record.key.startswith(GATEWAY_PREFIX):
             if record.origin != self._agent.member.name:
                 self._gateways[report.gateway] = grant
 
-    def _join_departures(self):
+    def _update_departing(self):
         at = now()
         fresh = [
             grant.report.vms
--- a/cowslipcourse/gateway/generation.py
+++ b/cowslipcourse/gateway/generation.py
@@ -9,7 +9,7 @@
 from cowslipcourse.exceptions import (
     AdmissionError,
     DeadlinePassed,
-    MalformedAnswer,
+    MalformedResponse,
     NoTargetAvailable,
     OutcomeUnknown,
     RequestFailed,
@@ -17,7 +17,7 @@
     TargetRefused,
     TargetUnreachable,
 )
-from cowslipcourse.gateway.quarantine_ports import GroupRun, Leader, SuspectCall
+from cowslipcourse.gateway.quarantine_ports import GroupLeader, GroupRun, QuarantineCall
 from cowslipcourse.ports import GenerateRequest
 from cowslipcourse.quarantine import fingerprint
 from cowslipcourse.requests import StreamRelay
@@ -42,18 +42,18 @@
     :param call: :class:`~cowslipcourse.gateway.callers.Call`
     :param body: caller's body.
     :param declarations: names of the group declarations that may serve it.
-    :param tools: :class:`~cowslipcourse.gateway.tools.GatewayTools`
-    :ivar groups: groups that were sent the request, in order.
-    :ivar attempts: ids of the attempts whose events were used.
+    :param context: :class:`~cowslipcourse.gateway.tools.GatewayContext`
+    :ivar attempted_groups: groups that were sent the request, in order.
+    :ivar used_attempts: ids of the attempts whose events were used.
     """
 
-    def __init__(self, call, body, declarations, tools):
+    def __init__(self, call, body, declarations, context):
         self._call = call
         self._body = body
         self._declarations = declarations
-        self._tools = tools
-        self._hashes = tools.chooser.hashes(body)
-        self._suspect = SuspectCall(
+        self._context = context
+        self._hashes = context.chooser.prefix_hashes(body)
+        self._suspect = QuarantineCall(
             call.request_id, fingerprint(call.workspace, PATH, body)
         )
         self._run = None
@@ -61,20 +61,20 @@
         self._tried = set()
         self._started = False
         self._group = ""
-        self.groups = []
-        self.attempts = []
+        self.attempted_groups = []
+        self.used_attempts = []
 
     @property
     def complete(self):
         """Whether the whole answer has been yielded."""
         return self._relay.complete
 
-    async def pieces(self):
+    async def chunks(self):
         """Yield the answer as pieces of server-sent events.
 
         :raises RequestError: the answer is not complete and will not be.
         """
-        quarantine = self._tools.quarantine
+        quarantine = self._context.quarantine
         await quarantine.admit(self._suspect)
         try:
             async with aclosing(self._attempts()) as pieces:
@@ -84,9 +84,9 @@
             quarantine.note_finished(self._suspect)
 
     async def _attempts(self):
-        attempts = self._tools.settings.limits.attempts
-        self._tools.retries.record_request()
-        self._tools.resumes.record_request()
+        attempts = self._context.settings.limits.attempts
+        self._context.retry_budget.record_request()
+        self._context.resume_budget.record_request()
         for number in range(attempts):
             if number:
                 await self._before_retry(number)
@@ -104,27 +104,31 @@
                 if not self._may_repeat(error) or number == attempts - 1:
                     raise self._final(error) from error
                 continue
-            self._tools.quarantine.note_answered(self._suspect)
+            self._context.quarantine.note_answered(self._suspect)
             return
 
     async def _before_retry(self, number):
         self._check_quarantine()
-        budget = self._tools.resumes if self._relay.offset else self._tools.retries
+        budget = (
+            self._context.resume_budget
+            if self._relay.offset
+            else self._context.retry_budget
+        )
         if not budget.try_take():
             raise self._final(NoTargetAvailable("the retry budget is spent"))
-        self._tools.metrics.count("retries")
-        await asyncio.sleep(BACKOFF_S * number * self._tools.rng.random())
+        self._context.metrics.count("retries")
+        await asyncio.sleep(BACKOFF_S * number * self._context.rng.random())
         self._check_quarantine()
 
     def _check_quarantine(self):
-        quarantine = self._tools.quarantine
+        quarantine = self._context.quarantine
         if quarantine.is_quarantined(self._suspect):
             refusal = quarantine.refusal(self._suspect)
             raise self._final(refusal, refusal.retry_after_s)
 
     async def _attempt(self):
-        tools = self._tools
-        spec = tools.chooser.choose(self._declarations, self._hashes, self._tried)
+        context = self._context
+        spec = context.chooser.choose(self._declarations, self._hashes, self._tried)
         attempt_id = secrets.token_hex(ATTEMPT_BYTES)
         self._group = spec.group
         self._run = self._make_run(spec, attempt_id)
@@ -137,22 +141,22 @@
             self._relay.offset,
             self._body,
         )
-        started_at = tools.chooser.in_flight.start(spec.group, now())
+        started_at = context.chooser.in_flight.start(spec.group, now())
         ended = False
         try:
             # Nothing is awaited between these checks and the send.
-            if not tools.view.is_granted(spec) or not tools.agent.may_serve():
+            if not context.fleet_view.is_granted(spec) or not context.agent.may_serve():
                 raise TargetRefused("grant-lapsed")
-            checked_at, granted_at = now(), tools.view.granted_at(spec)
-            self.groups.append(spec.group)
-            batches = tools.targets.generate(spec.leader.address, request)
-            with tools.quarantine.tracking(self._suspect, self._run):
+            checked_at, granted_at = now(), context.fleet_view.granted_at(spec)
+            self.attempted_groups.append(spec.group)
+            batches = context.targets.generate(spec.leader.address, request)
+            with context.quarantine.tracking(self._suspect, self._run):
                 async with aclosing(batches):
                     async for events in batches:
                         if not events:
                             self._run.answer_started = True
                             continue
-                        if attempt_id not in self.attempts:
+                        if attempt_id not in self.used_attempts:
                             self._begin(spec, attempt_id, granted_at, checked_at)
                         piece = self._relay.filter_events(attempt_id, events)
                         self._run.note_events(len(events), self._relay.offset)
@@ -163,9 +167,9 @@
             if not self._relay.complete:
                 raise TargetUnreachable("the stream ended without its end event")
         finally:
-            tools.chooser.in_flight.finish(spec.group, started_at)
+            context.chooser.in_flight.finish(spec.group, started_at)
             if not ended:
-                tools.spawn(tools.targets.cancel(spec.leader.address, attempt_id))
+                context.spawn(context.targets.cancel(spec.leader.address, attempt_id))
 
     def _begin(self, spec, attempt_id, granted_at, checked_at):
         """Note that events of an attempt have come.
@@ -173,16 +177,18 @@
         :raises TargetUnreachable: it was sent after the grant's end.
         """
         self._started = True
-        if not self._tools.view.was_granted(spec, granted_at, checked_at):
+        if not self._context.fleet_view.was_sent_under_grant(
+            spec, granted_at, checked_at
+        ):
             raise TargetUnreachable("sent after the grant's end")
-        self.attempts.append(attempt_id)
+        self.used_attempts.append(attempt_id)
 
     def _make_run(self, spec, attempt_id):
         address = spec.leader.address
-        leader = Leader(spec.leader.vm, spec.epoch, address)
+        leader = GroupLeader(spec.leader.vm, spec.epoch, address)
 
         def cancel():
-            self._tools.spawn(self._tools.targets.cancel(address, attempt_id))
+            self._context.spawn(self._context.targets.cancel(address, attempt_id))
 
         run = GroupRun(leader, self._relay.offset, cancel)
         # Whoever is alone at an engine does not wait there for others to end.
@@ -190,19 +196,21 @@
         return run
 
     def _is_alone_at(self, group):
-        in_flight, _ = self._tools.view.peers_in_flight()
-        return not (in_flight.get(group) or self._tools.chooser.in_flight.count(group))
+        in_flight, _ = self._context.fleet_view.peers_in_flight()
+        return not (
+            in_flight.get(group) or self._context.chooser.in_flight.count(group)
+        )
 
     def _note_failure(self, error):
         self._tried.add(self._group)
         self._run.ended_by_target = isinstance(error, TargetUnreachable) and error.sent
-        self._tools.quarantine.note_failed(self._suspect, self._run)
+        self._context.quarantine.note_failed(self._suspect, self._run)
         self._started = self._started or _may_have_started(error)
         if isinstance(error, TargetRefused):
             if error.reason != "grant-lapsed":
-                self._tools.view.refused(self._group)
+                self._context.fleet_view.record_refusal(self._group)
         else:
-            self._tools.chooser.forget_cache(self._group)
+            self._context.chooser.forget_cached_prefixes(self._group)
         log.info(
             "attempt-failed",
             request=self._call.request_id,
@@ -232,4 +240,4 @@
     """Whether an engine may have begun an attempt that failed."""
     if isinstance(error, TargetUnreachable):
         return error.sent
-    return isinstance(error, MalformedAnswer)
+    return isinstance(error, MalformedResponse)
--- a/cowslipcourse/gateway/main.py
+++ b/cowslipcourse/gateway/main.py
@@ -6,21 +6,21 @@
 
 from cowslipcourse.adapters.log import get_logger
 from cowslipcourse.adapters.metrics import open_metrics
-from cowslipcourse.adapters.platform import HttpPlatform
-from cowslipcourse.adapters.targets import HttpTargets
+from cowslipcourse.adapters.platform import HttpPlatformClient
+from cowslipcourse.adapters.targets import HttpTargetClient
 from cowslipcourse.adapters.web import WebServer
 from cowslipcourse.admission import RetryBudget
 from cowslipcourse.daemon import Agent, now, run_daemon, run_forever
 from cowslipcourse.daemon.reports import GATEWAY_PREFIX, GatewayReport, GroupReport
 from cowslipcourse.gateway.app import CallerApi
-from cowslipcourse.gateway.chat import ChatRequests
-from cowslipcourse.gateway.chooser import Chooser
-from cowslipcourse.gateway.claims import ClaimDesk
+from cowslipcourse.gateway.chat import ChatHandler
+from cowslipcourse.gateway.chooser import GroupChooser
+from cowslipcourse.gateway.claims import ClaimCommitter
 from cowslipcourse.gateway.fleet_view import FleetView
 from cowslipcourse.gateway.quarantine_ports import make_quarantine
-from cowslipcourse.gateway.sealing import seal_outcomes
-from cowslipcourse.gateway.services import ServiceRequests
-from cowslipcourse.gateway.tools import GatewayTools, Spawner
+from cowslipcourse.gateway.sealing import store_outcomes
+from cowslipcourse.gateway.services import ServiceHandler
+from cowslipcourse.gateway.tools import BackgroundTasks, GatewayContext
 from cowslipcourse.membership import Role
 from cowslipcourse.requests import OutcomeStore
 from cowslipcourse.settings import GatewaySettings
@@ -45,13 +45,13 @@
     async def run(self, stopping):
         """Serve until told to stop, then stop gracefully."""
         settings = self._settings
-        platform = HttpPlatform(settings.platform, settings.daemon.name)
-        targets = HttpTargets(settings.target)
-        self._tools = self._make_tools(platform, targets)
-        agent = self._tools.agent
-        claims = ClaimDesk(platform)
-        services = ServiceRequests(self._tools, claims)
-        self._api = CallerApi(self._tools, ChatRequests(self._tools), services)
+        platform = HttpPlatformClient(settings.platform, settings.daemon.name)
+        targets = HttpTargetClient(settings.target)
+        self._context = self._make_context(platform, targets)
+        agent = self._context.agent
+        claims = ClaimCommitter(platform)
+        services = ServiceHandler(self._context, claims)
+        self._api = CallerApi(self._context, ChatHandler(self._context), services)
         limits = settings.limits
         server = WebServer(
             self._api.app(),
@@ -63,7 +63,7 @@
         tasks = [
             run_forever(claims.run(), "claims"),
             run_forever(self._report(), "report"),
-            run_forever(self._tools.quarantine.run(), "quarantine"),
+            run_forever(self._context.quarantine.run(), "quarantine"),
         ]
         log.info("started", daemon=settings.daemon.name)
         await stopping.wait()
@@ -77,53 +77,55 @@
         await platform.close()
         log.info("stopped-as-planned", daemon=settings.daemon.name)
 
-    def _make_tools(self, platform, targets):
+    def _make_context(self, platform, targets):
         settings = self._settings
         agent = Agent(settings, Role.GATEWAY, platform)
         view = FleetView(agent, settings.time.grant_s)
         rng = random.Random()
-        chooser = Chooser(view, agent, rng)
-        agent.on_record(lambda record: self._take_events(chooser, view, record))
-        return GatewayTools(
+        chooser = GroupChooser(view, agent, rng)
+        agent.on_record(
+            lambda record: self._record_cached_prefixes(chooser, view, record)
+        )
+        return GatewayContext(
             settings=settings,
             agent=agent,
-            view=view,
+            fleet_view=view,
             chooser=chooser,
             targets=targets,
             table=platform,
-            objects=platform,
-            retries=RetryBudget(settings.limits.retry_ratio),
-            resumes=RetryBudget(settings.limits.resume_ratio, RESUME_BURST),
+            object_store=platform,
+            retry_budget=RetryBudget(settings.limits.retry_ratio),
+            resume_budget=RetryBudget(settings.limits.resume_ratio, RESUME_BURST),
             quarantine=make_quarantine(agent, view, targets, platform),
             outcomes=OutcomeStore(settings.limits, now()),
             metrics=open_metrics(settings.statsd),
             rng=rng,
-            spawn=Spawner(),
+            spawn=BackgroundTasks(),
         )
 
-    def _take_events(self, chooser, view, record):
+    def _record_cached_prefixes(self, chooser, view, record):
         group = record.key.rsplit("/", 1)[-1]
         grant = view.groups.get(group)
         if grant is not None and isinstance(grant.report, GroupReport):
-            chooser.take_events(grant.report)
+            chooser.record_cached_prefixes(grant.report)
 
     async def _report(self):
         """Tell the other gateways what is in flight, for ever."""
-        tools = self._tools
-        member = tools.agent.member
+        context = self._context
+        member = context.agent.member
         key = f"{GATEWAY_PREFIX}{member.name}/{member.incarnation}"
         while True:
             report = GatewayReport(
                 member.name,
                 self._api.leaving,
-                tools.chooser.in_flight.snapshot(),
-                dict(tools.chooser.by_workspace),
-                tools.view.seen_groups(),
+                context.chooser.in_flight.snapshot(),
+                dict(context.chooser.in_flight_by_workspace),
+                context.fleet_view.visible_groups(),
             )
-            tools.agent.publish(key, report)
-            tools.chooser.reported()
-            tools.metrics.gauge("requests.running", self._api.running)
-            await asyncio.sleep(tools.agent.times.heartbeat_s)
+            context.agent.publish(key, report)
+            context.chooser.record_reported()
+            context.metrics.gauge("requests.running", self._api.running)
+            await asyncio.sleep(context.agent.times.heartbeat_s)
 
     async def _drain(self):
         """Stop gracefully: no request in flight is cut off."""
@@ -135,7 +137,7 @@
         until = now() + self._settings.time.drain_limit_s
         while self._api.running and now() < until:
             await asyncio.sleep(LOOK_S)
-        await seal_outcomes(self._tools)
+        await store_outcomes(self._context)
 
 
 def main():
--- a/cowslipcourse/gateway/quarantine_ports.py
+++ b/cowslipcourse/gateway/quarantine_ports.py
@@ -8,8 +8,8 @@
 
 from cowslipcourse.adapters.log import get_logger
 from cowslipcourse.daemon.reports import QUARANTINE_PREFIX
-from cowslipcourse.decoding import decoded
-from cowslipcourse.exceptions import MalformedAnswer
+from cowslipcourse.decoding import decode_untrusted
+from cowslipcourse.exceptions import MalformedResponse
 from cowslipcourse.membership import Role
 from cowslipcourse.peers import decode, encode
 from cowslipcourse.ports import RowChanges, StoredRow
@@ -18,11 +18,11 @@
 from cowslipcourse.quarantining import Quarantine, TargetExitDetector
 
 __all__ = [
+    "GroupLeader",
     "GroupRun",
-    "Leader",
-    "RecordPeers",
-    "SuspectCall",
-    "TableRows",
+    "QuarantineCall",
+    "RecordMessenger",
+    "TableRowStore",
     "make_quarantine",
 ]
 
@@ -32,7 +32,7 @@
 log = get_logger(__name__)
 
 
-class SuspectCall(NamedTuple):
+class QuarantineCall(NamedTuple):
     """A request as the quarantine knows it.
 
     :param id: id of the request.
@@ -43,7 +43,7 @@
     fingerprint: bytes
 
 
-class Leader(NamedTuple):
+class GroupLeader(NamedTuple):
     """The target that takes the requests of a group.
 
     :param id: VM name.
@@ -59,7 +59,7 @@
 class GroupRun:
     """What a gateway sees of one run of a request at a group.
 
-    :param entry: :class:`Leader`
+    :param entry: :class:`GroupLeader`
     :param last_event_id: number of tokens that the caller has.
     :param cancel: callable that asks the leader to end the run.
     """
@@ -77,7 +77,7 @@
         self.relayed_events += number
         self.last_event_id = last_event_id
 
-    def stop(self, _error):
+    def abort(self, _error):
         """Break it off; its stream ends without its last event."""
         self._cancel()
 
@@ -90,7 +90,7 @@
 _decoder = msgspec.json.Decoder(_Message)
 
 
-class RecordPeers:
+class RecordMessenger:
     """The other gateways, reached through records that spread with heartbeats.
 
     :param agent: :class:`~cowslipcourse.daemon.Agent`
@@ -139,10 +139,12 @@
         if not record.key.startswith(QUARANTINE_PREFIX):
             return
         try:
-            message = decoded(_decoder, record.value, "record of the quarantine")
+            message = decode_untrusted(
+                _decoder, record.value, "record of the quarantine"
+            )
             if self.address in message.to:
                 self._take(decode(message.content))
-        except MalformedAnswer as error:
+        except MalformedResponse as error:
             log.warning("unreadable-record", key=record.key, detail=error)
 
 
@@ -150,7 +152,7 @@
     text: str
 
 
-class TableRows:
+class TableRowStore:
     """Rows of the table service; meets the quarantine's part of a row store.
 
     :param table: :class:`~cowslipcourse.ports.TableService`
@@ -179,7 +181,7 @@
     try:
         content = msgspec.convert(row.value, dict[str, str])["text"].encode()
     except (msgspec.ValidationError, KeyError) as error:
-        raise MalformedAnswer(f"unreadable row {row.key}") from error
+        raise MalformedResponse(f"unreadable row {row.key}") from error
     return StoredRow(row.key.removeprefix(prefix), content, row.version)
 
 
@@ -191,11 +193,11 @@
     :param targets: :class:`~cowslipcourse.ports.TargetClient`
     :param table: :class:`~cowslipcourse.ports.TableService`
     """
-    peers = RecordPeers(agent)
+    peers = RecordMessenger(agent)
     ends = TargetExitDetector(
         lambda leader: not view.is_departing(leader.id), targets.refuses_connections
     )
-    kept = VerdictStore(TableRows(table), time.time)
+    kept = VerdictStore(TableRowStore(table), time.time)
     quarantine = Quarantine(peers, ends, kept)
     peers.listen(quarantine.handle_message)
     return quarantine
--- a/cowslipcourse/gateway/sealing.py
+++ b/cowslipcourse/gateway/sealing.py
@@ -6,7 +6,7 @@
 from cowslipcourse.exceptions import OutcomeUnknown, StoreError
 from cowslipcourse.requests.outcomes import encode_outcomes
 
-__all__ = ["read_sealed", "seal_outcomes"]
+__all__ = ["read_stored_outcomes", "store_outcomes"]
 
 TRIES = 5
 PAUSE_S = 1.0
@@ -19,35 +19,35 @@
     return f"outcomes/{gateway}.{incarnation}"
 
 
-async def seal_outcomes(tools):
+async def store_outcomes(context):
     """Finish what runs, take nothing new, and store all outcomes.
 
     If the object store is down, repeats are told that the outcome is unknown.
 
-    :param tools: :class:`~cowslipcourse.gateway.tools.GatewayTools`
+    :param context: :class:`~cowslipcourse.gateway.tools.GatewayContext`
     """
-    tools.outcomes.close()
-    await tools.outcomes.wait_until_finished()
-    member = tools.agent.member
+    context.outcomes.close()
+    await context.outcomes.wait_until_finished()
+    member = context.agent.member
     name = _name(member.name, member.incarnation)
     for _ in range(TRIES):
         try:
-            await tools.objects.put(name, encode_outcomes(tools.outcomes))
+            await context.object_store.put(name, encode_outcomes(context.outcomes))
             return
         except StoreError as error:
             log.warning("not-sealed", code=error.code)
             await asyncio.sleep(PAUSE_S)
 
 
-async def read_sealed(tools, home):
+async def read_stored_outcomes(context, home):
     """Return what a home that is gone left behind.
 
-    :param tools: :class:`~cowslipcourse.gateway.tools.GatewayTools`
+    :param context: :class:`~cowslipcourse.gateway.tools.GatewayContext`
     :param home: has ``gateway`` and ``incarnation``.
     :raises OutcomeUnknown: nothing, or it cannot be read now.
     """
     try:
-        content = await tools.objects.get(_name(home.gateway, home.incarnation))
+        content = await context.object_store.get(_name(home.gateway, home.incarnation))
     except StoreError as error:
         detail = "the home of the key is gone and the object store is down"
         raise OutcomeUnknown(detail, STORE_RETRY_S) from error
--- a/cowslipcourse/gateway/service_calls.py
+++ b/cowslipcourse/gateway/service_calls.py
@@ -36,16 +36,16 @@
     :param body: body.
     :param repeatable: whether it may run more than once.
     :param deadline: loop time, or ``None``.
-    :param tools: :class:`~cowslipcourse.gateway.tools.GatewayTools`
+    :param context: :class:`~cowslipcourse.gateway.tools.GatewayContext`
     """
 
-    def __init__(self, service, operation, body, repeatable, deadline, tools):
+    def __init__(self, service, operation, body, repeatable, deadline, context):
         self._service = service
         self._operation = operation
         self._body = body
         self._repeatable = repeatable
         self._deadline = deadline
-        self._tools = tools
+        self._context = context
         self._tried = set()
         self._vm = ""
         self._ran_before = False
@@ -69,10 +69,10 @@
             raise DeadlinePassed("the deadline passed", 1.0) from None
 
     async def _attempts(self):
-        tools = self._tools
-        tools.retries.record_request()
-        for number in range(tools.settings.limits.attempts):
-            if number and not tools.retries.try_take():
+        context = self._context
+        context.retry_budget.record_request()
+        for number in range(context.settings.limits.attempts):
+            if number and not context.retry_budget.try_take():
                 break
             try:
                 return await self._attempt()
@@ -80,48 +80,48 @@
                 log.info(
                     "call-failed", service=self._service, vm=self._vm, code=error.code
                 )
-                if self._ran(error) and not self._repeatable:
+                if self._may_have_run_after(error) and not self._repeatable:
                     raise OutcomeUnknown(error.detail) from error
         raise NoTargetAvailable("no attempt was answered", NO_TARGET_RETRY_S)
 
-    def _ran(self, error):
+    def _may_have_run_after(self, error):
         """Note whether a failed attempt may have run, and return it."""
         if isinstance(error, TargetRefused):
-            self._tools.view.refused(self._vm)
+            self._context.fleet_view.record_refusal(self._vm)
             self._may_have_run = self._ran_before
             return False
         if isinstance(error, TargetUnreachable) and not error.sent:
-            self._tools.view.refused(self._vm)
+            self._context.fleet_view.record_refusal(self._vm)
             self._may_have_run = self._ran_before
             return False
         return True
 
     async def _attempt(self):
-        tools = self._tools
+        context = self._context
         report = self._choose()
         self._vm = report.vm
         self._tried.add(report.vm)
         attempt_id = secrets.token_hex(ATTEMPT_BYTES)
         self._ran_before = self._may_have_run
-        tools.agent.require_serving()
+        context.agent.require_serving()
         # Nothing is awaited between the check and the send.
-        started_at = tools.chooser.in_flight.start(report.vm, now())
+        started_at = context.chooser.in_flight.start(report.vm, now())
         self._may_have_run = True
         try:
-            answer = await tools.targets.call(
+            answer = await context.targets.call(
                 report.address, self._operation, attempt_id, self._body
             )
         finally:
-            tools.chooser.in_flight.finish(report.vm, started_at)
+            context.chooser.in_flight.finish(report.vm, started_at)
         return Completed(answer.status, answer.content_type, answer.body)
 
     def _choose(self):
-        grants = self._tools.view.services(self._service)
+        grants = self._context.fleet_view.service_grants(self._service)
         reports = [grant.report for grant in grants]
         fresh = [report for report in reports if report.vm not in self._tried]
         if not reports or not (fresh or self._repeatable):
             raise NoTargetAvailable("no target serves this now", NO_TARGET_RETRY_S)
-        in_flight = self._tools.chooser.in_flight
+        in_flight = self._context.chooser.in_flight
         fewest = min(in_flight.count(report.vm) for report in fresh or reports)
         best = [r for r in fresh or reports if in_flight.count(r.vm) == fewest]
-        return self._tools.rng.choice(best)
+        return self._context.rng.choice(best)
--- a/cowslipcourse/gateway/services.py
+++ b/cowslipcourse/gateway/services.py
@@ -17,13 +17,13 @@
 )
 from cowslipcourse.gateway.callers import read_body
 from cowslipcourse.gateway.claims import Claim, claim_key
-from cowslipcourse.gateway.sealing import read_sealed
+from cowslipcourse.gateway.sealing import read_stored_outcomes
 from cowslipcourse.gateway.service_calls import ServiceCall
 from cowslipcourse.ports.peers import ForwardedCall, ForwardResponse
 from cowslipcourse.requests import Completed, parse_minted_key
 from cowslipcourse.requests.outcomes import decode_outcome, error_from_code
 
-__all__ = ["ServiceRequests"]
+__all__ = ["ServiceHandler"]
 
 CLAIM_ID_BYTES = 9
 FORWARD_LIMIT_S = 30.0
@@ -54,19 +54,19 @@
         return f"{self.workspace}\n{self.key}"
 
 
-class ServiceRequests:
+class ServiceHandler:
     """Answers calls of plain services.
 
-    :param tools: :class:`~cowslipcourse.gateway.tools.GatewayTools`
-    :param claims: :class:`~cowslipcourse.gateway.claims.ClaimDesk`
+    :param context: :class:`~cowslipcourse.gateway.tools.GatewayContext`
+    :param claims: :class:`~cowslipcourse.gateway.claims.ClaimCommitter`
     """
 
-    def __init__(self, tools, claims):
-        self._tools = tools
+    def __init__(self, context, claims):
+        self._context = context
         self._claims = claims
-        tools.agent.on_forward(self.forwarded)
+        context.agent.on_forward(self.handle_forwarded)
 
-    async def answer(self, request, call):
+    async def respond(self, request, call):
         """Return the response to a call.
 
         :param request: starlette request.
@@ -76,12 +76,14 @@
         service = request.path_params["service"]
         operation = request.path_params["operation"]
         self._check_access(call, service)
-        body = await read_body(request, self._tools.settings.limits.body_bytes)
+        body = await read_body(request, self._context.settings.limits.body_bytes)
         completed, remembered = await self.run(call, service, operation, body)
         return _response(completed, call.request_id, remembered)
 
     def _check_access(self, call, service):
-        allowed = self._tools.view.resolved.service_access.get(call.workspace, ())
+        allowed = self._context.fleet_view.resolved.service_access.get(
+            call.workspace, ()
+        )
         if service not in allowed:
             raise UnknownService(f"no service {service!r} for {call.workspace}")
 
@@ -95,18 +97,18 @@
         :returns: ``(Completed, whether it had been run before)``
         :raises RequestError: it was not run, or may have run.
         """
-        repeatable = self._tools.view.configuration.service[service].repeatable
+        repeatable = self._context.fleet_view.configuration.service[service].repeatable
         if call.repeatable is not None:
             repeatable = call.repeatable
         if repeatable or not call.key:
             run = ServiceCall(
-                service, operation, body, repeatable, call.deadline, self._tools
+                service, operation, body, repeatable, call.deadline, self._context
             )
             return await run.run(), False
         job = _Job(call.key, call.workspace, service, operation, body, call.deadline)
         return await self._run_keyed(job)
 
-    async def forwarded(self, forwarded):
+    async def handle_forwarded(self, forwarded):
         """Run a call that another gateway handed to this one, its home.
 
         :param forwarded: :class:`~cowslipcourse.ports.peers.ForwardedCall`
@@ -121,9 +123,9 @@
             now() + forwarded.remaining_s if forwarded.remaining_s else None,
         )
         try:
-            if forwarded.incarnation != self._tools.agent.member.incarnation:
+            if forwarded.incarnation != self._context.agent.member.incarnation:
                 raise OutcomeUnknown("the home of the key was restarted")
-            completed, remembered = await self._run_here(job, forwarded.window)
+            completed, remembered = await self._run_locally(job, forwarded.window)
         except RequestError as error:
             return ForwardResponse(error.code, error.detail, error.retry_after_s or 0.0)
         return ForwardResponse(
@@ -137,11 +139,11 @@
         minted = parse_minted_key(job.key)
         if minted is not None:
             return await self._run_at_home(job, minted)
-        own = self._tools.agent.member
+        own = self._context.agent.member
         claim = Claim(
             own.name,
             own.incarnation,
-            self._tools.outcomes.window(now()),
+            self._context.outcomes.window(now()),
             job.fingerprint,
             secrets.token_hex(CLAIM_ID_BYTES),
         )
@@ -154,22 +156,22 @@
         :param home: :class:`~cowslipcourse.requests.MintedKey` or
             :class:`~cowslipcourse.gateway.claims.Claim`
         """
-        own = self._tools.agent.member
+        own = self._context.agent.member
         if (home.gateway, home.incarnation) == (own.name, own.incarnation):
-            return await self._run_here(job, home.window)
-        member = self._tools.agent.revision.members.get(home.gateway)
+            return await self._run_locally(job, home.window)
+        member = self._context.agent.revision.members.get(home.gateway)
         if member is None or member.incarnation != home.incarnation:
             return await self._from_sealed(job, home)
         return await self._hand_over(job, home, member)
 
-    async def _run_here(self, job, window):
+    async def _run_locally(self, job, window):
         async def execute():
             call = ServiceCall(
-                job.service, job.operation, job.body, False, job.deadline, self._tools
+                job.service, job.operation, job.body, False, job.deadline, self._context
             )
             return await call.run()
 
-        return await self._tools.outcomes.run_once(
+        return await self._context.outcomes.run_once(
             job.scoped_key, window, job.fingerprint, execute, now()
         )
 
@@ -187,7 +189,7 @@
         )
         timeout_s = remaining_s or FORWARD_LIMIT_S
         try:
-            reply = await self._tools.agent.peers.forward(
+            reply = await self._context.agent.peers.forward(
                 member.peer_address, call, timeout_s
             )
         except PeerUnreachable as error:
@@ -202,7 +204,7 @@
 
     async def _from_sealed(self, job, home):
         """Answer for a home that is gone, from what it left behind."""
-        content = await read_sealed(self._tools, home)
+        content = await read_stored_outcomes(self._context, home)
         completed = decode_outcome(content, job.scoped_key, job.fingerprint)
         if completed is None:
             raise KeyHomeStopped("the home of the key has stopped; use a new key")
--- a/cowslipcourse/gateway/tools.py
+++ b/cowslipcourse/gateway/tools.py
@@ -3,10 +3,10 @@
 import asyncio
 from typing import Any, NamedTuple
 
-__all__ = ["GatewayTools", "Spawner"]
+__all__ = ["BackgroundTasks", "GatewayContext"]
 
 
-class Spawner:
+class BackgroundTasks:
     """Keeps background tasks from being collected before they end."""
 
     def __init__(self):
@@ -20,35 +20,35 @@
         return task
 
 
-class GatewayTools(NamedTuple):
+class GatewayContext(NamedTuple):
     """Ports and state that a gateway is built with.
 
     :param settings: :class:`~cowslipcourse.settings.GatewaySettings`
     :param agent: :class:`~cowslipcourse.daemon.Agent`
-    :param view: :class:`~cowslipcourse.gateway.fleet_view.FleetView`
-    :param chooser: :class:`~cowslipcourse.gateway.chooser.Chooser`
+    :param fleet_view: :class:`~cowslipcourse.gateway.fleet_view.FleetView`
+    :param chooser: :class:`~cowslipcourse.gateway.chooser.GroupChooser`
     :param targets: :class:`~cowslipcourse.ports.TargetClient`
     :param table: :class:`~cowslipcourse.ports.TableService`
-    :param objects: :class:`~cowslipcourse.ports.ObjectStore`
-    :param retries: :class:`~cowslipcourse.admission.RetryBudget`
-    :param resumes: :class:`~cowslipcourse.admission.RetryBudget` of broken streams;
-        it is larger, since a whole group's streams break at once.
+    :param object_store: :class:`~cowslipcourse.ports.ObjectStore`
+    :param retry_budget: :class:`~cowslipcourse.admission.RetryBudget`
+    :param resume_budget: :class:`~cowslipcourse.admission.RetryBudget` for resuming
+        broken streams; larger, since all streams of a group break at once.
     :param quarantine: :class:`~cowslipcourse.quarantining.Quarantine`
     :param outcomes: :class:`~cowslipcourse.requests.OutcomeStore`
     :param metrics: metrics sink.
     :param rng: :class:`random.Random`
-    :param spawn: :class:`Spawner`
+    :param spawn: :class:`BackgroundTasks`
     """
 
     settings: Any
     agent: Any
-    view: Any
+    fleet_view: Any
     chooser: Any
     targets: Any
     table: Any
-    objects: Any
-    retries: Any
-    resumes: Any
+    object_store: Any
+    retry_budget: Any
+    resume_budget: Any
     quarantine: Any
     outcomes: Any
     metrics: Any
--- a/cowslipcourse/groups/plan.py
+++ b/cowslipcourse/groups/plan.py
@@ -8,8 +8,8 @@
 
 import msgspec
 
-from cowslipcourse.decoding import decoded
-from cowslipcourse.exceptions import MalformedAnswer
+from cowslipcourse.decoding import decode_untrusted
+from cowslipcourse.exceptions import MalformedResponse
 from cowslipcourse.ports import UNKNOWN_INCARNATION
 
 __all__ = ["DomainPlan", "PlannedGroup", "decode_plan", "encode_plan"]
@@ -126,15 +126,15 @@
 def decode_plan(domain, content, version):
     """Return the :class:`DomainPlan` in a row.
 
-    :raises MalformedAnswer: it cannot be read.
+    :raises MalformedResponse: it cannot be read.
     """
-    row = decoded(_decoder, content, f"plan of {domain}")
+    row = decode_untrusted(_decoder, content, f"plan of {domain}")
     if not isinstance(row, _Row):
         row = _Row(row, 0)
     groups = row.groups
     planned = [(m, group.incarnation_of(m)) for group in groups for m in group.members]
     if len(set(planned)) != len(planned):
-        raise MalformedAnswer(
+        raise MalformedResponse(
             f"unreadable plan of {domain}: an engine is planned twice"
         )
     return DomainPlan(domain, version, groups, row.decided_at)
--- a/cowslipcourse/peers/messages.py
+++ b/cowslipcourse/peers/messages.py
@@ -4,8 +4,8 @@
 
 import msgspec
 
-from cowslipcourse.decoding import decoded
-from cowslipcourse.exceptions import MalformedAnswer
+from cowslipcourse.decoding import decode_untrusted
+from cowslipcourse.exceptions import MalformedResponse
 from cowslipcourse.peers.packing import pack, unpack
 from cowslipcourse.ports.addresses import Address
 from cowslipcourse.quarantine import CrashReport, Verdict
@@ -186,10 +186,10 @@
 def decode(content):
     """Return the message in a datagram.
 
-    :raises MalformedAnswer: it cannot be read.
+    :raises MalformedResponse: it cannot be read.
     """
     content = unpack(content)
     decoder = _decoders.get(content[:1])
     if decoder is None:
-        raise MalformedAnswer("a datagram of an unknown kind")
-    return decoded(decoder, content[1:], "datagram")
+        raise MalformedResponse("a datagram of an unknown kind")
+    return decode_untrusted(decoder, content[1:], "datagram")
--- a/cowslipcourse/peers/packing.py
+++ b/cowslipcourse/peers/packing.py
@@ -7,7 +7,7 @@
 
 import zlib
 
-from cowslipcourse.exceptions import MalformedAnswer
+from cowslipcourse.exceptions import MalformedResponse
 
 __all__ = ["pack", "unpack"]
 
@@ -31,18 +31,18 @@
 def unpack(content):
     """Return the content of packed bytes.
 
-    :raises MalformedAnswer: the bytes are not packed, truncated or too long.
+    :raises MalformedResponse: the bytes are not packed, truncated or too long.
     """
     kind, rest = content[:1], content[1:]
     if kind == _PLAIN:
         return rest
     if kind != _PACKED:
-        raise MalformedAnswer("unreadable: not packed")
+        raise MalformedResponse("unreadable: not packed")
     decompressor = zlib.decompressobj()
     try:
         found = decompressor.decompress(rest, MAX_UNPACKED_BYTES)
     except zlib.error as error:
-        raise MalformedAnswer(f"unreadable: {error}") from error
+        raise MalformedResponse(f"unreadable: {error}") from error
     if not decompressor.eof:
-        raise MalformedAnswer("unreadable: cut short or too long")
+        raise MalformedResponse("unreadable: cut short or too long")
     return found
--- a/cowslipcourse/peers/registration.py
+++ b/cowslipcourse/peers/registration.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from cowslipcourse.decoding import decoded
+from cowslipcourse.decoding import decode_untrusted
 from cowslipcourse.ports.addresses import Address
 
 __all__ = ["Registration", "decode_registration", "encode_registration"]
@@ -32,6 +32,6 @@
 def decode_registration(content):
     """Return the :class:`Registration` in a row.
 
-    :raises MalformedAnswer: it cannot be read.
+    :raises MalformedResponse: it cannot be read.
     """
-    return decoded(_decoder, content, "registration")
+    return decode_untrusted(_decoder, content, "registration")
--- a/cowslipcourse/peers/state.py
+++ b/cowslipcourse/peers/state.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from cowslipcourse.decoding import decoded
+from cowslipcourse.decoding import decode_untrusted
 from cowslipcourse.peers.packing import pack, unpack
 
 __all__ = ["PeerState", "decode_state", "encode_state"]
@@ -43,6 +43,6 @@
 def decode_state(content):
     """Return the :class:`PeerState` in an answer.
 
-    :raises MalformedAnswer: it cannot be read.
+    :raises MalformedResponse: it cannot be read.
     """
-    return decoded(_decoder, unpack(content), "peer state")
+    return decode_untrusted(_decoder, unpack(content), "peer state")
--- a/cowslipcourse/platform/configuration.py
+++ b/cowslipcourse/platform/configuration.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from cowslipcourse.exceptions import ConfigurationError, MalformedAnswer, Problem
+from cowslipcourse.exceptions import ConfigurationError, MalformedResponse, Problem
 from cowslipcourse.platform.wire import Count, Name, Positive, Quantity, decode_as
 from cowslipcourse.routes import (
     CallerLimits,
@@ -122,7 +122,7 @@
     """
     try:
         decoded = decode_as(_WireConfiguration, content, "configuration")
-    except MalformedAnswer as error:
+    except MalformedResponse as error:
         raise ConfigurationError([Problem("configuration", str(error))]) from error
     problems = []
     routes = _decode_parts(_WireRoute, decoded.routes, "route", _to_route, problems)
@@ -153,7 +153,7 @@
         location = f"{part_name} {number}"
         try:
             converted.append(convert(decode_as(type_, encoded, location)))
-        except MalformedAnswer as error:
+        except MalformedResponse as error:
             problems.append(Problem(location, str(error)))
     return converted
 
@@ -161,7 +161,7 @@
 def _to_route(fields):
     services = [(each.service, each.weight) for each in fields.backends or ()]
     if not services and fields.service is None:
-        raise MalformedAnswer("route without service")
+        raise MalformedResponse("route without service")
     return Route(
         name=fields.name,
         host=fields.host,
--- a/cowslipcourse/platform/doors.py
+++ b/cowslipcourse/platform/doors.py
@@ -1,6 +1,10 @@
 """HTTP applications for service discovery and readiness checks."""
 
-from cowslipcourse.adapters.answers import Answer, json_answer, one_path_app
+from cowslipcourse.adapters.answers import (
+    BufferedResponse,
+    json_response,
+    single_path_app,
+)
 
 __all__ = ["directory_app", "ready_app"]
 
@@ -18,12 +22,12 @@
     def resolve(query):
         ready_addresses = addresses()
         if not ready_addresses:
-            return Answer(b"no daemon is ready", 503, media_type="text/plain")
-        return json_answer(
+            return BufferedResponse(b"no daemon is ready", 503, media_type="text/plain")
+        return json_response(
             {"addresses": ready_addresses[:MAX_ADDRESSES], "ttlS": ttl_s}
         )
 
-    return one_path_app("/resolve", resolve)
+    return single_path_app("/resolve", resolve)
 
 
 def ready_app(is_ready):
@@ -31,6 +35,6 @@
 
     :param is_ready: callable that returns whether the daemon is ready.
     """
-    return one_path_app(
-        "/ready", lambda query: Answer(status=200 if is_ready() else 503)
+    return single_path_app(
+        "/ready", lambda query: BufferedResponse(status=200 if is_ready() else 503)
     )
--- a/cowslipcourse/platform/entries.py
+++ b/cowslipcourse/platform/entries.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from cowslipcourse.exceptions import MalformedAnswer
+from cowslipcourse.exceptions import MalformedResponse
 from cowslipcourse.platform.wire import Count, Name, Positive, Quantity, decode_as
 from cowslipcourse.ports import (
     UNKNOWN_INCARNATION,
@@ -76,7 +76,7 @@
 
     :param target_id: key of the row.
     :param content: JSON bytes.
-    :raises MalformedAnswer: the row does not describe a usable target.
+    :raises MalformedResponse: the row does not describe a usable target.
     """
     description = f"entry {target_id}"
     fields = decode_as(_WireEntry, content, description)
@@ -98,7 +98,7 @@
     """Decode a response into an :class:`~cowslipcourse.ports.EngineReport`.
 
     :param content: JSON bytes.
-    :raises MalformedAnswer: the response cannot be decoded.
+    :raises MalformedResponse: the response cannot be decoded.
     """
     fields = decode_as(_WireReport, content, "report")
     return EngineReport(
@@ -131,4 +131,4 @@
     try:
         return GroupState(value)
     except ValueError as error:
-        raise MalformedAnswer(f"invalid {description}: {error}") from error
+        raise MalformedResponse(f"invalid {description}: {error}") from error
--- a/cowslipcourse/platform/eras.py
+++ b/cowslipcourse/platform/eras.py
@@ -1,7 +1,7 @@
 """Tracks the era that the platform's store states in each response."""
 
 from cowslipcourse.adapters.log import get_logger
-from cowslipcourse.exceptions import MalformedAnswer
+from cowslipcourse.exceptions import MalformedResponse
 
 __all__ = ["ERA_HEADER", "EraTracker"]
 
@@ -25,7 +25,7 @@
         """Record the era of a response and return it.
 
         :param headers: mapping of the response's headers.
-        :raises MalformedAnswer: the era is missing although earlier responses stated
+        :raises MalformedResponse: the era is missing although earlier responses stated
             one, is not a number, or is older than the newest, so that the response
             describes a state that was rolled back.
         """
@@ -33,10 +33,10 @@
         if text is None and not self.newest:
             return 0
         if text is None or not _is_number(text):
-            raise MalformedAnswer(f"store response with invalid era {text!r}")
+            raise MalformedResponse(f"store response with invalid era {text!r}")
         era = int(text)
         if era < self.newest:
-            raise MalformedAnswer(
+            raise MalformedResponse(
                 f"store response of era {era}, older than era {self.newest}"
             )
         if era > self.newest:
--- a/cowslipcourse/platform/store.py
+++ b/cowslipcourse/platform/store.py
@@ -10,7 +10,7 @@
 from cowslipcourse.exceptions import (
     ConditionFailed,
     HistoryDropped,
-    MalformedAnswer,
+    MalformedResponse,
     ReplyLost,
     StoreUnavailable,
 )
@@ -167,7 +167,7 @@
         try:
             era = self._era_tracker.observe(response.headers)
             version = decode_as(_WireWritten, content, "/rows-tx response").ver
-        except MalformedAnswer as error:
+        except MalformedResponse as error:
             # The row was written, but at an unknown version.
             raise ReplyLost(str(error)) from error
         if row_write.expected_version and era_of(row_write.expected_version) != era:
@@ -202,7 +202,7 @@
             raise StoreUnavailable(f"{path} failed with status {response.status}")
         try:
             return decode_rows(content, self._era_tracker.observe(response.headers))
-        except MalformedAnswer as error:
+        except MalformedResponse as error:
             raise StoreUnavailable(f"{path}: {error}") from error
 
 
@@ -211,7 +211,7 @@
 
     :param content: JSON bytes.
     :param era: era of the store in the response.
-    :raises MalformedAnswer: the response cannot be decoded.
+    :raises MalformedResponse: the response cannot be decoded.
     """
     fields = decode_as(_WireRows, content, "rows")
     rows = tuple(_to_stored_row(row, era) for row in fields.rows)
--- a/cowslipcourse/platform/wire.py
+++ b/cowslipcourse/platform/wire.py
@@ -2,14 +2,14 @@
 
 Rows of the store may come from writers other than the platform, so everything is
 checked against a typed structure. Whatever does not fit raises
-:class:`~cowslipcourse.exceptions.MalformedAnswer` and nothing else.
+:class:`~cowslipcourse.exceptions.MalformedResponse` and nothing else.
 """
 
 from typing import Annotated
 
 import msgspec
 
-from cowslipcourse.decoding import decoded
+from cowslipcourse.decoding import decode_untrusted
 
 __all__ = ["Count", "Name", "Positive", "Quantity", "decode_as"]
 
@@ -31,9 +31,9 @@
     :param type_: :class:`msgspec.Struct` or another type that msgspec supports.
     :param content: JSON bytes.
     :param description: what is decoded, for error messages.
-    :raises MalformedAnswer: the bytes are not JSON, or do not match the type.
+    :raises MalformedResponse: the bytes are not JSON, or do not match the type.
     """
     decoder = _decoders.get(type_)
     if decoder is None:
         decoder = _decoders[type_] = msgspec.json.Decoder(type_)
-    return decoded(decoder, content, description)
+    return decode_untrusted(decoder, content, description)
--- a/cowslipcourse/ports/engines.py
+++ b/cowslipcourse/ports/engines.py
@@ -150,7 +150,7 @@
 
         :param entry: :class:`TargetEntry`
         :raises TargetUnreachable: no response in time.
-        :raises MalformedAnswer: the response cannot be decoded.
+        :raises MalformedResponse: the response cannot be decoded.
         """
 
     async def order(self, entry, order):
--- a/cowslipcourse/ports/targets.py
+++ b/cowslipcourse/ports/targets.py
@@ -130,7 +130,7 @@
         """Return the status that the target reports.
 
         :raises TargetUnreachable: no response in time.
-        :raises MalformedAnswer: the response cannot be decoded.
+        :raises MalformedResponse: the response cannot be decoded.
         """
 
     async def order(self, address: str, order: Order) -> None:
@@ -149,7 +149,7 @@
 
         :raises TargetRefused: nothing was started.
         :raises TargetUnreachable: no more events will come.
-        :raises MalformedAnswer: an event belongs to another request.
+        :raises MalformedResponse: an event belongs to another request.
         """
 
     async def cancel(self, address: str, attempt_id: str) -> None:
@@ -165,5 +165,5 @@
 
         :raises TargetRefused: nothing was started.
         :raises TargetUnreachable: ``sent`` says whether it may have run.
-        :raises MalformedAnswer: the response belongs to another call.
+        :raises MalformedResponse: the response belongs to another call.
         """
--- a/cowslipcourse/quarantine/kept.py
+++ b/cowslipcourse/quarantine/kept.py
@@ -5,8 +5,8 @@
 import msgspec
 
 from cowslipcourse.adapters.log import get_logger
-from cowslipcourse.decoding import decoded
-from cowslipcourse.exceptions import ConditionFailed, MalformedAnswer
+from cowslipcourse.decoding import decode_untrusted
+from cowslipcourse.exceptions import ConditionFailed, MalformedResponse
 from cowslipcourse.ports import RowWrite
 from cowslipcourse.quarantine.fingerprints import FINGERPRINT_BYTES
 from cowslipcourse.quarantine.judging import (
@@ -102,7 +102,7 @@
         """Return the :class:`StoredQuarantine`.
 
         :raises StoreError: the store did not answer.
-        :raises MalformedAnswer: another writer has spoiled the row of verdicts.
+        :raises MalformedResponse: another writer has spoiled the row of verdicts.
         """
         rows = await self._rows()
         now = self._time_of_day()
@@ -117,7 +117,7 @@
         due_at = self._time_of_day() - SUSPICION_S
         try:
             stored = _reports(row)
-        except MalformedAnswer as error:
+        except MalformedResponse as error:
             # They make a verdict come sooner, and no more: verdicts are read anyway.
             log.warning("reports-unreadable", why=error)
             return []
@@ -139,7 +139,7 @@
         def add(row):
             try:
                 known = _reports(row)
-            except MalformedAnswer:
+            except MalformedResponse:
                 # Another writer has spoiled the row; what is known now replaces it.
                 known = ()
             stored = {_report_key(_report(each)): each for each in known}
@@ -162,7 +162,7 @@
 
         try:
             await self._update_verdicts(add)
-        except MalformedAnswer:
+        except MalformedResponse:
             # Another writer has spoiled the row; all that is known replaces it.
             verdicts = Verdicts()
             for verdict in added:
@@ -173,7 +173,7 @@
         """Remove the verdict on a request.
 
         :raises StoreError: it may be there still.
-        :raises MalformedAnswer: another writer has spoiled the row.
+        :raises MalformedResponse: another writer has spoiled the row.
         """
         await self._update_verdicts(lambda verdicts: verdicts.drop(fingerprint))
 
@@ -184,7 +184,7 @@
         meanwhile.
 
         :raises StoreError: the request must not be tried.
-        :raises MalformedAnswer: another writer has spoiled the row.
+        :raises MalformedResponse: another writer has spoiled the row.
         """
         now = self._time_of_day()
         trial = Trial(None, False)
@@ -236,14 +236,16 @@
 
 
 def _verdicts(row):
-    stored = () if row is None else decoded(_decoder, row.value, "row of verdicts")
+    stored = (
+        () if row is None else decode_untrusted(_decoder, row.value, "row of verdicts")
+    )
     return [Verdict(bytes.fromhex(v.fingerprint), v.until, v.trials) for v in stored]
 
 
 def _reports(row):
     if row is None:
         return ()
-    return decoded(_reports_decoder, row.value, "row of reports")
+    return decode_untrusted(_reports_decoder, row.value, "row of reports")
 
 
 def _content(verdicts):
--- a/cowslipcourse/quarantining/daemon_part.py
+++ b/cowslipcourse/quarantining/daemon_part.py
@@ -10,8 +10,8 @@
 
 from cowslipcourse.adapters.log import get_logger
 from cowslipcourse.exceptions import (
-    AnswerBroken,
-    MalformedAnswer,
+    IncompleteResponse,
+    MalformedResponse,
     RequestQuarantined,
     StoreError,
 )
@@ -106,7 +106,7 @@
         fingerprint = call.fingerprint
         try:
             trial = await self._store.begin_trial(fingerprint)
-        except (StoreError, MalformedAnswer) as error:
+        except (StoreError, MalformedResponse) as error:
             log.warning("trial-not-begun", request=call.id, error=error.code)
             return
         if trial.verdict is None:
@@ -147,7 +147,7 @@
     def _stop_runs(self, fingerprint):
         for run in list(self._active_runs.get(fingerprint, ())):
             log.info("run-stopped", target=run.entry.id, fingerprint=fingerprint.hex())
-            run.abort(AnswerBroken("the request is quarantined"))
+            run.abort(IncompleteResponse("the request is quarantined"))
 
     def note_answered(self, call):
         """Note that a target has answered a request whole: it does not end targets."""
@@ -317,7 +317,7 @@
     async def _remove_stored(self, fingerprint):
         try:
             await self._store.remove(fingerprint)
-        except (StoreError, MalformedAnswer) as error:
+        except (StoreError, MalformedResponse) as error:
             # Its next trial is later than without this one; it is tried then.
             log.warning("verdict-not-removed", error=error.code, why=error)
 
@@ -331,7 +331,7 @@
                 return
             except StoreError as error:
                 log.info("verdicts-not-read", error=error.code, why=error)
-            except MalformedAnswer as error:
+            except MalformedResponse as error:
                 log.warning("verdicts-unreadable", why=error)
                 return
             await asyncio.sleep(READ_RETRY_DELAY_S)
--- a/cowslipcourse/requests/relay.py
+++ b/cowslipcourse/requests/relay.py
@@ -3,7 +3,7 @@
 Events are checked by their first line and forwarded without decoding.
 """
 
-from cowslipcourse.exceptions import MalformedAnswer
+from cowslipcourse.exceptions import MalformedResponse
 
 __all__ = ["END_DATA", "StreamRelay"]
 
@@ -39,7 +39,7 @@
         for event in events:
             try:
                 data = self._data_to_forward(expected_prefix, event)
-            except MalformedAnswer as error:
+            except MalformedResponse as error:
                 self._error = error
                 break
             if data is not None:
@@ -50,7 +50,7 @@
     def raise_for_malformed(self):
         """Raise if the last events had a malformed one.
 
-        :raises MalformedAnswer: an event belongs to another attempt, has no offset,
+        :raises MalformedResponse: an event belongs to another attempt, has no offset,
             leaves a gap or comes after the end, or the end comes too early.
         """
         if self._error is not None:
@@ -60,15 +60,15 @@
         """Return the data of an event to forward, or ``None`` to drop it."""
         id_line, _, data = event.partition(b"\n")
         if not id_line.startswith(expected_prefix) or not data.startswith(b"data: "):
-            raise MalformedAnswer("event of another attempt")
+            raise MalformedResponse("event of another attempt")
         if self.complete:
-            raise MalformedAnswer("event after the end of the stream")
+            raise MalformedResponse("event after the end of the stream")
         offset = _parse_offset(id_line[len(expected_prefix) :])
         if offset > self.offset:
-            raise MalformedAnswer(f"token {self.offset} is missing")
+            raise MalformedResponse(f"token {self.offset} is missing")
         if offset < self.offset:
             if data == END_DATA:
-                raise MalformedAnswer("premature end of the stream")
+                raise MalformedResponse("premature end of the stream")
             return None
         if data == END_DATA:
             self.complete = True
@@ -79,5 +79,5 @@
 
 def _parse_offset(text):
     if not text.isdigit():
-        raise MalformedAnswer("event without offset")
+        raise MalformedResponse("event without offset")
     return int(text)
--- a/cowslipcourse/settings.py
+++ b/cowslipcourse/settings.py
@@ -135,7 +135,7 @@
     order_in_flight_s: Seconds = 3.0
 
 
-class DaemonFile(Section):
+class BaseDaemonSettings(Section):
     """What the files of both daemons share."""
 
     daemon: DaemonSettings
@@ -151,13 +151,13 @@
         return self.time.problems()
 
 
-class GatewaySettings(DaemonFile):
+class GatewaySettings(BaseDaemonSettings):
     """Settings file of a gateway."""
 
     limits: LimitSettings = LimitSettings()
 
 
-class ControllerSettings(DaemonFile):
+class ControllerSettings(BaseDaemonSettings):
     """Settings file of a controller."""
 
     operators: OperatorSettings
--- a/cowslipcourse/standin/app.py
+++ b/cowslipcourse/standin/app.py
@@ -7,7 +7,7 @@
 from starlette.responses import Response, StreamingResponse
 from starlette.routing import Route
 
-from cowslipcourse.adapters.answers import json_answer
+from cowslipcourse.adapters.answers import json_response
 from cowslipcourse.standin.engine import Refused
 from cowslipcourse.standin.table import StoreDown
 
@@ -53,7 +53,7 @@
         try:
             await self._world.table.admit(daemon, write)
         except StoreDown as error:
-            return json_answer({"reason": str(error)}, 503)
+            return json_response({"reason": str(error)}, 503)
         return None
 
     async def row(self, request):
@@ -61,14 +61,14 @@
         refusal = await self._admit(request)
         if refusal is not None:
             return refusal
-        return json_answer(self._world.table.read(request.query_params["key"]))
+        return json_response(self._world.table.read(request.query_params["key"]))
 
     async def scan(self, request):
         """Read rows by prefix."""
         refusal = await self._admit(request)
         if refusal is not None:
             return refusal
-        return json_answer(self._world.table.scan(request.query_params["prefix"]))
+        return json_response(self._world.table.scan(request.query_params["prefix"]))
 
     async def commit(self, request):
         """Apply a transaction."""
@@ -81,25 +81,25 @@
         if table.loses_reply():
             raise _Broken
         if conflicts:
-            return json_answer({"conflicts": conflicts}, 409)
-        return json_answer({"version": version})
+            return json_response({"conflicts": conflicts}, 409)
+        return json_response({"version": version})
 
     async def objects(self, request):
         """Read or write an object."""
         if self._world.object_faults["down"]:
-            return json_answer({"reason": "down"}, 503)
+            return json_response({"reason": "down"}, 503)
         name = request.path_params["name"]
         if request.method == "PUT":
             self._world.objects[name] = await request.body()
-            return json_answer({})
+            return json_response({})
         content = self._world.objects.get(name)
         return Response(content or b"", 404 if content is None else 200)
 
     async def vms(self, request):
         """List the VMs."""
         if self._world.list_faults["down"]:
-            return json_answer({"reason": "down"}, 503)
-        return json_answer(self._world.listed())
+            return json_response({"reason": "down"}, 503)
+        return json_response(self._world.listed())
 
 
 class TargetFace:
@@ -118,7 +118,7 @@
 
     async def status(self, request):
         """Return what the target says of itself."""
-        return json_answer((await self._target(request)).status())
+        return json_response((await self._target(request)).status())
 
     async def orders(self, request):
         """Take an order."""
@@ -130,8 +130,8 @@
         try:
             target.order(content)
         except Refused as error:
-            return json_answer({"reason": str(error)}, 409)
-        return json_answer({})
+            return json_response({"reason": str(error)}, 409)
+        return json_response({})
 
     async def generate(self, request):
         """Stream an answer."""
@@ -140,7 +140,7 @@
         try:
             sequence = target.generate(request.headers, body)
         except Refused as error:
-            return json_answer({"reason": str(error)}, 409)
+            return json_response({"reason": str(error)}, 409)
         if target.breaks_early():
             raise _Broken
         headers = {
@@ -156,7 +156,7 @@
         """Stop an answer."""
         target = await self._target(request)
         target.cancel(request.query_params["attempt"])
-        return json_answer({})
+        return json_response({})
 
     async def call(self, request):
         """Run an operation of a plain service."""
@@ -169,12 +169,12 @@
             answer = await target.call(request.path_params["operation"], attempt, body)
         except Refused as error:
             headers = {"x-not-started": "1", "x-attempt": attempt}
-            return json_answer({"reason": str(error)}, 409, headers)
+            return json_response({"reason": str(error)}, 409, headers)
         if _take(target.faults, "drop_before_answer"):
             raise _Broken
         if _take(target.faults, "wrong_attempt"):
             attempt = "another-attempt"
-        return json_answer(answer, 200, {"x-attempt": attempt})
+        return json_response(answer, 200, {"x-attempt": attempt})
 
 
 def _take(faults, name):
@@ -213,18 +213,18 @@
         """Show or turn knobs: ``{"scope": name, "set": {knob: value}}``."""
         if request.method == "GET":
             faults = self._world.faults_of(request.query_params["scope"])
-            return json_answer(faults)
+            return json_response(faults)
         content = await _json(request)
         try:
             faults = self._world.faults_of(content["scope"])
         except (KeyError, AttributeError):
-            return json_answer({"reason": "unknown scope"}, 404)
+            return json_response({"reason": "unknown scope"}, 404)
         faults.update(content["set"])
         if content["set"].get("dead") and hasattr(
             self._world.find(content["scope"]), "drop_all"
         ):
             self._world.find(content["scope"]).drop_all()
-        return json_answer(faults)
+        return json_response(faults)
 
     async def vm(self, request):
         """Do something to a VM: leave, stay, restart or remove."""
@@ -232,13 +232,13 @@
         try:
             self._world.change_vm(content["vm"], content["action"])
         except KeyError as error:
-            return json_answer({"reason": f"unknown: {error}"}, 404)
-        return json_answer({})
+            return json_response({"reason": f"unknown: {error}"}, 404)
+        return json_response({})
 
     async def history(self, request):
         """Return what the targets did, by VM."""
         names = [*self._world.targets, *self._world.removed]
-        return json_answer(
+        return json_response(
             {
                 "vms": {name: self._world.find(name).history for name in names},
                 "table": self._world.table.counts,
@@ -251,7 +251,7 @@
         found = {}
         for name, target in self._world.targets.items():
             found[name] = {**target.status(), "faults": target.faults}
-        return json_answer(found)
+        return json_response(found)
 
 
 def make_app(world):
--- a/cowslipcourse/streams/events.py
+++ b/cowslipcourse/streams/events.py
@@ -3,7 +3,7 @@
 import re
 from typing import NamedTuple
 
-from cowslipcourse.exceptions import MalformedAnswer
+from cowslipcourse.exceptions import MalformedResponse
 
 __all__ = ["Event", "EventSplitter"]
 
@@ -37,7 +37,7 @@
     def feed(self, content):
         """Add bytes and return the list of :class:`Event` that they complete.
 
-        :raises MalformedAnswer: an event exceeds ``MAX_EVENT_BYTES``.
+        :raises MalformedResponse: an event exceeds ``MAX_EVENT_BYTES``.
         """
         content = self._rest + content
         events, start = [], 0
@@ -48,5 +48,5 @@
             start = end.end()
         self._rest = content[start:]
         if len(self._rest) > MAX_EVENT_BYTES:
-            raise MalformedAnswer("an event is too long")
+            raise MalformedResponse("an event is too long")
         return events
--- a/cowslipcourse/streams/position.py
+++ b/cowslipcourse/streams/position.py
@@ -1,6 +1,6 @@
 """Position of a caller's stream across all targets that have served it."""
 
-from cowslipcourse.exceptions import MalformedAnswer
+from cowslipcourse.exceptions import MalformedResponse
 
 __all__ = ["StreamPosition"]
 
@@ -19,7 +19,7 @@
         """Return the bytes of the events that the caller does not have yet.
 
         :param events: list of :class:`~cowslipcourse.streams.Event`
-        :returns: ``(bytes, MalformedAnswer or None)``; the bytes before
+        :returns: ``(bytes, MalformedResponse or None)``; the bytes before
             a gap in the event ids are to be relayed.
         """
         wanted = []
@@ -33,7 +33,7 @@
                 self.last_event_id is not None
                 and event.number != self.last_event_id + 1
             ):
-                fault = MalformedAnswer(f"event {self.last_event_id + 1} is missing")
+                fault = MalformedResponse(f"event {self.last_event_id + 1} is missing")
                 return b"".join(wanted), fault
             self.last_event_id = event.number
             self.relayed_events += 1
--- a/features/exchange/answers.feature
+++ b/features/exchange/answers.feature
@@ -12,13 +12,13 @@
       | a whole answer                     | 200 hello          | kept     |
       | a whole answer in chunks           | 200 hello          | kept     |
       | an answer that ends the connection | 200 hello          | not kept |
-      | an answer that ends with a reset   | AnswerBroken       | not kept |
-      | an answer cut short                | AnswerBroken       | not kept |
-      | chunks cut short                   | AnswerBroken       | not kept |
+      | an answer that ends with a reset   | IncompleteResponse | not kept |
+      | an answer cut short                | IncompleteResponse | not kept |
+      | chunks cut short                   | IncompleteResponse | not kept |
       | an answer twice                    | 200 hello          | not kept |
       | an answer to another request first | 200 hello          | not kept |
       | only an answer to another request  | TargetUnreachable  | not kept |
-      | bytes that are no answer           | MalformedAnswer    | not kept |
+      | bytes that are no answer           | MalformedResponse  | not kept |
       | nothing but a close                | TargetUnreachable  | not kept |
       | an answer that says close          | 200 hello          | not kept |
 
--- a/features/forwarding/decisions.feature
+++ b/features/forwarding/decisions.feature
@@ -10,13 +10,13 @@
       | may    | error                  | runs | retry | status |
       | may    | TargetRefused          | 0    | yes   | 503    |
       | may    | TargetUnreachable-sent | 1    | yes   | 502    |
-      | may    | AnswerBroken           | 2    | no    | 502    |
+      | may    | IncompleteResponse     | 2    | no    | 502    |
       | may    | TargetSilent           | 1    | yes   | 502    |
       | cannot | TargetRefused          | 0    | yes   | 503    |
       | cannot | TargetUnreachable      | 0    | yes   | 503    |
       | cannot | TargetUnreachable-sent | 1    | no    | 502    |
-      | cannot | MalformedAnswer        | 1    | no    | 502    |
-      | cannot | AnswerBroken           | 1    | no    | 502    |
+      | cannot | MalformedResponse      | 1    | no    | 502    |
+      | cannot | IncompleteResponse     | 1    | no    | 502    |
 
   Scenario: Retries of all daemons together stay within the budget of a service
     Given 8 daemons with a shared ratio of 0.2 and slack of 134 in 10 s
--- a/features/steps/booking_steps.py
+++ b/features/steps/booking_steps.py
@@ -66,7 +66,9 @@
 def step_stops_between(context):
     async def scenario():
         gateway = context.in_process_site.gateways["g1"]
-        await context.in_process_site.wait_until(lambda: gateway.view.services("svc"))
+        await context.in_process_site.wait_until(
+            lambda: gateway.view.service_grants("svc")
+        )
         for name in ("s1", "s2"):
             context.in_process_site.world.targets[name].faults["drop_before_answer"] = 1
         checks = iter((True, False))
--- a/features/steps/door_steps.py
+++ b/features/steps/door_steps.py
@@ -18,7 +18,7 @@
 from hypothesis import settings
 from hypothesis import strategies as st
 
-from cowslipcourse.adapters.peer import GrpcPeers, TlsFiles
+from cowslipcourse.adapters.peer import GrpcPeerNetwork, TlsFiles
 from cowslipcourse.adapters.targets import _decode_status
 from cowslipcourse.config import parse_documents
 from cowslipcourse.exceptions import CowslipError, PeerUnreachable
@@ -105,9 +105,9 @@
 @when("a peer calls {how}")
 def step_call(context, how):
     async def call():
-        server = GrpcPeers(context.address, context.served)
+        server = GrpcPeerNetwork(context.address, context.served)
         await server.listen(Answering())
-        client = GrpcPeers(context.address, _files(context, how))
+        client = GrpcPeerNetwork(context.address, _files(context, how))
         try:
             if "anew" in how:
                 await _heartbeat(client, context.address)
--- a/features/steps/edit_steps.py
+++ b/features/steps/edit_steps.py
@@ -153,7 +153,7 @@
 
 
 def _all_at(context, version):
-    grants = context.view.grants(["grp"])
+    grants = context.view.group_grants(["grp"])
     versions = {grant.report.spec.version for grant in grants}
     return versions == {version} and len(grants) == 4
 
--- a/features/steps/gateway_ending_steps.py
+++ b/features/steps/gateway_ending_steps.py
@@ -58,8 +58,8 @@
     call = Call(f"r{number}", "crew", Priority.NORMAL, None, "", None)
     try:
         declarations = gateway.chooser.admit(call, "m")
-        generation = Generation(call, body, declarations, gateway.tools)
-        async for _ in generation.pieces():
+        generation = Generation(call, body, declarations, gateway.context)
+        async for _ in generation.chunks():
             pass
     except RequestError:
         # Its caller comes back at another moment.
--- a/features/steps/group_steps.py
+++ b/features/steps/group_steps.py
@@ -91,10 +91,10 @@
         site.world.leaders_notice = False
         gateway.gate.shut()
         call = Call("r", "crew", Priority.NORMAL, None, "", False)
-        generation = Generation(call, chat_body("x", "m", 4), ["grp"], gateway.tools)
+        generation = Generation(call, chat_body("x", "m", 4), ["grp"], gateway.context)
         collection = asyncio.create_task(_collect_chunks(generation))
         await asyncio.sleep(0.1)
-        spec = gateway.view.groups[generation.groups[0]].report.spec
+        spec = gateway.view.groups[generation.attempted_groups[0]].report.spec
         # Without spares the group is not repaired, and its leader serves alone.
         members = {vm for g in gateway.view.groups.values() for vm in g.report.spec[8]}
         in_groups = {member.vm for member in members}
@@ -114,7 +114,7 @@
 async def _collect_chunks(generation):
     chunks = []
     try:
-        async for chunk in generation.pieces():
+        async for chunk in generation.chunks():
             chunks.append(chunk)
     except RequestError:
         return chunks
--- a/features/steps/judging_steps.py
+++ b/features/steps/judging_steps.py
@@ -17,7 +17,11 @@
 from cowslipcourse.entry.fleet import FleetView
 from cowslipcourse.entry.retrying import try_targets
 from cowslipcourse.entry.settings import RetrySettings
-from cowslipcourse.exceptions import AnswerBroken, RequestQuarantined, TargetFailed
+from cowslipcourse.exceptions import (
+    IncompleteResponse,
+    RequestQuarantined,
+    TargetFailed,
+)
 from cowslipcourse.ports import RowWrite, TargetEntry
 from cowslipcourse.quarantine import (
     CrashReport,
@@ -224,7 +228,7 @@
             await asyncio.sleep(0.05)
             if self.ends_targets:
                 run.ended_by_target = True
-                raise AnswerBroken("the connection ended")
+                raise IncompleteResponse("the connection ended")
             run.succeeded = True
 
         budget = SharedRetryBudget(RetrySettings())
@@ -522,4 +526,4 @@
 
 @then("the run is broken off")
 def step_broken_off(context):
-    assert isinstance(context.connection.error, AnswerBroken)
+    assert isinstance(context.connection.error, IncompleteResponse)
--- a/features/steps/outage_steps.py
+++ b/features/steps/outage_steps.py
@@ -39,7 +39,7 @@
 
 def granted(context):
     """Return the number of groups that the gateway may send requests to."""
-    return len(context.view.grants(["grp"]))
+    return len(context.view.group_grants(["grp"]))
 
 
 async def _crash_holders(site):
@@ -81,10 +81,12 @@
 @then("a member that dies still takes its group out within {limit_s:d} seconds")
 def step_dies(context, limit_s):
     async def die():
-        spec = context.view.grants(["grp"])[0].report.spec
+        spec = context.view.group_grants(["grp"])[0].report.spec
         context.in_process_site.world.targets[spec.vm_names[1]].faults["dead"] = True
         await asyncio.sleep(limit_s)
-        return [g.report.spec.group for g in context.view.grants(["grp"])], spec.group
+        return [
+            g.report.spec.group for g in context.view.group_grants(["grp"])
+        ], spec.group
 
     groups, gone = run(context, die())
     assert gone not in groups
--- a/features/steps/size_steps.py
+++ b/features/steps/size_steps.py
@@ -10,7 +10,7 @@
 from cowslipcourse.entry import roles
 from cowslipcourse.entry.peer_reading import MAX_BACKOFF_S, PeerReadPolicy
 from cowslipcourse.entry.settings import PeerSettings
-from cowslipcourse.exceptions import MalformedAnswer
+from cowslipcourse.exceptions import MalformedResponse
 from cowslipcourse.peers import (
     Digest,
     PeerRegistry,
@@ -356,7 +356,7 @@
     for bad in (packed[:-8], packed[:1], b"", b"Zabc", b"?" + packed[1:]):
         try:
             unpack(bad)
-        except MalformedAnswer:
+        except MalformedResponse:
             continue
         raise AssertionError(bad)
 
--- a/features/steps/variant_steps.py
+++ b/features/steps/variant_steps.py
@@ -35,7 +35,7 @@
 
 
 def _reset():
-    _exchange_gives("an answer that ends with a reset", "AnswerBroken")
+    _exchange_gives("an answer that ends with a reset", "IncompleteResponse")
 
 
 def _prefix():
--- a/features/support/booking_runs.py
+++ b/features/support/booking_runs.py
@@ -12,7 +12,7 @@
 from cowslipcourse.daemon import now
 from cowslipcourse.exceptions import RequestError
 from cowslipcourse.gateway.callers import Call
-from cowslipcourse.gateway.sealing import seal_outcomes
+from cowslipcourse.gateway.sealing import store_outcomes
 from cowslipcourse.requests.keys import key_prefix
 from features.support.group_runs import vm_specs
 from features.support.small_site import InProcessSite, base_changes
@@ -57,7 +57,9 @@
         await site.start()
         await site.edit("c1", *base_changes(2, 4))
         views = [g.view for g in site.gateways.values()]
-        await site.wait_until(lambda: all(len(v.services("svc")) == 2 for v in views))
+        await site.wait_until(
+            lambda: all(len(v.service_grants("svc")) == 2 for v in views)
+        )
         for _ in range(events):
             self._book()
             if self._rng.random() < 0.5:
@@ -106,7 +108,7 @@
             return f"own-{number}"
         gateway = self._site.gateways[self._rng.choice(GATEWAYS)]
         member = gateway.agent.member
-        window = gateway.tools.outcomes.window(now())
+        window = gateway.context.outcomes.window(now())
         return key_prefix(member.name, member.incarnation, window) + str(number)
 
     async def _send(self, booking, name, delay_s):
@@ -162,7 +164,7 @@
     async def _planned_stop(self):
         gateway = self._gateway()
         gateway.gate.open()
-        await seal_outcomes(gateway.tools)
+        await store_outcomes(gateway.context)
         await gateway.agent.leave()
         await self._site.restart(gateway.name)
 
--- a/features/support/booking_variants.py
+++ b/features/support/booking_variants.py
@@ -5,9 +5,9 @@
 
 from cowslipcourse.daemon import now
 from cowslipcourse.exceptions import NoTargetAvailable, OutcomeUnknown
-from cowslipcourse.gateway.claims import ClaimDesk
+from cowslipcourse.gateway.claims import ClaimCommitter
 from cowslipcourse.gateway.service_calls import ServiceCall
-from cowslipcourse.gateway.services import ServiceRequests
+from cowslipcourse.gateway.services import ServiceHandler
 from cowslipcourse.requests import OutcomeStore
 
 __all__ = ["VARIANTS"]
@@ -19,16 +19,16 @@
     def ran(self, error):
         return False
 
-    return mock.patch.object(ServiceCall, "_ran", ran)
+    return mock.patch.object(ServiceCall, "_may_have_run_after", ran)
 
 
 def _run_anywhere():
     """Run a call at the gateway that got it, whoever is the key's home."""
 
     async def run_at_home(self, job, home):
-        return await self._run_here(job, self._tools.outcomes.window(now()))
+        return await self._run_locally(job, self._context.outcomes.window(now()))
 
-    return mock.patch.object(ServiceRequests, "_run_at_home", run_at_home)
+    return mock.patch.object(ServiceHandler, "_run_at_home", run_at_home)
 
 
 def _forget():
@@ -58,7 +58,7 @@
             if not found.done():
                 found.set_result(claim)
 
-    return mock.patch.object(ClaimDesk, "_commit", commit)
+    return mock.patch.object(ClaimCommitter, "_commit", commit)
 
 
 def _unsent_unless_refused():
--- a/features/support/fakes.py
+++ b/features/support/fakes.py
@@ -11,7 +11,7 @@
 
 from cowslipcourse.exceptions import (
     ConditionFailed,
-    MalformedAnswer,
+    MalformedResponse,
     PeerUnreachable,
     ReplyLost,
     StoreUnavailable,
@@ -221,7 +221,7 @@
         if target.faults["dead"] or _take(target.faults, "drop_before_answer"):
             raise TargetUnreachable("broken")
         if _take(target.faults, "wrong_attempt"):
-            raise MalformedAnswer("another call's answer")
+            raise MalformedResponse("another call's answer")
         await self._gate.trip()
         return ServiceResponse(200, "application/json", str(answer).encode())
 
--- a/features/support/group_runs.py
+++ b/features/support/group_runs.py
@@ -88,7 +88,7 @@
             if not gateway.gate.is_open:
                 continue
             owner = {}
-            for grant in gateway.view.grants(["grp"]):
+            for grant in gateway.view.group_grants(["grp"]):
                 spec = grant.report.spec
                 for vm in spec.vm_names:
                     other = owner.setdefault(vm, spec.group)
@@ -170,13 +170,13 @@
             await gateway.gate.trip()
             gateway.agent.require_serving()
             declarations = gateway.chooser.admit(call, "m")
-            generation = Generation(call, body, declarations, gateway.tools)
-            async for chunk in generation.pieces():
+            generation = Generation(call, body, declarations, gateway.context)
+            async for chunk in generation.chunks():
                 chunks.append(chunk)
         except RequestError as error:
             outcome = error.outcome
         if generation is not None:
-            self.attempts.update(generation.attempts)
+            self.attempts.update(generation.used_attempts)
         self.outcomes[outcome] = self.outcomes.get(outcome, 0) + 1
         expected = answer_words(body)
         received = [_token_of(e) for piece in chunks for e in piece.split(b"\n\n")[:-1]]
@@ -395,7 +395,7 @@
     tasks = [asyncio.create_task(oracle.run())]
     await site.edit("c1", *changes)
     view = site.gateways["g1"].view
-    await site.wait_until(lambda: len(view.grants(["grp"])) == 4)
+    await site.wait_until(lambda: len(view.group_grants(["grp"])) == 4)
     tasks.append(asyncio.create_task(load.run()))
     faults = faults_type(site, rng)
     injected_faults = []
@@ -449,7 +449,7 @@
         capacity = sum(
             sum(name.startswith(prefix) for name in targets) // 2 for prefix in "ab"
         )
-        return len(view.grants(["grp"])) >= min(configured, capacity)
+        return len(view.group_grants(["grp"])) >= min(configured, capacity)
 
     try:
         await site.wait_until(all_groups_serve, RECOVERY_TIMEOUT_S)
--- a/features/support/group_variants.py
+++ b/features/support/group_variants.py
@@ -54,20 +54,22 @@
         return grant.report.serving
 
     return _apply_patches(
-        mock.patch.object(FleetView, "_is_good", is_good),
-        mock.patch.object(FleetView, "was_granted", lambda *_: True),
+        mock.patch.object(FleetView, "_is_usable", is_good),
+        mock.patch.object(FleetView, "was_sent_under_grant", lambda *_: True),
     )
 
 
 def _skip_check_after_send():
     """Use an answer even if the grant ended between check and send."""
-    return _apply_patches(mock.patch.object(FleetView, "was_granted", lambda *_: True))
+    return _apply_patches(
+        mock.patch.object(FleetView, "was_sent_under_grant", lambda *_: True)
+    )
 
 
 def _ignore_published_departures():
     """Learn of leaving VMs from the shard holder only."""
     return _apply_patches(
-        mock.patch.object(FleetView, "_join_departures", lambda self: None)
+        mock.patch.object(FleetView, "_update_departing", lambda self: None)
     )
 
 
--- a/features/support/outside.py
+++ b/features/support/outside.py
@@ -6,7 +6,7 @@
 import msgspec
 from hypothesis import strategies as st
 
-from cowslipcourse.exceptions import ConfigurationError, MalformedAnswer
+from cowslipcourse.exceptions import ConfigurationError, MalformedResponse
 from cowslipcourse.groups import PlannedGroup, decode_plan, encode_plan
 from cowslipcourse.peers import (
     Heartbeat,
@@ -267,7 +267,7 @@
 }
 """Good value, decoder and check by what is decoded."""
 
-REFUSALS = (MalformedAnswer, ConfigurationError)
+REFUSALS = (MalformedResponse, ConfigurationError)
 
 
 def lenient_entry(value):
@@ -283,4 +283,4 @@
             incarnation=value.get("born", 1),
         )
     except (KeyError, TypeError, ValueError) as error:
-        raise MalformedAnswer(repr(error)) from error
+        raise MalformedResponse(repr(error)) from error
--- a/features/support/small_site.py
+++ b/features/support/small_site.py
@@ -15,12 +15,12 @@
 from cowslipcourse.controller.shards import ShardManager
 from cowslipcourse.daemon import Agent, now
 from cowslipcourse.daemon.reports import GATEWAY_PREFIX, GatewayReport
-from cowslipcourse.gateway.chooser import Chooser
-from cowslipcourse.gateway.claims import ClaimDesk
+from cowslipcourse.gateway.chooser import GroupChooser
+from cowslipcourse.gateway.claims import ClaimCommitter
 from cowslipcourse.gateway.fleet_view import FleetView
 from cowslipcourse.gateway.quarantine_ports import make_quarantine
-from cowslipcourse.gateway.services import ServiceRequests
-from cowslipcourse.gateway.tools import GatewayTools, Spawner
+from cowslipcourse.gateway.services import ServiceHandler
+from cowslipcourse.gateway.tools import BackgroundTasks, GatewayContext
 from cowslipcourse.membership import Role
 from cowslipcourse.requests import OutcomeStore
 from cowslipcourse.settings import ControllerSettings, GatewaySettings, StandinSettings
@@ -120,28 +120,28 @@
         super().__init__(site, name, Role.GATEWAY)
         rng = random.Random(f"{site.seed}/{name}")
         self.view = FleetView(self.agent, self.settings.time.grant_s)
-        self.chooser = Chooser(self.view, self.agent, rng)
+        self.chooser = GroupChooser(self.view, self.agent, rng)
         limits = self.settings.limits
-        self.tools = GatewayTools(
+        self.context = GatewayContext(
             settings=self.settings,
             agent=self.agent,
-            view=self.view,
+            fleet_view=self.view,
             chooser=self.chooser,
             targets=self.targets,
             table=self.platform,
-            objects=self.platform,
-            retries=RetryBudget(limits.retry_ratio),
-            resumes=RetryBudget(limits.resume_ratio, 256.0),
+            object_store=self.platform,
+            retry_budget=RetryBudget(limits.retry_ratio),
+            resume_budget=RetryBudget(limits.resume_ratio, 256.0),
             quarantine=make_quarantine(
                 self.agent, self.view, self.targets, self.platform
             ),
             outcomes=OutcomeStore(limits, now()),
             metrics=site.metrics,
             rng=rng,
-            spawn=Spawner(),
+            spawn=BackgroundTasks(),
         )
-        self.claims = ClaimDesk(self.platform)
-        self.requests = ServiceRequests(self.tools, self.claims)
+        self.claims = ClaimCommitter(self.platform)
+        self.requests = ServiceHandler(self.context, self.claims)
 
     async def start(self):
         """Start the agent and the tasks."""
@@ -149,12 +149,12 @@
         self.tasks = [
             asyncio.create_task(self.claims.run()),
             asyncio.create_task(self._publish_reports()),
-            asyncio.create_task(self.tools.quarantine.run()),
+            asyncio.create_task(self.context.quarantine.run()),
         ]
 
     async def stop(self):
         """Crash, with all requests in flight."""
-        for _, entries in self.tools.outcomes._windows.items():
+        for _, entries in self.context.outcomes._windows.items():
             for entry in entries.values():
                 entry.task.cancel()
         await super().stop()
