--- a/measurements/capacity.py
+++ b/measurements/capacity.py
@@ -76,9 +76,11 @@
             request = codec.encode_heartbeat(node.build_heartbeat(other, 0.1))
             data = request.SerializeToString()
             answer = peer.answer(codec.decode_heartbeat(request), 0.1)
-            reply = codec.encode_answer(answer)
+            reply = codec.encode_heartbeat_answer(answer)
             reply.SerializeToString()
-            node.handle_heartbeat_answer(other, codec.decode_answer(reply), 0.1, 0.1)
+            node.handle_heartbeat_answer(
+                other, codec.decode_heartbeat_answer(reply), 0.1, 0.1
+            )
             return len(data) + reply.ByteSize()
 
         size_bytes = exchange()
