--- a/features/steps/knowledge_steps.py
+++ b/features/steps/knowledge_steps.py
@@ -288,7 +288,7 @@
 @when("ten peers have configuration 8")
 def step_ten_newer_peers(context):
     for index in range(10):
-        ahead = member(f"p{index}", 20 + index)._replace(configuration=8)
+        ahead = member(f"p{index}", 20 + index)._replace(configuration_version=8)
         peer_heartbeat = Heartbeat(ahead, 1, True, 5, {}, {})
         context.registry.record_heartbeat(peer_heartbeat, 10.0)
 
