--- a/features/steps/revision_steps.py
+++ b/features/steps/revision_steps.py
@@ -1,4 +1,4 @@
-"""Steps over plans of fabric domains."""
+"""Steps for the revision of plans of fabric domains."""
 
 from behave import given, then, when
 
@@ -16,13 +16,13 @@
 from cowslipcourse.ports import TargetEntry
 from cowslipcourse.routes import EngineModel
 
-SIZES = {"large": 4, "small": 2}
+GROUP_SIZES = {"large": 4, "small": 2}
 MODELS = (
     EngineModel("large", 4, 0.67, 1.0, 16.0, 1.6),
     EngineModel("small", 2, 0.33, 0.6, 12.0, 1.1),
 )
 NO_DEMANDS = ()
-NO_SPARES = DomainAssignment(None, 0)
+ANY_MODEL_NO_SPARES = DomainAssignment(None, 0)
 
 
 def _view(engine_id, staged=(), is_free=False):
@@ -32,7 +32,7 @@
 def _revise(context, model_demands=NO_DEMANDS, broken=frozenset()):
     views = context.views.values()
     context.revised = revise_plan(
-        context.plan, views, SIZES, model_demands, context.shape, broken
+        context.plan, views, GROUP_SIZES, model_demands, context.assignment, broken
     )
 
 
@@ -48,65 +48,72 @@
 def step_models(context):
     context.plan = DomainPlan("north", 7)
     context.views = {}
-    context.shape = MIXED_ASSIGNMENT
+    context.assignment = MIXED_ASSIGNMENT
 
 
 @given("a domain with a group of {model} on {members}")
-def step_domain(context, model, members):
+def step_domain_with_group(context, model, members):
     _add_group(context, model, tuple(members.split()))
 
 
 @given("a group of {model} on {members}")
-def step_group(context, model, members):
+def step_another_group(context, model, members):
     _add_group(context, model, tuple(members.split()))
 
 
-@given("the spares {first} that holds {one} and {second} that holds {other}")
-def step_spares(context, first, one, second, other):
-    for engine, model in ((first, one), (second, other)):
+@given(
+    "the spares {first} that stores {first_model} and {second} that stores "
+    "{second_model}"
+)
+def step_spares(context, first, first_model, second, second_model):
+    for engine, model in ((first, first_model), (second, second_model)):
         context.views[engine] = _view(engine, (model,), is_free=True)
 
 
 @given("the domain serves {model} alone")
-def step_one_model(context, model):
-    context.shape = DomainAssignment(model, 0)
+def step_single_model_domain(context, model):
+    context.assignment = DomainAssignment(model, 0)
 
 
-@given("the list has never told of {members}")
+@given("the target list never had {members}")
 def step_never_listed(context, members):
     for member in members.split():
         del context.views[member]
 
 
 @when("the domains north and south form their first group each")
-def step_form(context):
+def step_form_first_groups(context):
     views = [_view(f"e{number}", is_free=True) for number in range(4)]
     context.groups = [
         revise_plan(
-            DomainPlan(domain), views, SIZES, [ModelDemand("large", 4, 1.0)], NO_SPARES
+            DomainPlan(domain),
+            views,
+            GROUP_SIZES,
+            [ModelDemand("large", 4, 1.0)],
+            ANY_MODEL_NO_SPARES,
         )
         for domain in ("north", "south")
     ]
 
 
 @then("the groups have different names")
-def step_names(context):
+def step_unique_names(context):
     names = {groups[0].name for groups in context.groups}
     assert len(names) == 2, names
 
 
 @when("{engine} is lost")
 def step_lost(context, engine):
-    lost = context.views[engine]._replace(is_live=False, is_listed=False)
-    context.views[engine] = lost
+    view = context.views[engine]._replace(is_live=False, is_listed=False)
+    context.views[engine] = view
     _revise(context)
 
 
 @when("{first} and {second} are lost")
 def step_both_lost(context, first, second):
     for engine in (first, second):
-        lost = context.views[engine]._replace(is_live=False, is_listed=False)
-        context.views[engine] = lost
+        view = context.views[engine]._replace(is_live=False, is_listed=False)
+        context.views[engine] = view
     _revise(context)
 
 
@@ -117,37 +124,37 @@
     _revise(context)
 
 
-@when("{engine} says that it will leave")
-def step_leaves(context, engine):
-    changed = context.views[engine]._replace(is_live=False, is_leaving=True)
-    context.views[engine] = changed
+@when("{engine} announces that it will leave")
+def step_leaving(context, engine):
+    view = context.views[engine]._replace(is_live=False, is_leaving=True)
+    context.views[engine] = view
     _revise(context)
 
 
 @when("{engine} is {seconds:d} s away from being ready")
 def step_loading(context, engine, seconds):
-    changed = context.views[engine]._replace(ready_in_s=float(seconds))
-    context.views[engine] = changed
+    view = context.views[engine]._replace(ready_in_s=float(seconds))
+    context.views[engine] = view
     _revise(context)
 
 
-@when("{engine} runs at {pace:d} times its usual times")
+@when("{engine} takes {pace:d} times its nominal times")
 def step_slow(context, engine, pace):
     context.views[engine] = context.views[engine]._replace(pace=float(pace))
     _revise(context)
 
 
-@when("{wanted} is wanted more than {other}")
-def step_wanted_more(context, wanted, other):
+@when("{demanded} has a higher demand than {other}")
+def step_higher_demand(context, demanded, other):
     model_demands = [
-        ModelDemand(wanted, SIZES[wanted], 2.0),
-        ModelDemand(other, SIZES[other], 1.0),
+        ModelDemand(demanded, GROUP_SIZES[demanded], 2.0),
+        ModelDemand(other, GROUP_SIZES[other], 1.0),
     ]
     _revise(context, model_demands)
 
 
-@when("that is in force and the spare {engine} that holds {model} comes")
-def step_comes(context, engine, model):
+@when("that plan is in force and the spare {engine} that stores {model} comes")
+def step_spare_added(context, engine, model):
     context.plan = context.plan._replace(
         version=context.plan.version + 1, groups=context.revised
     )
@@ -169,45 +176,49 @@
 
 
 @then("nothing changes")
-def step_unchanged(context):
+def step_plan_unchanged(context):
     assert context.revised == context.plan.groups, context.revised
 
 
 @then("the domain has no groups")
-def step_none(context):
+def step_no_groups(context):
     assert context.revised == (), context.revised
 
 
-@then("the group of {model} is given up")
-def step_given_up(context, model):
+@then("the group of {model} is retired")
+def step_retired(context, model):
     retired = [group.model for group in context.revised if group.is_retired]
     assert retired == [model], context.revised
 
 
 @given("the free engines {free}")
-def step_free(context, free):
-    context.free = []
-    for word in free.split():
-        engine, _, held = word.partition("=")
+def step_free_engines(context, free):
+    context.free_engines = []
+    for spec in free.split():
+        engine, _, stored = spec.partition("=")
         entry = TargetEntry(engine, "llm", "a:1", "dc", 13, domain="north")
-        context.free.append(
-            ObservedEngine(entry._replace(staged=(held,) if held else ()))
+        context.free_engines.append(
+            ObservedEngine(entry._replace(staged=(stored,) if stored else ()))
         )
 
 
-@when("it is decided what they shall hold")
-def step_stage(context):
-    context.loads = choose_staging(context.plan, context.free, MODELS, frozenset())
+@when("models are chosen for them to load")
+def step_choose_staging(context):
+    context.staging = choose_staging(
+        context.plan, context.free_engines, MODELS, frozenset()
+    )
 
 
 @then("they load {loads}")
 def step_loads(context, loads):
-    expected = {} if loads == "nothing" else dict(w.split("=") for w in loads.split())
-    assert context.loads == expected, context.loads
+    expected = (
+        {} if loads == "nothing" else dict(spec.split("=") for spec in loads.split())
+    )
+    assert context.staging == expected, context.staging
 
 
-@given("four engines a, b, c and d in no group, of which only a holds large")
-def step_one_warm(context):
+@given("four engines a, b, c and d in no group, of which only a stores large")
+def step_one_warm_engine(context):
     for engine in "abcd":
         staged = ("large",) if engine == "a" else ()
         context.views[engine] = _view(engine, staged, is_free=True)
@@ -219,15 +230,15 @@
 
 
 @then("one group of {model} on {members} is planned")
-def step_one_group(context, model, members):
+def step_one_group_planned(context, model, members):
     (group,) = context.revised
     assert (group.model, group.members) == (model, tuple(members.split())), group
 
 
 @then("a group of {model} on {members} is added")
-def step_added(context, model, members):
-    before = set(context.plan.groups)
-    added = [group for group in context.revised if group not in before]
-    assert before <= set(context.revised), context.revised
-    found = [(group.model, group.members) for group in added]
-    assert found == [(model, tuple(members.split()))], context.revised
+def step_group_added(context, model, members):
+    previous = set(context.plan.groups)
+    added = [group for group in context.revised if group not in previous]
+    assert previous <= set(context.revised), context.revised
+    added_groups = [(group.model, group.members) for group in added]
+    assert added_groups == [(model, tuple(members.split()))], context.revised
