--- a/features/support/outside.py
+++ b/features/support/outside.py
@@ -139,7 +139,9 @@
     assert _is_valid_address(member.peer_address) and _is_valid_address(
         member.front_address
     )
-    assert isinstance(member.is_ready, bool) and type(member.registration) is int
+    assert (
+        isinstance(member.is_ready, bool) and type(member.registration_version) is int
+    )
 
 
 def _check_heartbeat(message):
