--- a/features/support/fuzz.py
+++ b/features/support/fuzz.py
@@ -15,7 +15,9 @@
 def _membership(seed):
     fleet = settle(random_run(seed))
     whole = len(fleet.serving()) == len(fleet.names)
-    stuck = [] if whole and fleet.accepted == fleet.head.number else ["not settled"]
+    stuck = (
+        [] if whole and fleet.accepted_number == fleet.head.number else ["not settled"]
+    )
     return [*fleet.violations, *stuck]
 
 
--- a/features/support/membership_variants.py
+++ b/features/support/membership_variants.py
@@ -1,17 +1,17 @@
-"""Membership rules with one mechanism switched off, to show that the check can fail."""
+"""Membership with one mechanism disabled, to show that the oracle detects it."""
 
 from cowslipcourse.membership.acceptance import AcceptanceRule
 
 __all__ = ["VARIANTS"]
 
 
-def _no_wait(node):
+def _skip_eviction_wait(node):
     """Count members as past a revision as soon as they have acknowledged."""
     node._acceptance._times = node.times._replace(eviction_s=0.0)
 
 
-def _shrunk_list(node):
-    """Look at the newest member list only."""
+def _count_newest_list_only(node):
+    """Require a majority of the newest member list only."""
     rule = node._acceptance
 
     def accepted(number, revision, last_accepted, now):
@@ -21,8 +21,8 @@
     rule._accepted = accepted
 
 
-def _exactly_half(node):
-    """Be content with half of a list where more than half is needed."""
+def _accept_half_as_majority(node):
+    """Accept half of a member list where more than half is needed."""
     rule = node._acceptance
 
     def cannot_be_served(runs, number, revision, now):
@@ -36,25 +36,25 @@
     rule._cannot_be_served = cannot_be_served
 
 
-def _serving_on(node):
-    """Serve on without contact."""
+def _serve_without_contact(node):
+    """Serve without contact to the table or a majority."""
     node._rule._in_contact = lambda now: True
 
 
-def _counting_newer(node):
-    """Count members that know a newer revision, and learn nothing from them."""
+def _count_peers_without_learning(node):
+    """Count members that have a newer revision without learning it from them."""
     contacts = node._contacts
-    counted = contacts.confirms_revision
-    contacts.confirms_revision = lambda member, revision, now, within_s: counted(
-        member, 10**9, now, within_s
+    confirms_revision = contacts.confirms_revision
+    contacts.confirms_revision = lambda member, revision, now, within_s: (
+        confirms_revision(member, 10**9, now, within_s)
     )
     node._with_configuration = lambda revision: None
 
 
 VARIANTS = {
-    "no wait after the acknowledgements": _no_wait,
-    "only the newest member list counted": _shrunk_list,
-    "half of a list instead of more": _exactly_half,
-    "serving on without contact": _serving_on,
-    "peers do not tell and are counted all the same": _counting_newer,
+    "no wait after the acknowledgements": _skip_eviction_wait,
+    "only the newest member list counted": _count_newest_list_only,
+    "half of a member list as a majority": _accept_half_as_majority,
+    "serving without contact": _serve_without_contact,
+    "peers counted without learning from them": _count_peers_without_learning,
 }
