--- a/features/edits/edits.feature
+++ b/features/edits/edits.feature
@@ -1,5 +1,5 @@
-Feature: A careless, mistaken or conflicting edit changes nothing
-  Scenario: Everything wrong in a file is reported at once, with its line
+Feature: Invalid, unconfirmed or conflicting edits change nothing
+  Scenario: All problems of a file are reported at once, each with its line
     When this file is applied
       """
       [[group]]
@@ -20,13 +20,13 @@
       | :5 group/g       | greater than or equal to 1  |
       | wrkspace         | did you mean 'workspace'    |
 
-  Scenario: Two declarations that claim one VM are refused, and the VM is named
+  Scenario: Two declarations that select the same VM are refused, and the VM is named
     Given a configuration with one group of pool=large
     When a second group of domain=d1 is declared
     Then it is refused with "a1"
 
-  Scenario Outline: A destructive edit needs its own plan confirmed
-    Given a small site in fake time with 4 groups granted
+  Scenario Outline: A destructive edit is refused unless its own plan is confirmed
+    Given an in-process site in virtual time with 4 groups granted
     When <edit> without confirmation
     Then it is refused with a plan that shows <harm>
     And confirming another plan is refused too
@@ -38,12 +38,12 @@
       | the last placement is removed       | workspaces_cut |
       | the model's group is removed        | models_lost    |
 
-  Scenario: Racing edits, lost replies and outages
-    When 20 edit runs are made from seed 0
-    Then the audit trail explains the configuration, and everybody was told the truth
+  Scenario: Concurrent edits, lost replies and outages lose no edit and report no false outcome
+    When 20 random edit runs are made from seed 0
+    Then the audit records match the configuration and the outcome that each operator got
 
-  Scenario: A model's new version rolls group by group under load
-    Given a small site in fake time with 4 groups granted
-    When the model's version changes under load
-    Then every group reloads, never more than one at a time in the declaration
-    And no request was cut or refused
+  Scenario: A new model version is rolled out group by group without failed requests
+    Given an in-process site in virtual time with 4 groups granted
+    When the model's version is changed under load
+    Then every group reloads, at most one at a time in the declaration
+    And no request was interrupted or refused
--- a/features/outages/outages.feature
+++ b/features/outages/outages.feature
@@ -1,17 +1,17 @@
-Feature: Service goes on while the platform's table is down
-  Scenario: The holder of every shard crashes in a long outage
-    Given a small site in fake time with 4 groups granted
-    When the table goes down for good and the holder of each shard crashes
-    Then groups stay granted for 120 s, with gaps of 1 s at most
-    And a member that dies still takes its group out within 4 seconds
+Feature: Service continues while the platform's table is down
+  Scenario: Shard holders that crash during a table outage do not stop service
+    Given an in-process site in virtual time with 4 groups granted
+    When the table goes down permanently and the holder of each shard crashes
+    Then all groups stay granted for 120 s, with gaps of at most 1 s
+    And a group with a dead member is withdrawn within 4 seconds
 
-  Scenario: A controller crashes while the table is up
-    Given a small site in fake time with 4 groups granted
+  Scenario: Shard holders that crash while the table is up do not stop service
+    Given an in-process site in virtual time with 4 groups granted
     When the holder of each shard crashes
-    Then groups stay granted for 60 s, with gaps of 1 s at most
+    Then all groups stay granted for 60 s, with gaps of at most 1 s
 
-  Scenario: A dark domain comes back without a rush on the weight store
-    Given a small site in fake time with 4 groups granted
-    When domain d1 goes dark for 60 seconds and comes back
+  Scenario: A domain that recovers does not overload the weight store
+    Given an in-process site in virtual time with 4 groups granted
+    When all targets of domain d1 are down for 60 seconds
     Then 4 groups are granted again
-    And no more than 4 loads ran at once
+    And no more than 4 loads ran concurrently
--- a/features/steps/answer_steps.py
+++ b/features/steps/answer_steps.py
@@ -15,7 +15,7 @@
 EXAMPLES = 3000
 
 
-def one_run(seed):
+def deterministic_run(seed):
     """Make one run with spoiled answers."""
     with fixed_secrets(seed):
         return run_paused(group_run(seed, faults_type=AnswerFaults))
@@ -23,7 +23,7 @@
 
 @when("{number:d} answer runs are made from seed {first:d}")
 def step_runs(context, number, first):
-    context.runs = [one_run(seed) for seed in range(first, first + number)]
+    context.runs = [deterministic_run(seed) for seed in range(first, first + number)]
 
 
 @when("answer runs are made with {variant} at seeds {seeds}")
@@ -31,7 +31,7 @@
     context.runs = []
     for seed in seeds.split(","):
         with VARIANTS[variant]():
-            context.runs.append(one_run(int(seed)))
+            context.runs.append(deterministic_run(int(seed)))
 
 
 @st.composite
--- a/features/steps/booking_steps.py
+++ b/features/steps/booking_steps.py
@@ -1,4 +1,4 @@
-"""Steps over bookings in fake time."""
+"""Steps for bookings through gateways in virtual time."""
 
 from unittest import mock
 
@@ -13,66 +13,68 @@
 from features.support.booking_variants import VARIANTS
 from features.support.group_runs import fixed_secrets
 
-MOST_VARIANT_SEEDS = 8
-LEAST_COMPLETED = 10
+MAX_VARIANT_SEEDS = 8
+MIN_COMPLETED_PER_RUN = 10
 
 
-def one_run(seed):
-    """Make one run, the same every time."""
+def deterministic_run(seed):
+    """Return one run, which depends on the seed alone."""
     run = BookingRun(seed)
     with fixed_secrets(seed):
         run.violations = run_paused(run.run())
     return run
 
 
-@when("{number:d} booking runs are made from seed {first:d}")
-def step_runs(context, number, first):
-    context.runs = [one_run(seed) for seed in range(first, first + number)]
+@when("{number:d} random booking runs are made from seed {first:d}")
+def step_random_runs(context, number, first):
+    context.runs = [deterministic_run(seed) for seed in range(first, first + number)]
 
 
 @then("no booking ran twice")
-def step_once(context):
+def step_none_ran_twice(context):
     violations = violations_with(context, "ran twice")
     assert not violations, violations[:3]
 
 
-@then('no caller was told "not run" of a booking that ran')
-def step_truth(context):
-    violations = violations_with(context, "told not run")
+@then('no booking that ran was reported as "not run"')
+def step_no_false_not_run(context):
+    violations = violations_with(context, "reported not run")
     assert not violations, violations[:3]
 
 
-@then("every completed booking ran once and was answered the same each time")
-def step_completed(context):
-    violations = violations_with(context, "completed but", "two answers")
+@then("every completed booking ran once and got the same answer each time")
+def step_completed_once(context):
+    violations = violations_with(context, "completed but", "different answers")
     assert not violations, violations[:3]
-    completed = sum(run.told.get("completed", 0) for run in context.runs)
-    assert completed > LEAST_COMPLETED * len(context.runs), completed
-    kinds = set().union(*(run.completed_kinds for run in context.runs))
-    assert kinds == {"minted", "own", "none"}, kinds
+    completed_count = sum(
+        run.outcome_counts.get("completed", 0) for run in context.runs
+    )
+    assert completed_count > MIN_COMPLETED_PER_RUN * len(context.runs), completed_count
+    key_kinds = set().union(*(run.completed_key_kinds for run in context.runs))
+    assert key_kinds == {"minted", "own", "none"}, key_kinds
 
 
 @when("booking runs are made with {variant}")
-def step_variant(context, variant):
+def step_variant_runs(context, variant):
     context.runs = []
-    for seed in range(MOST_VARIANT_SEEDS):
+    for seed in range(MAX_VARIANT_SEEDS):
         with VARIANTS[variant]():
-            context.runs.append(one_run(seed))
+            context.runs.append(deterministic_run(seed))
         if context.runs[-1].violations:
             break
 
 
-@when("the first attempt breaks off after it ran and the gateway then stops")
-def step_stops_between(context):
-    async def scenario():
+@when("the first attempt fails after it ran and the gateway then stops")
+def step_stops_after_first_attempt(context):
+    async def attempt_and_stop():
         gateway = context.in_process_site.gateways["g1"]
         await context.in_process_site.wait_until(lambda: gateway.view.services("svc"))
         for name in ("s1", "s2"):
             context.in_process_site.world.targets[name].faults["drop_before_answer"] = 1
-        checks = iter((True, False))
+        serving_results = iter((True, False))
 
         def require_serving():
-            if not next(checks):
+            if not next(serving_results):
                 raise DaemonStopped("cut off")
 
         with mock.patch.object(gateway.agent, "require_serving", require_serving):
@@ -83,9 +85,9 @@
                 return error.outcome
         return "completed"
 
-    context.outcome = context.runner.run(scenario())
+    context.outcome = context.runner.run(attempt_and_stop())
 
 
-@then('the caller is told "{outcome}"')
-def step_told(context, outcome):
+@then('the caller gets the outcome "{outcome}"')
+def step_outcome(context, outcome):
     assert context.outcome == outcome, context.outcome
--- a/features/steps/edit_steps.py
+++ b/features/steps/edit_steps.py
@@ -1,4 +1,4 @@
-"""Steps over edits."""
+"""Steps for edits of the configuration."""
 
 import asyncio
 
@@ -17,16 +17,16 @@
 from cowslipcourse.emulator.clock import run_paused
 from cowslipcourse.exceptions import ConfigurationError, ConfirmationRequired
 from cowslipcourse.fleet import VM, TargetKind, VmState
-from features.steps.outage_steps import granted, run
+from features.steps.outage_steps import granted_group_count, run_in_scenario_loop
 from features.support.edit_runs import EditRun
 from features.support.group_runs import RequestLoad, fixed_secrets
 from features.support.small_site import base_changes, change
 
-ROLL_LIMIT_S = 120.0
+ROLLOUT_TIMEOUT_S = 120.0
 
 
 @when("this file is applied")
-def step_apply_text(context):
+def step_apply_file(context):
     try:
         parse_documents({"site.toml": context.text})
         context.problems = ()
@@ -78,7 +78,7 @@
 }
 
 
-def _try(context, confirm):
+def _try_commit(context, confirm):
     edits = context.in_process_site.controllers["c1"].edits
 
     async def attempt():
@@ -90,13 +90,13 @@
             return error.plan
         return None
 
-    return run(context, attempt())
+    return run_in_scenario_loop(context, attempt())
 
 
 @when("{edit} without confirmation")
 def step_unconfirmed(context, edit):
     context.changes = EDITS[edit]
-    context.plan = _try(context, "")
+    context.plan = _try_commit(context, "")
 
 
 @then("it is refused with a plan that shows {harm}")
@@ -107,64 +107,71 @@
 
 @then("confirming another plan is refused too")
 def step_other_plan(context):
-    assert _try(context, "0123456789abcdef") is not None
+    assert _try_commit(context, "0123456789abcdef") is not None
 
 
-@when("{number:d} edit runs are made from seed {first:d}")
-def step_edit_runs(context, number, first):
-    context.violations, context.told = [], {}
+@when("{number:d} random edit runs are made from seed {first:d}")
+def step_random_edit_runs(context, number, first):
+    context.violations, context.outcome_counts = [], {}
     for seed in range(first, first + number):
         with fixed_secrets(seed):
             edit_run = EditRun(seed)
-            context.violations += run_paused(_started(edit_run))
-        for told in edit_run.told.values():
-            word = told.split()[0]
-            context.told[word] = context.told.get(word, 0) + 1
+            context.violations += run_paused(_run_edits(edit_run))
+        for result in edit_run.outcomes.values():
+            outcome = result.split()[0]
+            context.outcome_counts[outcome] = context.outcome_counts.get(outcome, 0) + 1
 
 
-async def _started(edit_run):
+async def _run_edits(edit_run):
     return await edit_run.run()
 
 
-@then("the audit trail explains the configuration, and everybody was told the truth")
-def step_audit(context):
+@then(
+    "the audit records match the configuration and the outcome that each operator got"
+)
+def step_audit_records_match(context):
     assert not context.violations, context.violations[:3]
-    assert context.told["made"] > 100 and context.told["conflict"] > 20, context.told
+    assert (
+        context.outcome_counts["committed"] > 100
+        and context.outcome_counts["conflict"] > 20
+    ), context.outcome_counts
 
 
-@when("the model's version changes under load")
-def step_roll(context):
-    async def roll():
+@when("the model's version is changed under load")
+def step_roll_out(context):
+    async def roll_out():
         site = context.in_process_site
         load = RequestLoad(site, interval_s=0.5)
         task = asyncio.create_task(load.run())
         await asyncio.sleep(2.0)
         model = change("model", "m", version="2", weights_bytes=100_000_000)
         await site.edit("c1", model)
-        fewest, until = 4, now() + ROLL_LIMIT_S
-        while now() < until and not _all_at(context, "2"):
-            fewest = min(fewest, granted(context))
+        min_granted, timeout_at = 4, now() + ROLLOUT_TIMEOUT_S
+        while now() < timeout_at and not _all_groups_at_version(context, "2"):
+            min_granted = min(min_granted, granted_group_count(context))
             await asyncio.sleep(0.1)
         task.cancel()
         await load.finish()
-        return fewest, load, _all_at(context, "2")
+        return min_granted, load, _all_groups_at_version(context, "2")
 
-    context.fewest, context.load, context.rolled = run(context, roll())
+    context.min_granted, context.load, context.has_rolled_out = run_in_scenario_loop(
+        context, roll_out()
+    )
 
 
-def _all_at(context, version):
+def _all_groups_at_version(context, version):
     grants = context.view.grants(["grp"])
     versions = {grant.report.spec.version for grant in grants}
     return versions == {version} and len(grants) == 4
 
 
-@then("every group reloads, never more than one at a time in the declaration")
-def step_rolled(context):
-    assert context.rolled
-    assert context.fewest >= 3, context.fewest
+@then("every group reloads, at most one at a time in the declaration")
+def step_rolled_out(context):
+    assert context.has_rolled_out
+    assert context.min_granted >= 3, context.min_granted
 
 
-@then("no request was cut or refused")
-def step_none_cut(context):
+@then("no request was interrupted or refused")
+def step_no_failed_request(context):
     assert not context.load.violations, context.load.violations[:3]
     assert set(context.load.outcomes) == {"completed"}, context.load.outcomes
--- a/features/steps/outage_steps.py
+++ b/features/steps/outage_steps.py
@@ -1,4 +1,4 @@
-"""Steps over outages in fake time."""
+"""Steps for outages of the table, of controllers and of a domain."""
 
 import asyncio
 import random
@@ -10,16 +10,16 @@
 from features.support.group_runs import fixed_secrets, vm_specs
 from features.support.small_site import InProcessSite, base_changes
 
-LOOK_S = 0.25
+POLL_INTERVAL_S = 0.25
 
 
-def run(context, coroutine):
-    """Run a coroutine in the scenario's paused loop."""
+def run_in_scenario_loop(context, coroutine):
+    """Run a coroutine in the scenario's loop of virtual time."""
     return context.runner.run(coroutine)
 
 
-@given("a small site in fake time with {number:d} groups granted")
-def step_small_site(context, number):
+@given("an in-process site in virtual time with {group_count:d} groups granted")
+def step_in_process_site(context, group_count):
     context.resources.enter_context(fixed_secrets(1))
     random.seed(1)
     runner = asyncio.Runner(loop_factory=PausedLoop)
@@ -29,88 +29,97 @@
         site = InProcessSite(1, vm_specs(True), ("c1", "c2", "c3"), ("g1",))
         site.repair["loads_at_once"] = 4
         await site.start()
-        await site.edit("c1", *base_changes(2, number))
+        await site.edit("c1", *base_changes(2, group_count))
         context.view = site.gateways["g1"].view
-        await site.wait_until(lambda: granted(context) == number)
+        await site.wait_until(lambda: granted_group_count(context) == group_count)
         return site
 
-    context.in_process_site = run(context, start())
+    context.in_process_site = run_in_scenario_loop(context, start())
 
 
-def granted(context):
-    """Return the number of groups that the gateway may send requests to."""
+def granted_group_count(context):
+    """Return the number of groups to which the gateway may send requests."""
     return len(context.view.grants(["grp"]))
 
 
-async def _crash_holders(site):
+async def _crash_shard_holders(site):
     for name, controller in list(site.controllers.items()):
         if controller.shard_manager.workers and len(site.controllers) > 1:
             await controller.stop()
             del site.controllers[name]
 
 
-@when("the table goes down for good and the holder of each shard crashes")
+@when("the table goes down permanently and the holder of each shard crashes")
 def step_outage(context):
     async def outage():
         context.in_process_site.world.table.faults["down"] = True
         await asyncio.sleep(10.0)
-        await _crash_holders(context.in_process_site)
+        await _crash_shard_holders(context.in_process_site)
 
-    run(context, outage())
+    run_in_scenario_loop(context, outage())
 
 
 @when("the holder of each shard crashes")
-def step_crash(context):
-    run(context, _crash_holders(context.in_process_site))
-
-
-@then("groups stay granted for {seconds:d} s, with gaps of {gap_s:d} s at most")
-def step_granted(context, seconds, gap_s):
-    async def watch():
-        until, gap, longest = now() + seconds, 0.0, 0.0
-        while now() < until:
-            await asyncio.sleep(LOOK_S)
-            gap = 0.0 if granted(context) == 4 else gap + LOOK_S
-            longest = max(longest, gap)
-        return longest
-
-    longest = run(context, watch())
-    assert longest <= gap_s, f"not all groups granted for {longest} s"
-
-
-@then("a member that dies still takes its group out within {limit_s:d} seconds")
-def step_dies(context, limit_s):
-    async def die():
+def step_holders_crash(context):
+    run_in_scenario_loop(context, _crash_shard_holders(context.in_process_site))
+
+
+@then("all groups stay granted for {seconds:d} s, with gaps of at most {gap_s:d} s")
+def step_groups_stay_granted(context, seconds, gap_s):
+    async def measure_longest_gap():
+        end_at, current_gap_s, longest_gap_s = now() + seconds, 0.0, 0.0
+        while now() < end_at:
+            await asyncio.sleep(POLL_INTERVAL_S)
+            current_gap_s = (
+                0.0
+                if granted_group_count(context) == 4
+                else current_gap_s + POLL_INTERVAL_S
+            )
+            longest_gap_s = max(longest_gap_s, current_gap_s)
+        return longest_gap_s
+
+    longest_gap_s = run_in_scenario_loop(context, measure_longest_gap())
+    assert longest_gap_s <= gap_s, f"not all groups granted for {longest_gap_s} s"
+
+
+@then("a group with a dead member is withdrawn within {limit_s:d} seconds")
+def step_member_dies(context, limit_s):
+    async def fail_member():
         spec = context.view.grants(["grp"])[0].report.spec
         context.in_process_site.world.targets[spec.vm_names[1]].faults["dead"] = True
         await asyncio.sleep(limit_s)
         return [g.report.spec.group for g in context.view.grants(["grp"])], spec.group
 
-    groups, gone = run(context, die())
-    assert gone not in groups
+    groups, lost_group = run_in_scenario_loop(context, fail_member())
+    assert lost_group not in groups
     assert groups
 
 
-@when("domain {domain} goes dark for {seconds:d} seconds and comes back")
-def step_dark(context, domain, seconds):
-    async def dark():
+@when("all targets of domain {domain} are down for {seconds:d} seconds")
+def step_domain_fails(context, domain, seconds):
+    async def fail_domain():
         world = context.in_process_site.world
-        names = [n for n, t in world.targets.items() if t.vm["domain"] == domain]
-        for name in names:
+        vm_names = [n for n, t in world.targets.items() if t.vm["domain"] == domain]
+        for name in vm_names:
             world.targets[name].faults["dead"] = True
         await asyncio.sleep(seconds)
         world.weights.most_at_once = 0
-        for name in names:
+        for name in vm_names:
             world.change_vm(name, "restart")
 
-    run(context, dark())
+    run_in_scenario_loop(context, fail_domain())
 
 
-@then("{number:d} groups are granted again")
-def step_again(context, number):
-    run(context, context.in_process_site.wait_until(lambda: granted(context) == number))
+@then("{group_count:d} groups are granted again")
+def step_groups_granted_again(context, group_count):
+    run_in_scenario_loop(
+        context,
+        context.in_process_site.wait_until(
+            lambda: granted_group_count(context) == group_count
+        ),
+    )
 
 
-@then("no more than {most:d} loads ran at once")
-def step_loads(context, most):
-    assert context.in_process_site.world.weights.most_at_once <= most
+@then("no more than {max_loads:d} loads ran concurrently")
+def step_concurrent_loads(context, max_loads):
+    assert context.in_process_site.world.weights.most_at_once <= max_loads
--- a/features/support/booking_variants.py
+++ b/features/support/booking_variants.py
@@ -1,4 +1,4 @@
-"""Calls that may not be repeated, with a mechanism switched off."""
+"""Non-repeatable calls with one mechanism disabled, which the oracle must detect."""
 
 import contextlib
 from unittest import mock
@@ -13,8 +13,8 @@
 __all__ = ["VARIANTS"]
 
 
-def _retry_unknown():
-    """Send a call again when it is not known whether it ran."""
+def _retry_unknown_outcomes():
+    """Retry a call whose outcome is unknown."""
 
     def ran(self, error):
         return False
@@ -22,8 +22,8 @@
     return mock.patch.object(ServiceCall, "_ran", ran)
 
 
-def _run_anywhere():
-    """Run a call at the gateway that got it, whoever is the key's home."""
+def _ignore_home_gateway():
+    """Run a call at the gateway that received it, not at the key's home gateway."""
 
     async def run_at_home(self, job, home):
         return await self._run_here(job, self._tools.outcomes.window(now()))
@@ -31,27 +31,29 @@
     return mock.patch.object(ServiceRequests, "_run_at_home", run_at_home)
 
 
-def _forget():
-    """Forget outcomes with their window, and run a key of an old window anew."""
+def _drop_outcomes_with_window():
+    """Drop outcomes with their key window, and run keys of expired windows again."""
 
     @contextlib.contextmanager
     def patched():
         run_once = OutcomeStore.run_once
 
-        async def forgetful(self, key, window, fingerprint, execute, now):
+        async def run_once_in_current_window(
+            self, key, window, fingerprint, execute, now
+        ):
             current = self.window(now)
             if window <= current - self._limits.key_windows:
                 window = current
             return await run_once(self, key, window, fingerprint, execute, now)
 
-        with mock.patch.object(OutcomeStore, "run_once", forgetful):
+        with mock.patch.object(OutcomeStore, "run_once", run_once_in_current_window):
             yield
 
     return patched()
 
 
-def _trust_replies():
-    """Take a lost reply to a claim for a refusal, and claim without a condition."""
+def _claim_unconditionally():
+    """Grant claims without the conditional write, also when its reply is lost."""
 
     async def commit(self, batch):
         for _, claim, found in batch:
@@ -61,8 +63,8 @@
     return mock.patch.object(ClaimDesk, "_commit", commit)
 
 
-def _unsent_unless_refused():
-    """Tell that a call was not run whenever its connection broke."""
+def _report_lost_connections_as_not_run():
+    """Report a call as not run whenever its connection was lost."""
 
     original = ServiceCall.run
 
@@ -76,9 +78,9 @@
 
 
 VARIANTS = {
-    "a retry after an unknown outcome": _retry_unknown,
-    "keys without a home": _run_anywhere,
-    "outcomes forgotten with their window": _forget,
-    "claims without a condition": _trust_replies,
-    "not run told without proof": _unsent_unless_refused,
+    "retries after an unknown outcome": _retry_unknown_outcomes,
+    "keys without a home gateway": _ignore_home_gateway,
+    "outcomes dropped with their key window": _drop_outcomes_with_window,
+    "unconditional claims": _claim_unconditionally,
+    "lost connections reported as not run": _report_lost_connections_as_not_run,
 }
--- a/features/whole_groups/groups.feature
+++ b/features/whole_groups/groups.feature
@@ -23,7 +23,7 @@
       | departures from the shard holder only | 110, 141 |
 
   Scenario Outline: An answer of a group that lost a member before the send is discarded
-    Given a small site in fake time with 4 groups granted
+    Given an in-process site in virtual time with 4 groups granted
     When the gateway is paused between grant check and send while a member dies, <check>
     Then the group's answer is <result>
 
