--- a/cowslipcourse/daemon/revisions.py
+++ b/cowslipcourse/daemon/revisions.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from cowslipcourse.adapters.peer.codec import (
-    lists_from_rows,
+    member_lists_from_rows,
     members_from_rows,
     members_to_rows,
 )
@@ -121,5 +121,5 @@
             document = await self._table.read(document_key(number))
             configuration = document.value["configuration"]
         members = members_from_rows(head["members"])
-        lists = lists_from_rows(head["lists"])
+        lists = member_lists_from_rows(head["lists"])
         return Revision(head["number"], members, configuration, number, lists)
--- a/features/exchange/answers.feature
+++ b/features/exchange/answers.feature
@@ -12,13 +12,13 @@
       | a complete response                      | 200 hello          | kept     |
       | a complete response in chunks            | 200 hello          | kept     |
       | a response delimited by the close        | 200 hello          | not kept |
-      | a response cut by a reset                | AnswerBroken       | not kept |
-      | a truncated response                     | AnswerBroken       | not kept |
-      | truncated chunks                         | AnswerBroken       | not kept |
+      | a response cut by a reset                | IncompleteResponse | not kept |
+      | a truncated response                     | IncompleteResponse | not kept |
+      | truncated chunks                         | IncompleteResponse | not kept |
       | a response twice                         | 200 hello          | not kept |
       | a response to another request first      | 200 hello          | not kept |
       | only a response to another request       | TargetUnreachable  | not kept |
-      | bytes that are no response               | MalformedAnswer    | not kept |
+      | bytes that are no response               | MalformedResponse  | not kept |
       | nothing but a close                      | TargetUnreachable  | not kept |
       | a response that announces a close        | 200 hello          | not kept |
 
--- a/features/steps/booking_steps.py
+++ b/features/steps/booking_steps.py
@@ -68,7 +68,9 @@
 def step_stops_after_first_attempt(context):
     async def attempt_and_stop():
         gateway = context.in_process_site.gateways["g1"]
-        await context.in_process_site.wait_until(lambda: gateway.view.services("svc"))
+        await context.in_process_site.wait_until(
+            lambda: gateway.view.service_grants("svc")
+        )
         for name in ("s1", "s2"):
             context.in_process_site.world.targets[name].faults["drop_before_answer"] = 1
         serving_results = iter((True, False))
--- a/features/steps/edit_steps.py
+++ b/features/steps/edit_steps.py
@@ -160,7 +160,7 @@
 
 
 def _all_groups_at_version(context, version):
-    grants = context.view.grants(["grp"])
+    grants = context.view.group_grants(["grp"])
     versions = {grant.report.spec.version for grant in grants}
     return versions == {version} and len(grants) == 4
 
--- a/features/steps/outage_steps.py
+++ b/features/steps/outage_steps.py
@@ -39,7 +39,7 @@
 
 def granted_group_count(context):
     """Return the number of groups to which the gateway may send requests."""
-    return len(context.view.grants(["grp"]))
+    return len(context.view.group_grants(["grp"]))
 
 
 async def _crash_shard_holders(site):
@@ -85,10 +85,12 @@
 @then("a group with a dead member is withdrawn within {limit_s:d} seconds")
 def step_member_dies(context, limit_s):
     async def fail_member():
-        spec = context.view.grants(["grp"])[0].report.spec
+        spec = context.view.group_grants(["grp"])[0].report.spec
         context.in_process_site.world.targets[spec.vm_names[1]].faults["dead"] = True
         await asyncio.sleep(limit_s)
-        return [g.report.spec.group for g in context.view.grants(["grp"])], spec.group
+        return [
+            g.report.spec.group for g in context.view.group_grants(["grp"])
+        ], spec.group
 
     groups, lost_group = run_in_scenario_loop(context, fail_member())
     assert lost_group not in groups
--- a/features/steps/variant_steps.py
+++ b/features/steps/variant_steps.py
@@ -35,7 +35,7 @@
 
 
 def _check_reset():
-    _check_outcome("a response cut by a reset", "AnswerBroken")
+    _check_outcome("a response cut by a reset", "IncompleteResponse")
 
 
 def _check_prefix():
