--- a/features/forwarding/accounting.feature
+++ b/features/forwarding/accounting.feature
@@ -13,7 +13,7 @@
       | 3    | 2    | 1     | groups-full  |
 
   Scenario Outline: The cause of a late stream
-    Given a route with an objective of 0.3 s and pauses of 0.2 s
+    Given a route with an objective of 0.3 s and a pause limit of 0.2 s
     When a stream waits <slot> s for a slot and takes <first> s to its first event with pauses of <pause> s and <attempts> attempts
     Then the cause of its delay is "<cause>"
 
--- a/features/forwarding/placing.feature
+++ b/features/forwarding/placing.feature
@@ -2,13 +2,13 @@
   A daemon's own decisions, over a simulation of requests at groups.
 
   Scenario: Callers with different time-outs are not taken for late ones
-    Given a route with 5 s for an answer and an objective of 0.2 s
+    Given a route with a time-out of 5 s and an objective of 0.2 s
     When 40 new requests come with budgets from 4.3 to 5.0 s
     Then a new request with a budget of 4.3 s can meet the objective
     And a retried request with a budget of 3.0 s cannot
 
   Scenario: Where all callers have the same time-out, a shorter budget implies a wait
-    Given a route with 5 s for an answer and an objective of 0.2 s
+    Given a route with a time-out of 5 s and an objective of 0.2 s
     When 40 new requests come with budgets from 5.0 to 5.0 s
     And 60 retried requests come with budgets from 2.0 to 3.0 s, one new one to each three
     Then a retried request with a budget of 4.7 s cannot
--- a/features/forwarding/urgency.feature
+++ b/features/forwarding/urgency.feature
@@ -2,7 +2,7 @@
   After an outage, refused callers retry while new requests arrive.
 
   Scenario Outline: Urgency depends on the priority and on whether the objective is missed
-    Given a route of priority <route> with 8 s for an answer and an objective of 0.5 s
+    Given a route of priority <route> with a time-out of 8 s and an objective of 0.5 s
     And a workspace of priority <workspace>
     When a request with a budget of <budget> s has waited <waited> s
     Then its urgency is <urgency>
--- a/features/knowledge/outside.feature
+++ b/features/knowledge/outside.feature
@@ -52,7 +52,7 @@
     And t2 is received as started 0 ms later
     Then the list contains t1
 
-  Scenario: An entry without a start time is not taken for one of the target
+  Scenario: An entry that has lost its start time is refused as another writer's
     Given a list with the valid entries t1 and t2
     When t2 is received without its start time
     Then t2 is listed as leaving
--- a/features/steps/accounting_steps.py
+++ b/features/steps/accounting_steps.py
@@ -43,16 +43,16 @@
 
 
 @given(
-    "{number:d} groups that serve its model, of which {full:d} are full and "
+    "{group_count:d} groups that serve its model, of which {full:d} are full and "
     "{tried_count:d} were tried"
 )
-def step_candidates(context, number, full, tried_count):
+def step_candidates(context, group_count, full, tried_count):
     # The tried targets are the last ones.
     context.candidates = [
         Candidate(_entry(f"t{n}"), 2 * SLOTS if n < full else 0, SLOTS)
-        for n in range(number)
+        for n in range(group_count)
     ]
-    context.tried_ids = {f"t{n}" for n in range(number - tried_count, number)}
+    context.tried_ids = {f"t{n}" for n in range(group_count - tried_count, group_count)}
 
 
 @then('a request that finds no target has the cause "{cause}"')
@@ -60,8 +60,11 @@
     assert no_target_cause(context.candidates, context.tried_ids) == cause
 
 
-@given("a route with an objective of {objective:f} s and pauses of {pause:f} s")
-def step_route(context, objective, pause):
+@given(
+    "a route with an objective of {objective:f} s and a pause limit of "
+    "{pause_limit:f} s"
+)
+def step_route(context, objective, pause_limit):
     context.route = Route(
         "r",
         "h",
@@ -70,7 +73,7 @@
         (("llm", 1.0),),
         6.0,
         objective,
-        pause_limit_s=pause,
+        pause_limit_s=pause_limit,
     )
 
 
--- a/features/steps/exchange_steps.py
+++ b/features/steps/exchange_steps.py
@@ -91,4 +91,4 @@
     except TargetUnreachable as error:
         assert not error.sent
     else:
-        raise AssertionError("somebody listens")
+        raise AssertionError("a connection was accepted")
--- a/features/steps/forwarding_steps.py
+++ b/features/steps/forwarding_steps.py
@@ -52,31 +52,33 @@
 
 
 @given(
-    "{number:d} daemons with a shared ratio of {ratio:f} and slack of {slack:d} in 10 s"
+    "{daemon_count:d} daemons with a shared ratio of {ratio:f} and slack of {slack:d} "
+    "in 10 s"
 )
-def step_budgets(context, number, ratio, slack):
+def step_budgets(context, daemon_count, ratio, slack):
     settings = RetrySettings(ratio=ratio, slack=slack, window_s=10.0)
-    context.budgets = [SharedRetryBudget(settings) for _ in range(number)]
+    context.budgets = [SharedRetryBudget(settings) for _ in range(daemon_count)]
     for budget in context.budgets:
-        budget.daemon_count = number
+        budget.daemon_count = daemon_count
 
 
 @when(
-    "each receives {number:d} requests for one service in 10 s and tries to retry all"
+    "each receives {request_count:d} requests for one service in 10 s and tries to "
+    "retry all"
 )
-def step_retries(context, number):
+def step_retries(context, request_count):
     context.retries = 0
-    context.requests = number * len(context.budgets)
+    context.request_count = request_count * len(context.budgets)
     for budget in context.budgets:
-        for index in range(number):
-            now = index * 10.0 / number
+        for index in range(request_count):
+            now = index * 10.0 / request_count
             budget.record_request("one", now)
             context.retries += budget.try_take("one", now)
 
 
 @then("the total of retries is at most 0.2 of the requests plus 134")
 def step_total_within_budget(context):
-    assert 0 < context.retries <= 0.2 * context.requests + 134, context.retries
+    assert 0 < context.retries <= 0.2 * context.request_count + 134, context.retries
 
 
 @then("another service still has its own budget")
@@ -313,18 +315,18 @@
     context.handler = BoundedQueueHandler(queue.Queue(capacity))
 
 
-@when("{number:d} events are logged and the reader resumes")
-def step_logged(context, number):
+@when("{event_count:d} events are logged and the reader resumes")
+def step_logged(context, event_count):
     def log(index):
         context.handler.handle(logging.makeLogRecord({"msg": f"event-{index}"}))
 
-    for index in range(number):
+    for index in range(event_count):
         log(index)
     context.lines = [
         context.handler.queue.get_nowait().getMessage()
         for _ in range(context.handler.queue.qsize())
     ]
-    log(number)
+    log(event_count)
     last_lines = [context.handler.queue.get_nowait() for _ in range(2)]
     context.last_lines = [
         (r.getMessage(), getattr(r, "fields", {})) for r in last_lines
--- a/features/steps/head_steps.py
+++ b/features/steps/head_steps.py
@@ -92,11 +92,11 @@
 
 @given(
     "a load of {rate:d} requests a second for {duration:f} s while g1 ends at "
-    "{ended:f} s and g2 opens at {opened:f} s"
+    "{ended_at:f} s and g2 opens at {opened_at:f} s"
 )
-def step_request_load(context, rate, duration, ended, opened):
+def step_request_load(context, rate, duration, ended_at, opened_at):
     context.request_times = [number / rate for number in range(int(rate * duration))]
-    context.ended_s, context.opened_s = ended, opened
+    context.ended_at, context.opened_at = ended_at, opened_at
 
 
 @given("a list that is {delay:f} s late")
@@ -109,11 +109,11 @@
     step_list(context)
     applied, misrouted, first_at = set(), 0, None
     changes = [
-        (context.ended_s, "list", _entry("h1", "g1", 5, "broken")),
-        (context.opened_s, "list", _entry("h2", "g2", 7, "open")),
-        (context.ended_s, "update", GroupUpdate("g1", 6)),
+        (context.ended_at, "list", _entry("h1", "g1", 5, "broken")),
+        (context.opened_at, "list", _entry("h2", "g2", 7, "open")),
+        (context.ended_at, "update", GroupUpdate("g1", 6)),
         (
-            context.opened_s - OPENS_IN_S,
+            context.opened_at - OPENS_IN_S,
             "update",
             GroupUpdate(
                 "g2", 7, OpenedHead("h2", FIRST_INCARNATION, "large", OPENS_IN_S)
@@ -135,18 +135,20 @@
             else:
                 _apply_update(context, change, now)
         serving = _serving(context, now)
-        misrouted += "h1" in serving and now >= context.ended_s
+        misrouted += "h1" in serving and now >= context.ended_at
         if "h2" in serving and first_at is None:
             first_at = now
     return misrouted, first_at
 
 
 @then(
-    "without updates {number:d} requests go to an ended group and g2 gets none until "
-    "{first_at:f} s"
+    "without updates {request_count:d} requests go to an ended group and g2 gets none "
+    "until {first_at:f} s"
 )
-def step_without_updates(context, number, first_at):
-    assert _simulate(context, False) == (number, first_at), _simulate(context, False)
+def step_without_updates(context, request_count, first_at):
+    assert _simulate(context, False) == (request_count, first_at), _simulate(
+        context, False
+    )
 
 
 @then(
--- a/features/steps/knowledge_steps.py
+++ b/features/steps/knowledge_steps.py
@@ -216,7 +216,7 @@
 
 
 @when("a push from version {after:d} to {version:d} arrives that removes {gone:w}")
-def step_push_drops(context, after, version, gone):
+def step_push_removes(context, after, version, gone):
     _push(context, after, version, (), (gone,))
 
 
@@ -227,8 +227,8 @@
 
 @then("the daemon without the store knows {targets}")
 def step_knows_without_store(context, targets):
-    known = set(targets.split(" and "))
-    assert context.listener.targets == known, context.listener.targets
+    expected = set(targets.split(" and "))
+    assert context.listener.targets == expected, context.listener.targets
 
 
 @when("a push from version 7 to 8 arrives")
@@ -264,7 +264,7 @@
 @when("a peer sends it configuration 6")
 def step_older_configuration(context):
     store = FlakyStore()
-    store.configuration = 6
+    store.configuration_version = 6
     content = store.rows(CONFIGURATION_TABLE)[0].value
     assert encode_state(PeerState(content, 1, {}))
     context.replica._apply_configuration(content)
--- a/features/steps/outside_steps.py
+++ b/features/steps/outside_steps.py
@@ -23,12 +23,12 @@
 }
 
 
-def _decode_all(context, number, valid, decode, check):
+def _decode_all(context, input_count, valid, decode, check):
     context.accepted, context.refused, context.mismatches = 0, 0, []
 
     @seed(1)
     @settings(
-        max_examples=number,
+        max_examples=input_count,
         database=None,
         deadline=None,
         phases=[Phase.generate],
@@ -53,14 +53,14 @@
     run()
 
 
-@when("{number:d} inputs are decoded as {input_kind} without type checks")
-def step_decode_lenient(context, number, input_kind):
+@when("{input_count:d} inputs are decoded as {input_kind} without type checks")
+def step_decode_lenient(context, input_count, input_kind):
     valid, _, check = DECODERS[input_kind]
     _decode_all(context, number, valid, lenient_entry, check)
 
 
-@when("{number:d} inputs are decoded as {input_kind}")
-def step_decode(context, number, input_kind):
+@when("{input_count:d} inputs are decoded as {input_kind}")
+def step_decode(context, input_count, input_kind):
     _decode_all(context, number, *DECODERS[input_kind])
 
 
@@ -151,11 +151,11 @@
     assert entry.id == target and entry.is_leaving == (state == "leaving")
 
 
-@then("{number} line says that {target} is unreadable")
+@then("{count_word} line says that {target} is unreadable")
 @then("{number} lines say that {target} is unreadable")
-def step_log_lines(context, number, target):
+def step_log_lines(context, count_word, target):
     line_count = context.log_recorder.events.count(("entry-unreadable", target))
-    assert line_count == {"one": 1, "two": 2}[number], context.log_recorder.events
+    assert line_count == {"one": 1, "two": 2}[count_word], context.log_recorder.events
 
 
 @when(
--- a/features/steps/peer_steps.py
+++ b/features/steps/peer_steps.py
@@ -49,15 +49,15 @@
 
 @then("{reporter} reports for north, and {coordinator} coordinates")
 def step_roles(context, reporter, coordinator):
-    own = heartbeat("a1", 30)
-    assert context.registry.reporters(own, context.now) == [reporter]
-    assert _global_coordinator(context, own) == coordinator
+    own_heartbeat = heartbeat("a1", 30)
+    assert context.registry.reporters(own_heartbeat, context.now) == [reporter]
+    assert _global_coordinator(context, own_heartbeat) == coordinator
 
 
-def _global_coordinator(context, own):
+def _global_coordinator(context, own_heartbeat):
     """Return who coordinates the groups of data centres without a reporter."""
     reporters = context.registry.first_reporter_by_data_centre(
-        own, context.now
+        own_heartbeat, context.now
     ).values()
     return min(reporters, key=registration_order).name
 
--- a/features/steps/placing_steps.py
+++ b/features/steps/placing_steps.py
@@ -18,7 +18,7 @@
 DEEP_QUEUE_LENGTH = 13
 
 
-@given("a route with {timeout:d} s for an answer and an objective of {objective:f} s")
+@given("a route with a time-out of {timeout:d} s and an objective of {objective:f} s")
 def step_route(context, timeout, objective):
     context.route = Route(
         "query",
@@ -33,22 +33,24 @@
     context.wait_estimator = PriorWaitEstimator()
 
 
-def _budgets(number, low, high):
-    return [low + (high - low) * index / number for index in range(number)]
+def _evenly_spaced_budgets_s(count, low, high):
+    return [low + (high - low) * index / count for index in range(count)]
 
 
-@when("{number:d} new requests come with budgets from {low:f} to {high:f} s")
-def step_new_requests(context, number, low, high):
-    for budget_s in _budgets(number, low, high):
+@when("{request_count:d} new requests come with budgets from {low:f} to {high:f} s")
+def step_new_requests(context, request_count, low, high):
+    for budget_s in _evenly_spaced_budgets_s(request_count, low, high):
         context.wait_estimator.observe(context.route, budget_s)
 
 
 @when(
-    "{number:d} retried requests come with budgets from {low:f} to {high:f} s, one "
-    "new one to each three"
+    "{request_count:d} retried requests come with budgets from {low:f} to {high:f} s, "
+    "one new one to each three"
 )
-def step_retried_requests(context, number, low, high):
-    for index, budget_s in enumerate(_budgets(number, low, high)):
+def step_retried_requests(context, request_count, low, high):
+    for index, budget_s in enumerate(
+        _evenly_spaced_budgets_s(request_count, low, high)
+    ):
         context.wait_estimator.observe(context.route, budget_s)
         if index % 3 == 0:
             context.wait_estimator.observe(context.route, context.route.timeout_s)
@@ -69,18 +71,18 @@
     assert not _can_meet_objective(context, budget)
 
 
-@when("requests of {number:d} routes come, one after the other")
-def step_requests_of_many_routes(context, number):
+@when("requests of {route_count:d} routes come, one after the other")
+def step_requests_of_many_routes(context, route_count):
     context.wait_estimator = PriorWaitEstimator()
-    for index in range(number):
+    for index in range(route_count):
         context.wait_estimator.observe(
             SimpleNamespace(name=f"r{index}", timeout_s=5.0), 5.0
         )
 
 
-@then("budgets of {number:d} routes are kept")
-def step_retained_route_count(context, number):
-    assert len(context.wait_estimator) == number, len(context.wait_estimator)
+@then("budgets of {route_count:d} routes are kept")
+def step_retained_route_count(context, route_count):
+    assert len(context.wait_estimator) == route_count, len(context.wait_estimator)
 
 
 @given("a group that runs {slots:d} requests at once")
--- a/features/steps/size_steps.py
+++ b/features/steps/size_steps.py
@@ -35,7 +35,7 @@
 """Versions of the target list in a random run."""
 
 
-def _entry(number, state="ready"):
+def _target_entry(number, state="ready"):
     return entry_content(
         service="dazi41a",
         address=f"10.{number % 5}.64.{number // 5}:8445",
@@ -52,7 +52,7 @@
     )
 
 
-def _id(number):
+def _target_id(number):
     return f"i-{number * 0x1234567 % (1 << 40):010x}"
 
 
@@ -62,7 +62,7 @@
 @when("{data_centres:d} data centres of {daemons:d} daemons run for {seconds:d} s")
 def step_run(context, data_centres, daemons, seconds):
     context.network = DaemonNetwork(NetworkShape(data_centres, daemons))
-    context.sent = run_paused(context.network.run(seconds / 2))
+    context.sent_bytes_per_s = run_paused(context.network.run(seconds / 2))
 
 
 @when(
@@ -87,12 +87,14 @@
 
 @then("no daemon sends more than {limit:d} KB/s")
 def step_max_traffic(context, limit):
-    assert max(context.sent) <= limit * 1000, max(context.sent)
+    assert max(context.sent_bytes_per_s) <= limit * 1000, max(context.sent_bytes_per_s)
 
 
 @then("8 in 10 send no more than {limit:d} KB/s")
 def step_usual_traffic(context, limit):
-    percentile_80 = sorted(context.sent)[len(context.sent) * 8 // 10]
+    percentile_80 = sorted(context.sent_bytes_per_s)[
+        len(context.sent_bytes_per_s) * 8 // 10
+    ]
     assert percentile_80 <= limit * 1000, percentile_80
 
 
@@ -108,7 +110,7 @@
 )
 def step_start_all(context, within, lost):
     network = DaemonNetwork(NetworkShape(5, 39, loss_rate=lost / 100))
-    context.roles = run_paused(network.start_all(within, 4))
+    context.role_samples = run_paused(network.start_all(within, 4))
 
 
 @when(
@@ -151,14 +153,14 @@
         mock.patch.object(roles, "is_settled", lambda at, now: at is not None),
         mock.patch.object(PeerRegistry, "is_unknown", lambda self, member: False),
     ):
-        context.roles = run_paused(network.start_all(1, 2))
+        context.role_samples = run_paused(network.start_all(1, 2))
 
 
 @then(
     "no data centre ever has more than {limit:d} reporters, and 2 from {from_s:d} s on"
 )
 def step_few_reporters(context, limit, from_s):
-    for seconds, reporters, _ in context.roles:
+    for seconds, reporters, _ in context.role_samples:
         assert max(reporters.values(), default=0) <= limit, (seconds, reporters)
         if seconds >= from_s:
             assert sorted(reporters.values()) == [2] * 5, (seconds, reporters)
@@ -169,9 +171,9 @@
     "{from_s:d} s on"
 )
 def step_few_coordinators(context, limit, from_s):
-    numbers = [(seconds, number) for seconds, _, number in context.roles]
-    assert all(number <= limit for _, number in numbers), numbers
-    assert all(number == 1 for seconds, number in numbers if seconds >= from_s), numbers
+    counts = [(seconds, count) for seconds, _, count in context.role_samples]
+    assert all(count <= limit for _, count in counts), counts
+    assert all(count == 1 for seconds, count in counts if seconds >= from_s), counts
 
 
 @when(
@@ -212,24 +214,24 @@
 
 @then("some data centre has more than {limit:d} reporters")
 def step_many_reporters(context, limit):
-    max_reporters = max(max(r.values(), default=0) for _, r, _ in context.roles)
+    max_reporters = max(max(r.values(), default=0) for _, r, _ in context.role_samples)
     assert max_reporters > limit, max_reporters
 
 
 @when(
-    "one daemon of {data_centres:d} data centres of {daemons:d} gets {number:d} "
+    "one daemon of {data_centres:d} data centres of {daemons:d} gets {request_count:d} "
     "requests in flight at a target"
 )
-def step_in_flight_burst(context, data_centres, daemons, number):
+def step_in_flight_burst(context, data_centres, daemons, request_count):
     network = DaemonNetwork(NetworkShape(data_centres, daemons))
     context.delays_s = {}
 
     async def observe():
-        network.daemons[5].extra_in_flight = {"i-burst": number}
+        network.daemons[5].extra_in_flight = {"i-burst": request_count}
         for step in range(30):
             await asyncio.sleep(CHECK_INTERVAL_S)
             for daemon in network.daemons[:5] + network.daemons[6:]:
-                if daemon.registry.in_flight.get("i-burst", 0) >= number:
+                if daemon.registry.in_flight.get("i-burst", 0) >= request_count:
                     name = daemon.settings.name
                     context.delays_s.setdefault(name, (step + 1) * CHECK_INTERVAL_S)
 
@@ -251,13 +253,16 @@
         assert delay_s <= limit_s + CHECK_INTERVAL_S / 2, (name, delay_s)
 
 
-@when("{number:d} daemons of {data_centres:d} data centres of {daemons:d} fall silent")
-def step_daemons_fall_silent(context, number, data_centres, daemons):
+@when(
+    "{silent_count:d} daemons of {data_centres:d} data centres of {daemons:d} fall "
+    "silent"
+)
+def step_daemons_fall_silent(context, silent_count, data_centres, daemons):
     network = DaemonNetwork(NetworkShape(data_centres, daemons))
     context.routable = {}
 
     async def observe():
-        stride = len(network.daemons) // number
+        stride = len(network.daemons) // silent_count
         silent = {daemon.settings.name for daemon in network.daemons[::stride]}
         network.silence(silent)
         await asyncio.sleep(1.5)
@@ -266,7 +271,7 @@
             if not daemon.is_down:
                 routable = daemon.registry.ready_members(daemon.settings.name, now)
                 context.routable[daemon.settings.name] = {m.name for m in routable}
-        context.live = {d.settings.name for d in network.daemons if not d.is_down}
+        context.connected = {d.settings.name for d in network.daemons if not d.is_down}
 
     run_paused(network.run(2.0, observe))
 
@@ -276,7 +281,10 @@
 )
 def step_routable_lists(context, _):
     for name, routable in context.routable.items():
-        assert routable == context.live - {name}, (name, routable ^ context.live)
+        assert routable == context.connected - {name}, (
+            name,
+            routable ^ context.connected,
+        )
 
 
 @given("a daemon that has received heartbeats of others and a digest without members")
@@ -355,9 +363,9 @@
     replica._on_target_snapshot(changes)
 
 
-@given("the list of a site of {number:d} targets")
-def step_list(context, number):
-    contents = {_id(n): _entry(n) for n in range(number)}
+@given("the list of a site of {target_count:d} targets")
+def step_list(context, target_count):
+    contents = {_target_id(n): _target_entry(n) for n in range(target_count)}
     context.replica, _, _ = _make_replica_with_targets(contents, 5000)
 
 
@@ -396,7 +404,7 @@
     context.differences, context.whole_list_reads = [], 0
 
     async def run():
-        rows = tuple(StoredRow(_id(n), _entry(n), 1) for n in range(40))
+        rows = tuple(StoredRow(_target_id(n), _target_entry(n), 1) for n in range(40))
         source._on_target_snapshot(RowChanges(rows, 1))
         # Removed entries are not held back.
         source._recovered_at = 0.0
@@ -413,16 +421,16 @@
     """Apply a random change at the source; at times the reader misses its push."""
     numbers = rng.sample(range(60), rng.randint(1, 4))
     rows = tuple(
-        StoredRow(_id(n), b"", version, deleted=True)
+        StoredRow(_target_id(n), b"", version, deleted=True)
         if rng.random() < 0.3
-        else StoredRow(_id(n), _entry(n + 1000 * version), version)
+        else StoredRow(_target_id(n), _target_entry(n + 1000 * version), version)
         for n in numbers
     )
     changes = RowChanges(rows, version + 1)
     push = source._listener.push_changes
     if rng.random() < 0.1:
         # The removal of held entries is pushed without a newer version.
-        source._held_until = {_id(rng.randrange(60)): 0.0}
+        source._held_until = {_target_id(rng.randrange(60)): 0.0}
         source._remove_expired_held(1.0)
         return
     if rng.random() < 0.4:
@@ -459,11 +467,11 @@
     assert context.whole_list_reads <= 1, context.whole_list_reads
 
 
-@given("changes of {number:d} entries at different versions")
-def step_changes(context, number):
-    changed = {_id(n): _entry(n) for n in range(number)}
-    context.versions = {_id(n): 101 + n for n in range(number)}
-    changes = TargetChanges(100, 101 + number, changed, ())
+@given("changes of {entry_count:d} entries at different versions")
+def step_changes(context, entry_count):
+    changed = {_target_id(n): _target_entry(n) for n in range(entry_count)}
+    context.versions = {_target_id(n): 101 + n for n in range(entry_count)}
+    changes = TargetChanges(100, 101 + entry_count, changed, ())
     context.parts = split_changes(changes, context.versions)
 
 
--- a/features/steps/stream_steps.py
+++ b/features/steps/stream_steps.py
@@ -64,15 +64,15 @@
     assert not any(context.events[:-1])
 
 
-@given("a caller that has the events up to {number:d}")
-def step_position(context, number):
-    context.position = StreamPosition(number)
+@given("a caller that has the events up to {event_id:d}")
+def step_position(context, event_id):
+    context.position = StreamPosition(event_id)
 
 
-@when("a target continues with event {number:d}")
-def step_continues(context, number):
+@when("a target continues with event {event_id:d}")
+def step_continues(context, event_id):
     context.filtered = context.position.filter_events(
-        [Event(number, REFERENCE_EVENTS[number])]
+        [Event(event_id, REFERENCE_EVENTS[event_id])]
     )
 
 
--- a/features/steps/urgency_steps.py
+++ b/features/steps/urgency_steps.py
@@ -32,7 +32,7 @@
 
 
 @given(
-    "a route of priority {priority:d} with 8 s for an answer and an objective of 0.5 s"
+    "a route of priority {priority:d} with a time-out of 8 s and an objective of 0.5 s"
 )
 def step_route(context, priority):
     context.route = _route(priority)
--- a/features/steps/variant_steps.py
+++ b/features/steps/variant_steps.py
@@ -62,7 +62,7 @@
     replica, _, listener = make_replica(FlakyStore())
     for version in (7, 6):
         store = FlakyStore()
-        store.configuration = version
+        store.configuration_version = version
         row = store.rows(replica_module.CONFIGURATION_TABLE)[0]
         replica._apply_configuration(row.value)
     assert listener.table.version == 7, listener.table.version
--- a/features/support/daemon_network.py
+++ b/features/support/daemon_network.py
@@ -22,7 +22,7 @@
 DATAGRAM_DELAY_S = 0.001
 IP_UDP_HEADER_BYTES = 28
 """IP and UDP headers of a datagram."""
-BUSY_TARGET_COUNT = 85
+SERVING_TARGET_COUNT = 85
 """Targets of the large site that accept requests: heads of groups and plain ones."""
 
 
@@ -41,8 +41,8 @@
     loss_rate: float = 0.0
 
 
-WRITE_DURATION_S = 0.004
-"""Duration of a write; writes to one partition of the store are serialized."""
+STORE_CALL_S = 0.004
+"""Duration of a write or a read; writes to one partition are serialized."""
 SAMPLE_INTERVAL_S = 0.05
 
 
@@ -63,7 +63,7 @@
     def __init__(self, daemons):
         self._version = 1000
         self._rows = {}
-        self._free_at = 0.0
+        self._writable_at = 0.0
         for daemon in daemons:
             row = encode_registration(
                 Registration(daemon.settings.listen.peer, daemon.settings.data_centre)
@@ -72,14 +72,14 @@
 
     async def write(self, row_write):
         now = asyncio.get_running_loop().time()
-        self._free_at = max(now, self._free_at) + WRITE_DURATION_S
-        await asyncio.sleep(self._free_at - now)
+        self._writable_at = max(now, self._writable_at) + STORE_CALL_S
+        await asyncio.sleep(self._writable_at - now)
         self._version += 1
         self._rows[row_write.key] = row_write.value
         return self._version
 
     async def read_table(self, table):
-        await asyncio.sleep(WRITE_DURATION_S)
+        await asyncio.sleep(STORE_CALL_S)
         rows = [StoredRow(key, value, 1) for key, value in self._rows.items()]
         return RowChanges(tuple(rows), self._version)
 
@@ -126,7 +126,7 @@
         """Return the daemon's next heartbeat."""
         self._sequence += 1
         busy_targets = self._rng.sample(
-            range(BUSY_TARGET_COUNT), self._shape.busy_targets_per_daemon
+            range(SERVING_TARGET_COUNT), self._shape.busy_targets_per_daemon
         )
         in_flight = {f"i-{target * 0x123457:010x}": 1 for target in busy_targets}
         in_flight |= self.extra_in_flight
@@ -140,8 +140,8 @@
     def heartbeat_interval_s(self):
         """Return the seconds until the next heartbeat."""
         now = asyncio.get_running_loop().time()
-        own = Heartbeat(self.member, 0, True, 99, {}, {})
-        is_reporter = self.member.name in self.registry.reporters(own, now)
+        own_heartbeat = Heartbeat(self.member, 0, True, 99, {}, {})
+        is_reporter = self.member.name in self.registry.reporters(own_heartbeat, now)
         return self.registry.heartbeat_interval_s(is_reporter, now)
 
     def prepare_start(self, store):
@@ -215,13 +215,13 @@
         if not daemon.is_down:
             daemon.link._handle_datagram(content)
 
-    async def run(self, seconds, then=None):
+    async def run(self, period_s, after_run=None):
         """Run daemons that know all addresses; return the bytes per second of each.
 
         Bytes are counted in the second of two periods of the given length.
 
-        :param seconds: length of each period.
-        :param then: coroutine function that is run afterwards, while they go on.
+        :param period_s: length of each period.
+        :param after_run: coroutine function that is run afterwards, while they go on.
         """
         now = asyncio.get_running_loop().time()
         for daemon in self.daemons:
@@ -232,11 +232,11 @@
                         member.peer_address, member.data_centre, now
                     )
         tasks = [asyncio.create_task(d.link.run()) for d in self.daemons]
-        await asyncio.sleep(seconds)
+        await asyncio.sleep(period_s)
         bytes_before = [daemon.sent_bytes for daemon in self.daemons]
-        await asyncio.sleep(seconds)
-        if then is not None:
-            await then()
+        await asyncio.sleep(period_s)
+        if after_run is not None:
+            await after_run()
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
@@ -244,7 +244,7 @@
             d.sent_bytes - before
             for d, before in zip(self.daemons, bytes_before, strict=True)
         ]
-        return [daemon_bytes / seconds for daemon_bytes in sent_bytes]
+        return [daemon_bytes / period_s for daemon_bytes in sent_bytes]
 
     def store_readers(self):
         """Return the names of daemons that read the store, by data centre."""
@@ -261,12 +261,12 @@
             if daemon.settings.name in names:
                 daemon.is_down = True
 
-    async def start_all(self, within_s, seconds, then=None):
+    async def start_all(self, within_s, duration_s, after_run=None):
         """Start all daemons as after a power loss, and sample their roles.
 
         :param within_s: time within which they start, at random.
-        :param seconds: time for which roles are sampled.
-        :param then: coroutine function that is run afterwards, while they go on.
+        :param duration_s: time for which roles are sampled.
+        :param after_run: coroutine function that is run afterwards, while they go on.
         :returns: list of ``(seconds since the start, reporter count by data centre,
             largest number of coordinators of one data centre)``
         """
@@ -278,11 +278,11 @@
             for daemon in self.daemons
         ]
         samples = []
-        for index in range(int(seconds / SAMPLE_INTERVAL_S)):
+        for index in range(int(duration_s / SAMPLE_INTERVAL_S)):
             await asyncio.sleep(SAMPLE_INTERVAL_S)
             samples.append(((index + 1) * SAMPLE_INTERVAL_S, *self._sample_roles()))
-        if then is not None:
-            await then()
+        if after_run is not None:
+            await after_run()
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
--- a/features/support/knowledge.py
+++ b/features/support/knowledge.py
@@ -28,7 +28,7 @@
         self.is_unavailable = False
         self.drops_history = False
         self.removed_key = None
-        self.configuration = 7
+        self.configuration_version = 7
         self.configuration_content = None
 
     def rows(self, table):
@@ -36,7 +36,11 @@
             content = (
                 self.configuration_content
                 or json.dumps(
-                    {"version": self.configuration, "routes": [], "services": []}
+                    {
+                        "version": self.configuration_version,
+                        "routes": [],
+                        "services": [],
+                    }
                 ).encode()
             )
             return (StoredRow("config", content, 1),)
