--- a/cowslipcourse/controller/changes.py
+++ b/cowslipcourse/controller/changes.py
@@ -162,7 +162,7 @@
         return [r for r in reports if r.spec.declaration == declaration]
 
     async def send_load_orders(self):
-        """Order loads of missing members, most cost saved per load first."""
+        """Order members to load their assignment, most cost saved per load first."""
         shard = self._shard
         members_to_load = {}
         needs = []
@@ -190,9 +190,9 @@
     async def _order_loads(self, spec, members):
         shard = self._shard
         model = shard.fleet.configuration.model.get(spec.model)
-        size_bytes = model.weights_bytes if model else 1
+        weights_bytes = model.weights_bytes if model else 1
         for member in members:
-            await shard.orders.load(shard.lease, spec, member, size_bytes)
+            await shard.orders.load(shard.lease, spec, member, weights_bytes)
 
     def _accelerators_per_vm(self, spec):
         vm = self._shard.vms.get(spec.leader.vm)
--- a/cowslipcourse/controller/main.py
+++ b/cowslipcourse/controller/main.py
@@ -52,9 +52,9 @@
         await agent.start()
         await server.start()
         tasks = [
-            run_forever(fleet.run(), "fleet-watch"),
+            run_forever(fleet.run(), "fleet-monitor"),
             run_forever(acceptor.run(), "acceptor"),
-            run_forever(shard_manager.run(), "shard-keeper"),
+            run_forever(shard_manager.run(), "shard-manager"),
             run_forever(Observer(context, shard_manager).run(), "observer"),
         ]
         log.info("started", daemon=settings.daemon.name)
--- a/cowslipcourse/controller/shards.py
+++ b/cowslipcourse/controller/shards.py
@@ -53,7 +53,7 @@
 
     async def run(self):
         """Acquire and renew shards, for ever."""
-        renewal_task = run_forever(self._renew_leases(), "renewals")
+        renewal_task = run_forever(self._renew_leases(), "lease-renewals")
         try:
             while True:
                 if self._context.agent.may_serve():
--- a/cowslipcourse/controller/status.py
+++ b/cowslipcourse/controller/status.py
@@ -84,9 +84,9 @@
 def _visible_groups_by_gateway(agent):
     """Return the groups that serve as far as each gateway that accepts callers knows.
 
-    Controllers know of a serving group before gateways do. Just after a start, callers
-    found no group at a gateway for one or two seconds although the status reported all
-    groups as serving.
+    Controllers know of a serving group before gateways do: for one or two seconds after
+    a start, callers may find no group at a gateway although every group is serving for
+    the controllers.
     """
     oldest_valid_at = now() - agent.times.isolation_s
     visible_by_gateway = {
