--- a/cowslipcourse/gateway/__init__.py
+++ b/cowslipcourse/gateway/__init__.py
@@ -1,1 +1,1 @@
-"""The gateway: callers' requests to groups and services."""
+"""The gateway: forwards callers' requests to groups and services."""
--- a/cowslipcourse/gateway/addresses.py
+++ b/cowslipcourse/gateway/addresses.py
@@ -1,35 +1,36 @@
-"""Which addresses callers are told to use."""
+"""Content of the response that lists gateway addresses for callers."""
 
 from cowslipcourse.daemon import now
 from cowslipcourse.membership import Role
 from cowslipcourse.requests.keys import key_prefix
 
-__all__ = ["address_answer"]
+__all__ = ["address_content"]
 
 
-def address_answer(context, leaving):
-    """Return addresses in order of preference, and how long to keep them.
+def address_content(context, is_draining):
+    """Return gateway addresses in order of preference, and for how long to cache them.
 
-    The answering gateway comes first while it stays, so that callers spread as they
-    ask; then others of its data centre, then the rest.
+    The responding gateway comes first unless it is stopping, which distributes callers
+    as they are distributed over gateways; then come gateways of its data centre in
+    random order, then the others.
 
     :param context: :class:`~cowslipcourse.gateway.tools.GatewayContext`
-    :param leaving: whether this gateway is stopping.
+    :param is_draining: whether this gateway is stopping.
     """
     agent = context.agent
     own = agent.member
-    gone = context.fleet_view.leaving_gateways() | agent.silent_members()
-    usable = []
+    unavailable = context.fleet_view.leaving_gateways() | agent.silent_members()
+    usable_members = []
     for member in agent.revision.members.values() if agent.revision else ():
-        if member.role != Role.GATEWAY or member.name in gone or member == own:
+        if member.role != Role.GATEWAY or member.name in unavailable or member == own:
             continue
         contact = agent.contacts.get(member.name)
         if contact is None or not contact.stopped:
-            usable.append(member)
-    context.rng.shuffle(usable)
-    usable.sort(key=lambda member: member.data_centre != own.data_centre)
-    addresses = [member.public_address for member in usable]
-    if not leaving and agent.may_serve():
+            usable_members.append(member)
+    context.rng.shuffle(usable_members)
+    usable_members.sort(key=lambda member: member.data_centre != own.data_centre)
+    addresses = [member.public_address for member in usable_members]
+    if not is_draining and agent.may_serve():
         addresses.insert(0, own.public_address)
     window = context.outcomes.window(now())
     return {
--- a/cowslipcourse/gateway/callers.py
+++ b/cowslipcourse/gateway/callers.py
@@ -1,4 +1,4 @@
-"""What callers send besides the body, checked."""
+"""Validation of callers' headers, and size-limited reading of their bodies."""
 
 import hashlib
 import secrets
@@ -21,21 +21,22 @@
 REPEATABLE_HEADER = "cowslip-repeatable"
 KEY_HEADER = "idempotency-key"
 REQUEST_ID_HEADER = "x-request-id"
-REQUEST_ID_BYTES = 9
+GENERATED_REQUEST_ID_BYTES = 9
 MAX_DEADLINE_S = 3600.0
 MAX_REQUEST_ID_CHARS = 100
-DISCARD_FACTOR = 4
+DISCARD_LIMIT_FACTOR = 4
 
 
 class Call(NamedTuple):
-    """One call of a caller.
+    """Validated headers of one request.
 
-    :param request_id: id, the caller's own or ours.
-    :param workspace: workspace that the key belongs to.
+    :param request_id: id that the caller sent, or a generated one.
+    :param workspace: workspace that the API key belongs to.
     :param priority: :class:`~cowslipcourse.admission.Priority`
     :param deadline: loop time, or ``None``.
-    :param key: idempotency key, or empty.
-    :param repeatable: the caller's mark, or ``None`` if there is none.
+    :param key: idempotency key; empty if there is none.
+    :param repeatable: whether the caller declares the request repeatable; ``None`` if
+        it does not say.
     """
 
     request_id: str
@@ -48,31 +49,31 @@
     def remaining_s(self):
         """Return the seconds left to the deadline, or ``None``.
 
-        :raises DeadlinePassed: there are none.
+        :raises DeadlinePassed: the deadline has passed.
         """
         if self.deadline is None:
             return None
-        left_s = self.deadline - now()
-        if left_s <= 0:
+        remaining_s = self.deadline - now()
+        if remaining_s <= 0:
             raise DeadlinePassed("the deadline has passed")
-        return left_s
+        return remaining_s
 
 
-def _deadline(text):
+def _parse_deadline(text):
     if text is None:
         return None
     try:
         deadline_s = float(text)
     except ValueError as error:
-        raise BadRequest(f"{DEADLINE_HEADER} must be seconds") from error
+        raise BadRequest(f"{DEADLINE_HEADER} must be a number of seconds") from error
     if not deadline_s <= MAX_DEADLINE_S:
-        raise BadRequest(f"{DEADLINE_HEADER} must be at most {MAX_DEADLINE_S}")
+        raise BadRequest(f"{DEADLINE_HEADER} must be at most {MAX_DEADLINE_S} s")
     if deadline_s <= 0:
         raise DeadlinePassed("the deadline has passed")
     return now() + deadline_s
 
 
-def _priority(text):
+def _parse_priority(text):
     if text is None:
         return Priority.NORMAL
     try:
@@ -81,7 +82,7 @@
         raise BadRequest(f"{PRIORITY_HEADER} must be low, normal or high") from error
 
 
-def _repeatable(text):
+def _parse_repeatable(text):
     if text is None:
         return None
     if text not in ("yes", "no"):
@@ -89,67 +90,69 @@
     return text == "yes"
 
 
-def _request_id(text):
+def _parse_request_id(text):
     if text is None:
-        return secrets.token_urlsafe(REQUEST_ID_BYTES)
+        return secrets.token_urlsafe(GENERATED_REQUEST_ID_BYTES)
     if len(text) > MAX_REQUEST_ID_CHARS or not text.isprintable() or '"' in text:
         raise BadRequest(f"{REQUEST_ID_HEADER} is too long or not printable")
     return text
 
 
-def read_call(request, view):
-    """Check a call's headers.
+def read_call(request, fleet_view):
+    """Validate the headers of a request.
 
     :param request: starlette request.
-    :param view: :class:`~cowslipcourse.gateway.fleet_view.FleetView`
+    :param fleet_view: :class:`~cowslipcourse.gateway.fleet_view.FleetView`
     :returns: :class:`Call`
-    :raises NotAuthorised: the key belongs to no workspace.
-    :raises BadRequest: a header cannot be read.
-    :raises DeadlinePassed: the deadline has passed already.
+    :raises NotAuthorised: the API key belongs to no workspace.
+    :raises BadRequest: a header is malformed or out of range.
+    :raises DeadlinePassed: the deadline is not in the future.
     """
     headers = request.headers
     key = headers.get("authorization", "").removeprefix("Bearer ")
-    workspace = view.workspace_for_key(hashlib.sha256(key.encode()).hexdigest())
+    workspace = fleet_view.workspace_for_key(hashlib.sha256(key.encode()).hexdigest())
     if workspace is None:
         raise NotAuthorised("the key belongs to no workspace")
     idempotency_key = headers.get(KEY_HEADER, "")
     if KEY_HEADER in headers:
         check_key(idempotency_key)
     return Call(
-        request_id=_request_id(headers.get(REQUEST_ID_HEADER)),
+        request_id=_parse_request_id(headers.get(REQUEST_ID_HEADER)),
         workspace=workspace,
-        priority=_priority(headers.get(PRIORITY_HEADER)),
-        deadline=_deadline(headers.get(DEADLINE_HEADER)),
+        priority=_parse_priority(headers.get(PRIORITY_HEADER)),
+        deadline=_parse_deadline(headers.get(DEADLINE_HEADER)),
         key=idempotency_key,
-        repeatable=_repeatable(headers.get(REPEATABLE_HEADER)),
+        repeatable=_parse_repeatable(headers.get(REPEATABLE_HEADER)),
     )
 
 
-async def read_body(request, limit_bytes):
-    """Read a body of bounded length.
+async def read_body(request, max_bytes):
+    """Return the body of a request.
 
-    :raises BodyTooLarge: it is longer than the bound.
+    :param request: starlette request.
+    :param max_bytes: maximum length of the body.
+    :raises BodyTooLarge: the body exceeds the limit.
     """
-    declared = request.headers.get("content-length", "")
-    if declared.isdigit() and int(declared) > limit_bytes:
-        await _discard(request, DISCARD_FACTOR * limit_bytes)
-        raise BodyTooLarge(f"a body may have {limit_bytes} bytes")
-    pieces, size = [], 0
-    async for piece in request.stream():
-        size += len(piece)
-        if size > limit_bytes:
-            raise BodyTooLarge(f"a body may have {limit_bytes} bytes")
-        pieces.append(piece)
-    return b"".join(pieces)
-
-
-async def _discard(request, limit_bytes):
-    """Read what is still being sent, within bounds.
-
-    A caller whose connection is closed while it sends may never see the answer.
+    content_length = request.headers.get("content-length", "")
+    if content_length.isdigit() and int(content_length) > max_bytes:
+        await _discard(request, DISCARD_LIMIT_FACTOR * max_bytes)
+        raise BodyTooLarge(f"the body exceeds {max_bytes} bytes")
+    chunks, size_bytes = [], 0
+    async for chunk in request.stream():
+        size_bytes += len(chunk)
+        if size_bytes > max_bytes:
+            raise BodyTooLarge(f"the body exceeds {max_bytes} bytes")
+        chunks.append(chunk)
+    return b"".join(chunks)
+
+
+async def _discard(request, max_bytes):
+    """Read and discard the rest of a body, up to a limit.
+
+    A caller whose connection is closed while it sends may not receive the response.
     """
-    size = 0
-    async for piece in request.stream():
-        size += len(piece)
-        if size > limit_bytes:
+    size_bytes = 0
+    async for chunk in request.stream():
+        size_bytes += len(chunk)
+        if size_bytes > max_bytes:
             return
--- a/cowslipcourse/gateway/chat.py
+++ b/cowslipcourse/gateway/chat.py
@@ -1,4 +1,4 @@
-"""OpenAI-style model requests."""
+"""Model requests with the OpenAI chat completions API."""
 
 import asyncio
 from contextlib import aclosing
@@ -36,7 +36,10 @@
 
 
 class ChatBody(msgspec.Struct):
-    """The fields of a chat request that the gateway reads; others are passed on."""
+    """The fields of a chat request that the gateway reads.
+
+    The body is forwarded unchanged, with all its fields.
+    """
 
     model: str
     messages: list[Message]
@@ -56,17 +59,17 @@
     choices: list[_Choice]
 
 
-_BODY = msgspec.json.Decoder(ChatBody)
-_CHUNK = msgspec.json.Decoder(_Chunk)
+_BODY_DECODER = msgspec.json.Decoder(ChatBody)
+_CHUNK_DECODER = msgspec.json.Decoder(_Chunk)
 
 
 def parse_chat_body(body):
     """Return the :class:`ChatBody`.
 
-    :raises MalformedBody: it is not a chat request.
+    :raises MalformedBody: the body is not a valid chat request.
     """
     try:
-        parsed = _BODY.decode(body)
+        parsed = _BODY_DECODER.decode(body)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
         raise MalformedBody(str(error)) from error
     if not parsed.messages:
@@ -77,7 +80,7 @@
 
 
 class ChatHandler:
-    """Answers model requests, streamed or whole.
+    """Handles model requests, with streamed or complete responses.
 
     :param context: :class:`~cowslipcourse.gateway.tools.GatewayContext`
     """
@@ -90,62 +93,70 @@
 
         :param request: starlette request.
         :param call: :class:`~cowslipcourse.gateway.callers.Call`
-        :raises RequestError: it ends without its answer.
+        :raises RequestError: the request fails before its response starts.
         """
         body = await read_body(request, self._context.settings.limits.body_bytes)
         parsed = parse_chat_body(body)
         chooser = self._context.chooser
         declarations = chooser.admit(call, parsed.model)
-        running = _Running(call, body, declarations, self._context)
+        model_request = _ModelRequest(call, body, declarations, self._context)
         try:
-            await running.first_piece()
+            await model_request.wait_for_first_chunk()
             if parsed.stream:
                 headers = {"x-request-id": call.request_id, "cache-control": "no-store"}
-                return StreamedResponse(running.stream(), headers, "text/event-stream")
+                return StreamedResponse(
+                    model_request.stream(), headers, "text/event-stream"
+                )
         except BaseException:
-            await running.close()
+            await model_request.close()
             raise
         try:
-            text = await running.whole_text()
+            text = await model_request.collect_text()
         finally:
-            await running.close()
+            await model_request.close()
         return json_response(
-            _completion(call.request_id, parsed.model, text, running.tokens),
+            _completion(call.request_id, parsed.model, text, model_request.token_count),
             headers={"x-request-id": call.request_id},
         )
 
 
-class _Running:
-    """One admitted model request."""
+class _ModelRequest:
+    """One admitted model request.
+
+    :ivar token_count: number of tokens in the collected text.
+    """
 
     def __init__(self, call, body, declarations, context):
         self._call = call
         self._context = context
         self._generation = Generation(call, body, declarations, context)
-        self._pieces = self._generation.chunks()
-        self._first = None
-        self._entered_at = context.chooser.record_admitted(call.workspace)
+        self._chunks = self._generation.chunks()
+        self._first_chunk = None
+        self._admitted_at = context.chooser.record_admitted(call.workspace)
         self._closed = False
-        self.tokens = 0
+        self.token_count = 0
 
-    async def first_piece(self):
-        """Wait for the first token, but not beyond the deadline."""
+    async def wait_for_first_chunk(self):
+        """Wait for the first token.
+
+        :raises RequestError: the deadline passes, or the request fails.
+        """
         try:
             async with asyncio.timeout_at(self._call.deadline):
-                self._first = await anext(self._pieces, None)
+                self._first_chunk = await anext(self._chunks, None)
         except TimeoutError:
-            raise self._late() from None
-        took_s = now() - self._entered_at
-        self._context.metrics.timing("first_token", took_s)
+            raise self._deadline_error() from None
+        elapsed_s = now() - self._admitted_at
+        self._context.metrics.timing("first_token", elapsed_s)
 
     async def stream(self):
-        """Yield the answer for a streaming response."""
+        """Yield the body of a streamed response; an error becomes its last event."""
         async with aclosing(self):
             try:
-                if self._first is not None:
-                    yield self._first
-                async for piece in self._pieces:
-                    yield piece
+                if self._first_chunk is not None:
+                    yield self._first_chunk
+                async for chunk in self._chunks:
+                    yield chunk
                 yield DONE_EVENT
             except RequestError as error:
                 log.info(
@@ -153,52 +164,57 @@
                 )
                 yield problem_event(error)
 
-    async def whole_text(self):
-        """Return the whole answer's text."""
+    async def collect_text(self):
+        """Return the complete text of the response.
+
+        :raises RequestError: the deadline passes, or the request fails.
+        """
         texts = []
         try:
             async with asyncio.timeout_at(self._call.deadline):
-                self._add_texts(texts, self._first)
-                async for piece in self._pieces:
-                    self._add_texts(texts, piece)
+                self._append_texts(texts, self._first_chunk)
+                async for chunk in self._chunks:
+                    self._append_texts(texts, chunk)
         except TimeoutError:
-            raise self._late() from None
+            raise self._deadline_error() from None
         return "".join(texts)
 
     async def aclose(self):
-        """Close; for :func:`contextlib.aclosing`."""
+        """Call :meth:`close`; for :func:`contextlib.aclosing`."""
         await self.close()
 
     async def close(self):
-        """End the request; an answer that is not complete is cancelled."""
+        """End the request; cancel it if the response is not complete."""
         if self._closed:
             return
         self._closed = True
-        await self._pieces.aclose()
+        await self._chunks.aclose()
         completed = self._generation.complete
         self._context.chooser.record_finished(
-            self._call.workspace, self._entered_at, completed
+            self._call.workspace, self._admitted_at, completed
         )
         self._context.metrics.count(
             "requests.completed" if completed else "requests.cut"
         )
 
-    def _late(self):
+    def _deadline_error(self):
         if self._generation.attempted_groups:
             return DeadlineWhileRunning("the deadline passed", 1.0)
         return DeadlinePassed("the deadline passed", 1.0)
 
-    def _add_texts(self, texts, piece):
-        for event in (piece or b"").split(b"\n\n")[:-1]:
+    def _append_texts(self, texts, chunk):
+        for event in (chunk or b"").split(b"\n\n")[:-1]:
             try:
-                chunk = _CHUNK.decode(event.removeprefix(b"data: "))
-                texts.append(chunk.choices[0].delta.content)
+                completion_chunk = _CHUNK_DECODER.decode(event.removeprefix(b"data: "))
+                texts.append(completion_chunk.choices[0].delta.content)
             except (msgspec.DecodeError, IndexError) as error:
-                raise RequestFailed("the engine's answer cannot be read") from error
-            self.tokens += 1
+                raise RequestFailed(
+                    "the engine's response cannot be decoded"
+                ) from error
+            self.token_count += 1
 
 
-def _completion(request_id, model, text, tokens):
+def _completion(request_id, model, text, token_count):
     message = {"role": "assistant", "content": text}
     choice = {"index": 0, "message": message, "finish_reason": "stop"}
     return {
@@ -206,5 +222,5 @@
         "object": "chat.completion",
         "model": model,
         "choices": [choice],
-        "usage": {"completion_tokens": tokens},
+        "usage": {"completion_tokens": token_count},
     }
--- a/cowslipcourse/gateway/chooser.py
+++ b/cowslipcourse/gateway/chooser.py
@@ -20,33 +20,33 @@
 
 __all__ = ["GroupChooser"]
 
-ANSWER_SMOOTHING = 0.1
-FIRST_ANSWER_S = 1.0
-NO_GROUP_RETRY_S = 2.0
-STRAGGLER_LOOK_S = 1.0
+RESPONSE_TIME_SMOOTHING = 0.1
+INITIAL_RESPONSE_TIME_S = 1.0
+NO_GROUP_RETRY_AFTER_S = 2.0
+STRAGGLER_CHECK_INTERVAL_S = 1.0
 
 
 class GroupChooser:
-    """Lets requests in and chooses their groups.
+    """Admits model requests and chooses the group for each attempt.
 
-    :param view: :class:`~cowslipcourse.gateway.fleet_view.FleetView`
+    :param fleet_view: :class:`~cowslipcourse.gateway.fleet_view.FleetView`
     :param agent: :class:`~cowslipcourse.daemon.Agent`
     :param rng: :class:`random.Random`
     """
 
-    def __init__(self, view, agent, rng=None):
-        self._view = view
+    def __init__(self, fleet_view, agent, rng=None):
+        self._fleet_view = fleet_view
         self._agent = agent
         self._rng = rng or random.Random()
         self._policy = LeastExpectedWait()
         self._admission = AdmissionControl(AdmissionLimits(), self._rng)
         self._stragglers = StragglerFilter()
-        self._stragglers_at = 0.0
+        self._stragglers_checked_at = 0.0
         self._prefixes = PrefixMap()
         self._in_flight = InFlight()
         self._in_flight_by_workspace = {}
-        self._reported = 0
-        self._answer_s = FIRST_ANSWER_S
+        self._reported_in_flight = 0
+        self._mean_response_time_s = INITIAL_RESPONSE_TIME_S
 
     @property
     def in_flight(self):
@@ -55,129 +55,149 @@
 
     @property
     def in_flight_by_workspace(self):
-        """Requests in flight by workspace."""
+        """Number of requests in flight by workspace."""
         return self._in_flight_by_workspace
 
     def record_reported(self):
-        """Note that the requests in flight were reported to the other gateways."""
-        self._reported = sum(self._in_flight_by_workspace.values())
+        """Record that the requests in flight were reported to the other gateways."""
+        self._reported_in_flight = sum(self._in_flight_by_workspace.values())
 
     def admit(self, call, model):
-        """Let a request in.
+        """Admit a request or refuse it.
 
         :param call: :class:`~cowslipcourse.gateway.callers.Call`
         :param model: model name.
         :returns: names of the group declarations that may serve it.
         :raises UnknownModel: the model is not placed for the workspace.
-        :raises AdmissionError: it is not let in now.
+        :raises AdmissionError: it is not admitted now.
         """
-        declarations = self._view.resolved.declarations_for(call.workspace, model)
+        declarations = self._fleet_view.resolved.declarations_for(call.workspace, model)
         if not declarations:
             raise UnknownModel(f"no model {model!r} is placed for {call.workspace}")
-        grants = self._view.group_grants(declarations)
+        grants = self._fleet_view.group_grants(declarations)
         capacity = self._capacity(grants)
         remaining_s = call.remaining_s()
         self._admission.admit(call.workspace, call.priority, remaining_s, capacity)
         return declarations
 
     def record_admitted(self, workspace):
-        """Note that a request of a workspace was let in; returns its start time."""
+        """Record that a request of a workspace was admitted; return the loop time."""
         self._in_flight_by_workspace[workspace] = (
             self._in_flight_by_workspace.get(workspace, 0) + 1
         )
         return now()
 
-    def record_finished(self, workspace, entered_at, completed):
-        """Note that a request of a workspace ended."""
+    def record_finished(self, workspace, admitted_at, completed):
+        """Record that a request of a workspace ended.
+
+        :param workspace: workspace name.
+        :param admitted_at: loop time that :meth:`record_admitted` returned.
+        :param completed: whether its response was complete.
+        """
         self._in_flight_by_workspace[workspace] -= 1
         if not self._in_flight_by_workspace[workspace]:
             del self._in_flight_by_workspace[workspace]
         if completed:
-            took_s = now() - entered_at
-            self._answer_s += ANSWER_SMOOTHING * (took_s - self._answer_s)
+            response_time_s = now() - admitted_at
+            self._mean_response_time_s += RESPONSE_TIME_SMOOTHING * (
+                response_time_s - self._mean_response_time_s
+            )
 
-    def choose(self, declarations, hashes, tried):
-        """Choose a group.
+    def choose(self, declarations, prompt_hashes, tried_groups):
+        """Choose the group to send a request to.
 
         :param declarations: names of group declarations.
-        :param hashes: prefix hashes of the prompt.
-        :param tried: group ids that failed this request; used only if all did.
+        :param prompt_hashes: prefix hashes of the prompt.
+        :param tried_groups: ids of groups at which this request failed; chosen again
+            only if it failed at all groups.
         :returns: :class:`~cowslipcourse.fleet.GroupSpec`
         :raises NoTargetAvailable: none may serve now.
         """
-        grants = self._view.group_grants(declarations)
+        grants = self._fleet_view.group_grants(declarations)
         if not grants:
-            raise NoTargetAvailable("no group serves this model now", NO_GROUP_RETRY_S)
-        by_name = {grant.report.spec.group: grant for grant in grants}
-        views = self._views(grants, hashes)
-        views = [view for view in views if view.name not in tried] or views
-        self._watch_stragglers(grants)
-        views = self._stragglers.without_stragglers(views, now())
-        chosen = self._policy.choose(views, self._rng)
-        self._prefixes.add(chosen.name, hashes, now())
-        return by_name[chosen.name].report.spec
+            raise NoTargetAvailable(
+                "no group serves this model now", NO_GROUP_RETRY_AFTER_S
+            )
+        grants_by_group = {grant.report.spec.group: grant for grant in grants}
+        target_views = self._target_views(grants, prompt_hashes)
+        target_views = [
+            view for view in target_views if view.name not in tried_groups
+        ] or target_views
+        self._update_stragglers(grants)
+        target_views = self._stragglers.without_stragglers(target_views, now())
+        chosen = self._policy.choose(target_views, self._rng)
+        self._prefixes.add(chosen.name, prompt_hashes, now())
+        return grants_by_group[chosen.name].report.spec
 
     def prefix_hashes(self, prompt):
         """Return the prefix hashes of a prompt."""
         return prefix_hashes(prompt)
 
     def record_cached_prefixes(self, report):
-        """Take in which prefixes a group lately cached."""
+        """Record which prompt prefixes a group recently cached.
+
+        :param report: :class:`~cowslipcourse.daemon.reports.GroupReport`
+        """
         if report.cached_prefixes:
             self._prefixes.add(report.spec.group, report.cached_prefixes, now())
 
     def forget_cached_prefixes(self, group):
-        """Drop what was known of a group's cache."""
+        """Forget which prefixes a group has cached."""
         self._prefixes.remove_target(group)
 
-    def _views(self, grants, hashes):
-        at = now()
-        peers, _ = self._view.peers_in_flight()
-        cached = self._prefixes.cached_tokens(hashes, at)
-        own_centre = self._agent.member.data_centre
-        views = []
+    def _target_views(self, grants, prompt_hashes):
+        current_time = now()
+        peers_by_group, _ = self._fleet_view.peers_in_flight()
+        cached = self._prefixes.cached_tokens(prompt_hashes, current_time)
+        own_data_centre = self._agent.member.data_centre
+        target_views = []
         for grant in grants:
             spec = grant.report.spec
-            views.append(
+            target_views.append(
                 TargetView(
                     name=spec.group,
                     load=grant.report.load,
-                    load_age_s=at - grant.observed_at,
+                    load_age_s=current_time - grant.observed_at,
                     own_in_flight=self._in_flight.count(spec.group),
                     own_unreported=self._in_flight.count_since(
                         spec.group, grant.observed_at
                     ),
-                    peers_in_flight=peers.get(spec.group, 0),
-                    distance=int(spec.data_centre != own_centre),
+                    peers_in_flight=peers_by_group.get(spec.group, 0),
+                    distance=int(spec.data_centre != own_data_centre),
                     prefix_tokens=cached.get(spec.group, 0),
                 )
             )
-        return views
+        return target_views
 
     def _capacity(self, grants):
-        _, in_flight = self._view.peers_in_flight()
+        _, in_flight = self._fleet_view.peers_in_flight()
         for name, count in self._in_flight_by_workspace.items():
             in_flight[name] = in_flight.get(name, 0) + count
-        workspaces = self._view.configuration.workspace
-        views = self._views(grants, ())
-        waits = [self._policy.expected_wait_s(view) for view in views]
+        workspaces = self._fleet_view.configuration.workspace
+        target_views = self._target_views(grants, ())
+        waits = [self._policy.expected_wait_s(view) for view in target_views]
         return CapacityView(
             slots=sum(grant.report.load.batch_limit for grant in grants),
             in_flight=in_flight,
             weights={name: w.share for name, w in workspaces.items()},
-            mean_answer_s=self._answer_s,
+            mean_answer_s=self._mean_response_time_s,
             wait_s=min(waits, default=0.0),
-            estimated_unreported=self._unseen(),
+            estimated_unreported=self._estimate_unreported(),
         )
 
-    def _unseen(self):
-        """Requests that the other gateways let in unseen, if they do as this one."""
-        grown = sum(self._in_flight_by_workspace.values()) - self._reported
-        return max(0, grown) * self._view.other_gateway_count
+    def _estimate_unreported(self):
+        """Estimate the requests that the other gateways have not reported yet.
+
+        Each is assumed to have admitted as many as this gateway.
+        """
+        unreported = (
+            sum(self._in_flight_by_workspace.values()) - self._reported_in_flight
+        )
+        return max(0, unreported) * self._fleet_view.other_gateway_count
 
-    def _watch_stragglers(self, grants):
-        if now() - self._stragglers_at < STRAGGLER_LOOK_S:
+    def _update_stragglers(self, grants):
+        if now() - self._stragglers_checked_at < STRAGGLER_CHECK_INTERVAL_S:
             return
-        self._stragglers_at = now()
-        times = {g.report.spec.group: g.report.load.token_s for g in grants}
-        self._stragglers.observe(times, now())
+        self._stragglers_checked_at = now()
+        token_s_by_group = {g.report.spec.group: g.report.load.token_s for g in grants}
+        self._stragglers.observe(token_s_by_group, now())
--- a/cowslipcourse/gateway/claims.py
+++ b/cowslipcourse/gateway/claims.py
@@ -1,7 +1,7 @@
-"""Claims on callers' own idempotency keys, in the table service.
+"""Claims of idempotency keys that callers made themselves, in the table service.
 
-The first gateway whose claim is committed becomes the home of the key. Several
-claims go into one transaction when they come close together.
+The first gateway whose claim is committed becomes the key's home gateway. Claims that
+arrive while a transaction is in progress are combined in the next one.
 """
 
 import asyncio
@@ -20,22 +20,22 @@
 
 __all__ = ["Claim", "ClaimCommitter", "claim_key"]
 
-MOST_AT_ONCE = 64
-STORE_RETRY_S = 5.0
-READ_BACK_TRIES = 5
-READ_BACK_PAUSE_S = 0.2
+MAX_CLAIMS_PER_TRANSACTION = 64
+STORE_RETRY_AFTER_S = 5.0
+MAX_READ_BACK_ATTEMPTS = 5
+READ_BACK_BACKOFF_S = 0.2
 
 log = get_logger(__name__)
 
 
 class Claim(NamedTuple):
-    """Who is the home of a key.
+    """Claim of a key by the gateway that becomes its home.
 
-    :param gateway: gateway name.
-    :param incarnation: its run.
-    :param window: its time window in which the key was claimed.
+    :param gateway: name of the home gateway.
+    :param incarnation: incarnation of the home gateway.
+    :param window: time window of that incarnation in which the key was claimed.
     :param fingerprint: digest of the request.
-    :param claim_id: unique id of the claim, for lost replies.
+    :param claim_id: unique id of the claim, to recognise it after a lost reply.
     """
 
     gateway: str
@@ -46,84 +46,91 @@
 
 
 def claim_key(workspace, key):
-    """Return the row key of a claim."""
+    """Return the row key of the claim of a workspace's idempotency key."""
     digest = hashlib.sha256(f"{workspace}\n{key}".encode()).hexdigest()
     return f"claim/{digest}"
 
 
 class ClaimCommitter:
-    """Commits claims one batch after another.
+    """Commits claims in batches, one transaction at a time.
 
     :param table: :class:`~cowslipcourse.ports.TableService`
     """
 
     def __init__(self, table):
         self._table = table
-        self._waiting = asyncio.Queue()
+        self._queue = asyncio.Queue()
 
     async def claim(self, row_key, claim):
-        """Claim a key and return whose it is: this claim or an earlier one.
+        """Claim a key and return the claim in force: this one or an earlier one.
 
         :param row_key: key of the row.
         :param claim: :class:`Claim`
-        :raises NoTargetAvailable: the table is down; nothing was claimed or run.
+        :raises NoTargetAvailable: the table service failed; nothing was run.
         """
-        found = asyncio.get_running_loop().create_future()
-        await self._waiting.put((row_key, claim, found))
-        return await found
+        future = asyncio.get_running_loop().create_future()
+        await self._queue.put((row_key, claim, future))
+        return await future
 
     async def run(self):
-        """Commit for ever."""
+        """Commit claims until cancelled."""
         while True:
-            batch = [await self._waiting.get()]
-            while len(batch) < MOST_AT_ONCE and not self._waiting.empty():
-                batch.append(self._waiting.get_nowait())
+            batch = [await self._queue.get()]
+            while len(batch) < MAX_CLAIMS_PER_TRANSACTION and not self._queue.empty():
+                batch.append(self._queue.get_nowait())
             try:
                 await self._commit(batch)
             except Exception as error:
                 log.exception("claims-failed", claims=len(batch))
-                self._refuse(batch, repr(error))
+                self._fail_batch(batch, repr(error))
 
     async def _commit(self, batch):
-        by_key = {}
-        for item in batch:
-            by_key.setdefault(item[0], item)
-        while by_key:
-            writes = {key: item[1]._asdict() for key, item in by_key.items()}
+        claims_by_key = {}
+        for pending_claim in batch:
+            claims_by_key.setdefault(pending_claim[0], pending_claim)
+        while claims_by_key:
+            writes = {
+                key: pending_claim[1]._asdict()
+                for key, pending_claim in claims_by_key.items()
+            }
             conditions = dict.fromkeys(writes, ABSENT)
             try:
                 await self._table.commit(Transaction(conditions, writes))
             except ConditionFailed as error:
                 for key in error.keys:
-                    by_key.pop(key, None)
+                    claims_by_key.pop(key, None)
                 continue
             except StoreUnavailable:
-                self._refuse(batch, "the table service is down")
+                self._fail_batch(batch, "the table service is unavailable")
                 return
             except ReplyLost:
-                log.info("claims-reply-lost", claims=len(by_key))
+                log.info("claims-reply-lost", claims=len(claims_by_key))
             break
-        await asyncio.gather(*(self._settle(*item) for item in batch))
+        await asyncio.gather(
+            *(self._read_back(*pending_claim) for pending_claim in batch)
+        )
 
-    async def _settle(self, row_key, claim, found):
-        """Read back whose the key is; it is the truth whatever the reply said."""
-        for attempt in range(READ_BACK_TRIES):
+    async def _read_back(self, row_key, claim, future):
+        """Set the result to the claim in the table, which is in force."""
+        for attempt in range(MAX_READ_BACK_ATTEMPTS):
             try:
                 row = await self._table.read(row_key)
             except StoreError:
-                await asyncio.sleep(READ_BACK_PAUSE_S * (attempt + 1))
+                await asyncio.sleep(READ_BACK_BACKOFF_S * (attempt + 1))
                 continue
-            if row is not None and not found.done():
-                found.set_result(Claim(**row.value))
+            if row is not None and not future.done():
+                future.set_result(Claim(**row.value))
             break
-        if not found.done():
-            found.set_exception(_not_claimed("the claim could not be read back"))
+        if not future.done():
+            future.set_exception(_not_claimed_error("the claim could not be read back"))
 
-    def _refuse(self, batch, detail):
-        for _, _, found in batch:
-            if not found.done():
-                found.set_exception(_not_claimed(detail))
+    def _fail_batch(self, batch, detail):
+        for _, _, future in batch:
+            if not future.done():
+                future.set_exception(_not_claimed_error(detail))
 
 
-def _not_claimed(detail):
-    return NoTargetAvailable(f"the key could not be claimed: {detail}", STORE_RETRY_S)
+def _not_claimed_error(detail):
+    return NoTargetAvailable(
+        f"the key could not be claimed: {detail}", STORE_RETRY_AFTER_S
+    )
--- a/cowslipcourse/gateway/fleet_view.py
+++ b/cowslipcourse/gateway/fleet_view.py
@@ -1,4 +1,4 @@
-"""What a gateway knows of groups, services and the other gateways."""
+"""A gateway's view of groups, services and the other gateways."""
 
 import msgspec
 
@@ -17,17 +17,17 @@
 
 __all__ = ["FleetView", "Grant"]
 
-REFUSED_FOR_S = 2.0
-DEPARTURES_KEEP_S = 15.0
+REFUSAL_BACKOFF_S = 2.0
+DEPARTURE_REPORT_TTL_S = 15.0
 
 log = get_logger(__name__)
 
 
 class Grant:
-    """A report with the time from which it counts.
+    """A report together with the start of its validity.
 
-    :ivar report: :class:`~cowslipcourse.daemon.reports.GroupReport` or the like.
-    :ivar observed_at: loop time from which its age counts.
+    :ivar report: one of the report types of :mod:`cowslipcourse.daemon.reports`.
+    :ivar observed_at: loop time from which the report's age is counted.
     """
 
     __slots__ = ("observed_at", "report")
@@ -38,17 +38,17 @@
 
 
 class FleetView:
-    """Newest reports, and the configuration that runs here.
+    """Newest reports of groups, services and gateways, and the active configuration.
 
     :param agent: :class:`~cowslipcourse.daemon.Agent`
-    :param grant_s: seconds for which a report that something serves is good.
+    :param grant_s: seconds for which a report permits sending requests.
     """
 
     def __init__(self, agent, grant_s):
         self._agent = agent
         self._grant_s = grant_s
         self._groups = {}
-        self._by_declaration = {}
+        self._groups_by_declaration = {}
         self._services = {}
         self._gateways = {}
         self._departures = {}
@@ -56,65 +56,65 @@
         self._refused_until = {}
         self._configuration = Configuration()
         self._resolved = resolve(self._configuration, ())
-        self._workspaces_by_key = {}
-        agent.on_record(self._take_record)
-        agent.on_revision(self._take_revision)
+        self._workspaces_by_key_sha256 = {}
+        agent.on_record(self._handle_record)
+        agent.on_revision(self._handle_revision)
 
     @property
     def configuration(self):
-        """The :class:`~cowslipcourse.config.Configuration` that runs here."""
+        """The active :class:`~cowslipcourse.config.Configuration`."""
         return self._configuration
 
     @property
     def resolved(self):
-        """The :class:`~cowslipcourse.config.ResolvedConfiguration` of the fleet."""
+        """The active :class:`~cowslipcourse.config.ResolvedConfiguration`."""
         return self._resolved
 
     @property
     def groups(self):
-        """:class:`Grant` by group id, fresh or not."""
+        """:class:`Grant` by group id, including expired ones."""
         return self._groups
 
     @property
     def other_gateway_count(self):
-        """Number of other gateways that reported lately."""
-        oldest = now() - self._agent.times.isolation_s
-        return sum(g.observed_at >= oldest for g in self._gateways.values())
+        """Number of other gateways that have reported within the isolation time."""
+        oldest_allowed = now() - self._agent.times.isolation_s
+        return sum(g.observed_at >= oldest_allowed for g in self._gateways.values())
 
     def workspace_for_key(self, key_sha256):
-        """Return the workspace that a key belongs to, or ``None``."""
-        return self._workspaces_by_key.get(key_sha256)
+        """Return the workspace that an API key belongs to, or ``None``."""
+        return self._workspaces_by_key_sha256.get(key_sha256)
 
     def group_grants(self, declarations):
-        """Return the groups of declarations that may be sent requests now.
+        """Return the grants of the groups that may be sent requests now.
 
         :param declarations: names of group declarations.
         :returns: list of :class:`Grant`
         """
-        at = now()
+        current_time = now()
         return [
             grant
             for declaration in declarations
-            for group in self._by_declaration.get(declaration, ())
-            if self._is_usable(group, grant := self._groups[group], at)
+            for group in self._groups_by_declaration.get(declaration, ())
+            if self._is_usable(group, grant := self._groups[group], current_time)
             and self._departing.isdisjoint(grant.report.spec.vm_names)
         ]
 
     def is_departing(self, vm):
-        """Whether a VM shall get no new work."""
+        """Return whether a VM is departing and must not get new requests."""
         return vm in self._departing
 
     def visible_groups(self):
-        """Return the ids of the groups that are known to serve."""
-        oldest = now() - self._grant_s
+        """Return the ids of the groups that serve according to fresh reports."""
+        oldest_allowed = now() - self._grant_s
         return tuple(
             group
             for group, grant in self._groups.items()
-            if grant.report.serving and grant.observed_at > oldest
+            if grant.report.serving and grant.observed_at > oldest_allowed
         )
 
     def is_granted(self, spec):
-        """Return whether a group may be sent a request at this very moment.
+        """Return whether a group may be sent a request now.
 
         :param spec: :class:`~cowslipcourse.fleet.GroupSpec` that was chosen.
         """
@@ -126,49 +126,49 @@
         return self._is_usable(spec.group, grant, now())
 
     def was_sent_under_grant(self, spec, granted_at, checked_at):
-        """Return whether a request was sent under a grant, seen from its answer.
+        """Return whether a request whose response has started was sent under a grant.
 
         The process may have been paused between the check and the send. The request
-        was sent in time if the grant is good even now, or if a newer probe found the
-        group as it was.
+        was sent in time if the grant is valid even now, or if a newer probe found the
+        group unchanged.
 
         :param spec: :class:`~cowslipcourse.fleet.GroupSpec` that was chosen.
-        :param granted_at: loop time from which the grant counted.
-        :param checked_at: loop time of the check.
+        :param granted_at: loop time at which the grant started.
+        :param checked_at: loop time of the check before the send.
         """
         if now() - granted_at < self._grant_s:
             return True
         grant = self._groups.get(spec.group)
         if grant is None or grant.report.spec.epoch != spec.epoch:
             return False
-        whole = grant.report.serving or grant.report.reason == REASON_CHANGING
-        return whole and grant.observed_at >= checked_at
+        was_complete = grant.report.serving or grant.report.reason == REASON_CHANGING
+        return was_complete and grant.observed_at >= checked_at
 
     def granted_at(self, spec):
-        """Return the loop time from which a group's grant counts."""
+        """Return the loop time at which a group's grant started."""
         return self._groups[spec.group].observed_at
 
     def service_grants(self, service):
-        """Return the targets of a plain service that may be called now."""
-        at = now()
+        """Return the grants of a plain service's targets that may be called now."""
+        current_time = now()
         return [
             grant
             for vm, grant in self._services.items()
             if grant.report.service == service
-            and self._is_usable(vm, grant, at)
+            and self._is_usable(vm, grant, current_time)
             and vm not in self._departing
         ]
 
     def record_refusal(self, name):
-        """Note that a target refused new work; it is left alone for a moment."""
-        self._refused_until[name] = now() + REFUSED_FOR_S
+        """Exclude a group or target that refused a request for a short time."""
+        self._refused_until[name] = now() + REFUSAL_BACKOFF_S
 
     def peers_in_flight(self):
-        """Return requests in flight of the other gateways by group and workspace."""
+        """Return the other gateways' requests in flight, by group and by workspace."""
         groups, workspaces = {}, {}
-        at = now()
+        current_time = now()
         for grant in self._gateways.values():
-            if at - grant.observed_at > self._agent.times.isolation_s:
+            if current_time - grant.observed_at > self._agent.times.isolation_s:
                 continue
             for name, count in grant.report.in_flight_by_group.items():
                 groups[name] = groups.get(name, 0) + count
@@ -177,15 +177,18 @@
         return groups, workspaces
 
     def leaving_gateways(self):
-        """Return the names of gateways that want no new callers."""
+        """Return the names of gateways that are stopping."""
         return {g.report.gateway for g in self._gateways.values() if g.report.leaving}
 
-    def _is_usable(self, name, grant, at):
-        if not grant.report.serving or at - grant.observed_at >= self._grant_s:
+    def _is_usable(self, name, grant, current_time):
+        if (
+            not grant.report.serving
+            or current_time - grant.observed_at >= self._grant_s
+        ):
             return False
-        return self._refused_until.get(name, 0.0) <= at
+        return self._refused_until.get(name, 0.0) <= current_time
 
-    def _take_record(self, record):
+    def _handle_record(self, record):
         try:
             report = decode_report(record)
         except msgspec.DecodeError as error:
@@ -193,7 +196,7 @@
             return
         grant = Grant(report, record.observed_at)
         if record.key.startswith(GROUP_PREFIX):
-            self._take_group(report, grant)
+            self._handle_group_report(report, grant)
         elif record.key.startswith(SERVICE_PREFIX):
             self._services[report.vm] = grant
         elif record.key.startswith(DEPARTURE_PREFIX):
@@ -204,25 +207,27 @@
                 self._gateways[report.gateway] = grant
 
     def _update_departing(self):
-        at = now()
-        fresh = [
+        current_time = now()
+        departing_vms = [
             grant.report.vms
             for grant in self._departures.values()
-            if at - grant.observed_at <= DEPARTURES_KEEP_S
+            if current_time - grant.observed_at <= DEPARTURE_REPORT_TTL_S
         ]
-        self._departing = frozenset().union(*fresh)
+        self._departing = frozenset().union(*departing_vms)
 
-    def _take_group(self, report, grant):
+    def _handle_group_report(self, report, grant):
         spec = report.spec
-        of_declaration = self._by_declaration.setdefault(spec.declaration, set())
+        declaration_groups = self._groups_by_declaration.setdefault(
+            spec.declaration, set()
+        )
         if spec.state == "dissolved":
             self._groups.pop(spec.group, None)
-            of_declaration.discard(spec.group)
+            declaration_groups.discard(spec.group)
             return
         self._groups[spec.group] = grant
-        of_declaration.add(spec.group)
+        declaration_groups.add(spec.group)
 
-    def _take_revision(self, revision):
+    def _handle_revision(self, revision):
         try:
             self._configuration = Configuration.model_validate(revision.configuration)
             self._resolved = resolve(self._configuration, ())
@@ -230,7 +235,7 @@
             log.warning("unreadable-configuration", detail=str(error))
             return
         workspaces = self._configuration.workspace.items()
-        self._workspaces_by_key = {w.key_sha256: name for name, w in workspaces}
+        self._workspaces_by_key_sha256 = {w.key_sha256: name for name, w in workspaces}
         self._gateways = {
             name: grant
             for name, grant in self._gateways.items()
--- a/cowslipcourse/gateway/generation.py
+++ b/cowslipcourse/gateway/generation.py
@@ -1,4 +1,4 @@
-"""One model request at one gateway, over as many attempts as it takes."""
+"""Execution of a model request, with retries and resumption of its response."""
 
 import asyncio
 import secrets
@@ -24,26 +24,26 @@
 
 __all__ = ["Generation"]
 
-ATTEMPT_BYTES = 6
-RETRY_S = 1.0
-BACKOFF_S = 0.05
-PATH = b"chat"
-"""Stands for the path in the fingerprint: all model requests come at one."""
+ATTEMPT_ID_BYTES = 6
+RETRY_AFTER_S = 1.0
+MAX_RETRY_BACKOFF_STEP_S = 0.05
+FINGERPRINT_PATH = b"chat"
+"""Path in the fingerprint: all model requests arrive at the same one."""
 
 log = get_logger(__name__)
 
 
 class Generation:
-    """Runs one model request and yields its answer.
+    """Runs one model request and yields its response.
 
-    An answer that breaks is resumed at its next token, at another group if it must
-    be, as long as the request may be repeated and the retry budget allows it.
+    A response that breaks off is resumed at its next token, preferably at another
+    group, if the request is repeatable and the retry budget allows it.
 
     :param call: :class:`~cowslipcourse.gateway.callers.Call`
-    :param body: caller's body.
+    :param body: body that the caller sent.
     :param declarations: names of the group declarations that may serve it.
     :param context: :class:`~cowslipcourse.gateway.tools.GatewayContext`
-    :ivar attempted_groups: groups that were sent the request, in order.
+    :ivar attempted_groups: ids of the groups that were sent the request, in order.
     :ivar used_attempts: ids of the attempts whose events were used.
     """
 
@@ -52,62 +52,62 @@
         self._body = body
         self._declarations = declarations
         self._context = context
-        self._hashes = context.chooser.prefix_hashes(body)
-        self._suspect = QuarantineCall(
-            call.request_id, fingerprint(call.workspace, PATH, body)
+        self._prompt_hashes = context.chooser.prefix_hashes(body)
+        self._quarantine_call = QuarantineCall(
+            call.request_id, fingerprint(call.workspace, FINGERPRINT_PATH, body)
         )
-        self._run = None
+        self._group_run = None
         self._relay = StreamRelay()
-        self._tried = set()
-        self._started = False
+        self._tried_groups = set()
+        self._may_have_started = False
         self._group = ""
         self.attempted_groups = []
         self.used_attempts = []
 
     @property
     def complete(self):
-        """Whether the whole answer has been yielded."""
+        """Whether the complete response has been yielded."""
         return self._relay.complete
 
     async def chunks(self):
-        """Yield the answer as pieces of server-sent events.
+        """Yield the response as chunks, each one or more server-sent events.
 
-        :raises RequestError: the answer is not complete and will not be.
+        :raises RequestError: the response cannot be completed.
         """
         quarantine = self._context.quarantine
-        await quarantine.admit(self._suspect)
+        await quarantine.admit(self._quarantine_call)
         try:
-            async with aclosing(self._attempts()) as pieces:
-                async for piece in pieces:
-                    yield piece
+            async with aclosing(self._run_attempts()) as chunks:
+                async for chunk in chunks:
+                    yield chunk
         finally:
-            quarantine.record_finished(self._suspect)
+            quarantine.record_finished(self._quarantine_call)
 
-    async def _attempts(self):
-        attempts = self._context.settings.limits.attempts
+    async def _run_attempts(self):
+        max_attempts = self._context.settings.limits.attempts
         self._context.retry_budget.record_request()
         self._context.resume_budget.record_request()
-        for number in range(attempts):
-            if number:
-                await self._before_retry(number)
+        for attempt_number in range(max_attempts):
+            if attempt_number:
+                await self._prepare_retry(attempt_number)
             try:
                 self._call.remaining_s()
-                async with aclosing(self._attempt()) as pieces:
-                    async for piece in pieces:
-                        yield piece
+                async with aclosing(self._run_attempt()) as chunks:
+                    async for chunk in chunks:
+                        yield chunk
             except (AdmissionError, DeadlinePassed) as error:
-                if not self._started:
+                if not self._may_have_started:
                     raise
-                raise self._final(error) from error
+                raise self._caller_error(error) from error
             except TargetError as error:
-                self._note_failure(error)
-                if not self._may_repeat(error) or number == attempts - 1:
-                    raise self._final(error) from error
+                self._record_failure(error)
+                if not self._may_repeat(error) or attempt_number == max_attempts - 1:
+                    raise self._caller_error(error) from error
                 continue
-            self._context.quarantine.record_answered(self._suspect)
+            self._context.quarantine.record_answered(self._quarantine_call)
             return
 
-    async def _before_retry(self, number):
+    async def _prepare_retry(self, attempt_number):
         self._check_quarantine()
         budget = (
             self._context.resume_budget
@@ -115,23 +115,27 @@
             else self._context.retry_budget
         )
         if not budget.try_take():
-            raise self._final(NoTargetAvailable("the retry budget is spent"))
+            raise self._caller_error(NoTargetAvailable("the retry budget is exhausted"))
         self._context.metrics.count("retries")
-        await asyncio.sleep(BACKOFF_S * number * self._context.rng.random())
+        await asyncio.sleep(
+            MAX_RETRY_BACKOFF_STEP_S * attempt_number * self._context.rng.random()
+        )
         self._check_quarantine()
 
     def _check_quarantine(self):
         quarantine = self._context.quarantine
-        if quarantine.is_quarantined(self._suspect):
-            refusal = quarantine.refusal(self._suspect)
-            raise self._final(refusal, refusal.retry_after_s)
+        if quarantine.is_quarantined(self._quarantine_call):
+            refusal = quarantine.refusal(self._quarantine_call)
+            raise self._caller_error(refusal, refusal.retry_after_s)
 
-    async def _attempt(self):
+    async def _run_attempt(self):
         context = self._context
-        spec = context.chooser.choose(self._declarations, self._hashes, self._tried)
-        attempt_id = secrets.token_hex(ATTEMPT_BYTES)
+        spec = context.chooser.choose(
+            self._declarations, self._prompt_hashes, self._tried_groups
+        )
+        attempt_id = secrets.token_hex(ATTEMPT_ID_BYTES)
         self._group = spec.group
-        self._run = self._make_run(spec, attempt_id)
+        self._group_run = self._create_group_run(spec, attempt_id)
         request = GenerateRequest(
             self._call.request_id,
             attempt_id,
@@ -142,70 +146,76 @@
             self._body,
         )
         started_at = context.chooser.in_flight.start(spec.group, now())
-        ended = False
+        stream_ended = False
         try:
             # Nothing is awaited between these checks and the send.
             if not context.fleet_view.is_granted(spec) or not context.agent.may_serve():
                 raise TargetRefused("grant-lapsed")
             checked_at, granted_at = now(), context.fleet_view.granted_at(spec)
             self.attempted_groups.append(spec.group)
-            batches = context.targets.generate(spec.leader.address, request)
-            with context.quarantine.tracking(self._suspect, self._run):
-                async with aclosing(batches):
-                    async for events in batches:
+            event_batches = context.targets.generate(spec.leader.address, request)
+            with context.quarantine.tracking(self._quarantine_call, self._group_run):
+                async with aclosing(event_batches):
+                    async for events in event_batches:
                         if not events:
-                            self._run.answer_started = True
+                            self._group_run.answer_started = True
                             continue
                         if attempt_id not in self.used_attempts:
-                            self._begin(spec, attempt_id, granted_at, checked_at)
-                        piece = self._relay.filter_events(attempt_id, events)
-                        self._run.note_events(len(events), self._relay.offset)
-                        if piece:
-                            yield piece
+                            self._record_response_start(
+                                spec, attempt_id, granted_at, checked_at
+                            )
+                        chunk = self._relay.filter_events(attempt_id, events)
+                        self._group_run.note_events(len(events), self._relay.offset)
+                        if chunk:
+                            yield chunk
                         self._relay.raise_for_malformed()
-            ended = True
+            stream_ended = True
             if not self._relay.complete:
                 raise TargetUnreachable("the stream ended without its end event")
         finally:
             context.chooser.in_flight.finish(spec.group, started_at)
-            if not ended:
+            if not stream_ended:
                 context.spawn(context.targets.cancel(spec.leader.address, attempt_id))
 
-    def _begin(self, spec, attempt_id, granted_at, checked_at):
-        """Note that events of an attempt have come.
+    def _record_response_start(self, spec, attempt_id, granted_at, checked_at):
+        """Record that the first events of an attempt have been received.
 
-        :raises TargetUnreachable: it was sent after the grant's end.
+        :raises TargetUnreachable: the attempt was sent after the grant expired.
         """
-        self._started = True
+        self._may_have_started = True
         if not self._context.fleet_view.was_sent_under_grant(
             spec, granted_at, checked_at
         ):
-            raise TargetUnreachable("sent after the grant's end")
+            raise TargetUnreachable("the request was sent after the grant expired")
         self.used_attempts.append(attempt_id)
 
-    def _make_run(self, spec, attempt_id):
+    def _create_group_run(self, spec, attempt_id):
         address = spec.leader.address
         leader = GroupLeader(spec.leader.vm, spec.epoch, address)
 
         def cancel():
             self._context.spawn(self._context.targets.cancel(address, attempt_id))
 
-        run = GroupRun(leader, self._relay.offset, cancel)
-        # Whoever is alone at an engine does not wait there for others to end.
-        run.answer_started = self._is_alone_at(spec.group)
-        return run
+        group_run = GroupRun(leader, self._relay.offset, cancel)
+        # A request that is alone at an engine is not queued there behind others.
+        group_run.answer_started = self._is_only_request_at(spec.group)
+        return group_run
 
-    def _is_alone_at(self, group):
+    def _is_only_request_at(self, group):
         in_flight, _ = self._context.fleet_view.peers_in_flight()
         return not (
             in_flight.get(group) or self._context.chooser.in_flight.count(group)
         )
 
-    def _note_failure(self, error):
-        self._tried.add(self._group)
-        self._run.ended_by_target = isinstance(error, TargetUnreachable) and error.sent
-        self._context.quarantine.record_failed(self._suspect, self._run)
-        self._started = self._started or _may_have_started(error)
+    def _record_failure(self, error):
+        self._tried_groups.add(self._group)
+        self._group_run.ended_by_target = (
+            isinstance(error, TargetUnreachable) and error.sent
+        )
+        self._context.quarantine.record_failed(self._quarantine_call, self._group_run)
+        self._may_have_started = self._may_have_started or _attempt_may_have_started(
+            error
+        )
         if isinstance(error, TargetRefused):
             if error.reason != "grant-lapsed":
                 self._context.fleet_view.record_refusal(self._group)
@@ -227,17 +237,19 @@
             return True
         return self._call.repeatable is not False
 
-    def _final(self, error, retry_s=RETRY_S):
-        """Return the error that the caller is told."""
-        if not self._started:
-            return NoTargetAvailable(error.detail, retry_s)
+    def _caller_error(self, error, retry_after_s=RETRY_AFTER_S):
+        """Return the error to report to the caller for the error of an attempt."""
+        if not self._may_have_started:
+            return NoTargetAvailable(error.detail, retry_after_s)
         if self._relay.offset:
-            return RequestFailed(f"the answer broke off: {error.detail}", retry_s)
-        return OutcomeUnknown(error.detail, retry_s)
+            return RequestFailed(
+                f"the response broke off: {error.detail}", retry_after_s
+            )
+        return OutcomeUnknown(error.detail, retry_after_s)
 
 
-def _may_have_started(error):
-    """Whether an engine may have begun an attempt that failed."""
+def _attempt_may_have_started(error):
+    """Return whether the engine may have started an attempt that failed."""
     if isinstance(error, TargetUnreachable):
         return error.sent
     return isinstance(error, MalformedResponse)
--- a/cowslipcourse/gateway/main.py
+++ b/cowslipcourse/gateway/main.py
@@ -27,8 +27,8 @@
 
 __all__ = ["Gateway", "main"]
 
-LOOK_S = 0.1
-RESUME_BURST = 256.0
+DRAIN_CHECK_INTERVAL_S = 0.1
+RESUME_BUDGET_BURST = 256.0
 
 log = get_logger(__name__)
 
@@ -43,7 +43,10 @@
         self._settings = settings
 
     async def run(self, stopping):
-        """Serve until told to stop, then stop gracefully."""
+        """Serve until the event is set, then stop gracefully.
+
+        :param stopping: :class:`asyncio.Event`
+        """
         settings = self._settings
         platform = HttpPlatformClient(settings.platform, settings.daemon.name)
         targets = HttpTargetClient(settings.target)
@@ -62,7 +65,7 @@
         await server.start()
         tasks = [
             run_forever(claims.run(), "claims"),
-            run_forever(self._report(), "report"),
+            run_forever(self._publish_reports(), "report"),
             run_forever(self._context.quarantine.run(), "quarantine"),
         ]
         log.info("started", daemon=settings.daemon.name)
@@ -80,63 +83,65 @@
     def _make_context(self, platform, targets):
         settings = self._settings
         agent = Agent(settings, Role.GATEWAY, platform)
-        view = FleetView(agent, settings.time.grant_s)
+        fleet_view = FleetView(agent, settings.time.grant_s)
         rng = random.Random()
-        chooser = GroupChooser(view, agent, rng)
+        chooser = GroupChooser(fleet_view, agent, rng)
         agent.on_record(
-            lambda record: self._record_cached_prefixes(chooser, view, record)
+            lambda record: self._record_cached_prefixes(chooser, fleet_view, record)
         )
         return GatewayContext(
             settings=settings,
             agent=agent,
-            fleet_view=view,
+            fleet_view=fleet_view,
             chooser=chooser,
             targets=targets,
             table=platform,
             object_store=platform,
             retry_budget=RetryBudget(settings.limits.retry_ratio),
-            resume_budget=RetryBudget(settings.limits.resume_ratio, RESUME_BURST),
-            quarantine=make_quarantine(agent, view, targets, platform),
+            resume_budget=RetryBudget(
+                settings.limits.resume_ratio, RESUME_BUDGET_BURST
+            ),
+            quarantine=make_quarantine(agent, fleet_view, targets, platform),
             outcomes=OutcomeStore(settings.limits, now()),
             metrics=open_metrics(settings.statsd),
             rng=rng,
             spawn=BackgroundTasks(),
         )
 
-    def _record_cached_prefixes(self, chooser, view, record):
+    def _record_cached_prefixes(self, chooser, fleet_view, record):
         group = record.key.rsplit("/", 1)[-1]
-        grant = view.groups.get(group)
+        grant = fleet_view.groups.get(group)
         if grant is not None and isinstance(grant.report, GroupReport):
             chooser.record_cached_prefixes(grant.report)
 
-    async def _report(self):
-        """Tell the other gateways what is in flight, for ever."""
+    async def _publish_reports(self):
+        """Publish the requests in flight to the other gateways until cancelled."""
         context = self._context
         member = context.agent.member
         key = f"{GATEWAY_PREFIX}{member.name}/{member.incarnation}"
         while True:
             report = GatewayReport(
                 member.name,
-                self._api.leaving,
+                self._api.is_draining,
                 context.chooser.in_flight.snapshot(),
                 dict(context.chooser.in_flight_by_workspace),
                 context.fleet_view.visible_groups(),
             )
             context.agent.publish(key, report)
             context.chooser.record_reported()
-            context.metrics.gauge("requests.running", self._api.running)
+            context.metrics.gauge("requests.running", self._api.in_flight)
             await asyncio.sleep(context.agent.times.heartbeat_s)
 
     async def _drain(self):
-        """Stop gracefully: no request in flight is cut off."""
-        log.info("draining", running=self._api.running)
-        self._api.leaving = True
-        # Callers may still come with an answer that they were told to keep.
+        """Refuse new requests, wait for those in flight, and store their outcomes."""
+        log.info("draining", running=self._api.in_flight)
+        self._api.is_draining = True
+        # Callers may still use cached addresses that include this gateway.
         await asyncio.sleep(self._settings.time.address_ttl_s)
-        self._api.refusing = True
-        until = now() + self._settings.time.drain_limit_s
-        while self._api.running and now() < until:
-            await asyncio.sleep(LOOK_S)
+        self._api.is_refusing = True
+        drain_deadline = now() + self._settings.time.drain_limit_s
+        while self._api.in_flight and now() < drain_deadline:
+            await asyncio.sleep(DRAIN_CHECK_INTERVAL_S)
         await store_outcomes(self._context)
 
 
--- a/cowslipcourse/gateway/problems.py
+++ b/cowslipcourse/gateway/problems.py
@@ -1,4 +1,4 @@
-"""Problems inside a stream that has begun."""
+"""Error events in streamed responses."""
 
 import msgspec
 
@@ -6,9 +6,7 @@
 
 
 def problem_event(error):
-    """Return the event that ends a stream which is not complete.
-
-    The end marker is never sent after it.
+    """Return the event that ends an incomplete stream, in place of the end marker.
 
     :param error: :class:`~cowslipcourse.exceptions.RequestError`
     """
--- a/cowslipcourse/gateway/quarantine_ports.py
+++ b/cowslipcourse/gateway/quarantine_ports.py
@@ -1,4 +1,4 @@
-"""What the quarantine needs of a gateway: peers, kept rows, ends of targets, runs."""
+"""Implementations of the quarantine's interfaces for a gateway."""
 
 import itertools
 import time
@@ -26,17 +26,17 @@
     "make_quarantine",
 ]
 
-SLOTS = 16
-"""Messages of a gateway that spread at the same time; the oldest gives way."""
+MESSAGE_SLOT_COUNT = 16
+"""Messages of a gateway that spread at the same time; a new one replaces the oldest."""
 
 log = get_logger(__name__)
 
 
 class QuarantineCall(NamedTuple):
-    """A request as the quarantine knows it.
+    """A request, as the quarantine identifies it.
 
     :param id: id of the request.
-    :param fingerprint: of the request, as bytes.
+    :param fingerprint: digest of workspace, path and body.
     """
 
     id: str
@@ -44,10 +44,10 @@
 
 
 class GroupLeader(NamedTuple):
-    """The target that takes the requests of a group.
+    """The member of a group that receives its requests.
 
     :param id: VM name.
-    :param incarnation: epoch of the group, which grows when the VM starts anew.
+    :param incarnation: epoch of the group, which increases when the VM restarts.
     :param address: base URL.
     """
 
@@ -57,11 +57,14 @@
 
 
 class GroupRun:
-    """What a gateway sees of one run of a request at a group.
+    """State of one run of a request at a group.
 
     :param entry: :class:`GroupLeader`
-    :param last_event_id: number of tokens that the caller has.
-    :param cancel: callable that asks the leader to end the run.
+    :param last_event_id: number of tokens that were forwarded to the caller.
+    :param cancel: callable that asks the leader to stop the run.
+    :ivar answer_started: whether the response has started.
+    :ivar relayed_events: number of events that this run has relayed.
+    :ivar ended_by_target: whether the target broke the run off.
     """
 
     def __init__(self, entry, last_event_id, cancel):
@@ -72,39 +75,39 @@
         self.ended_by_target = False
         self._cancel = cancel
 
-    def note_events(self, number, last_event_id):
-        """Note that events of the answer have come."""
-        self.relayed_events += number
+    def record_events(self, count, last_event_id):
+        """Record that events of the response have been received."""
+        self.relayed_events += count
         self.last_event_id = last_event_id
 
     def abort(self, _error):
-        """Break it off; its stream ends without its last event."""
+        """Cancel the run; its stream ends without its end event."""
         self._cancel()
 
 
-class _Message(NamedTuple):
+class _AddressedMessage(NamedTuple):
     to: tuple[str, ...]
     content: bytes
 
 
-_decoder = msgspec.json.Decoder(_Message)
+_message_decoder = msgspec.json.Decoder(_AddressedMessage)
 
 
 class RecordMessenger:
-    """The other gateways, reached through records that spread with heartbeats.
+    """Messages to the other gateways, in records that spread with heartbeats.
 
     :param agent: :class:`~cowslipcourse.daemon.Agent`
     """
 
     def __init__(self, agent):
         self._agent = agent
-        self._take = None
-        self._slots = itertools.cycle(range(SLOTS))
+        self._handle_message = None
+        self._slots = itertools.cycle(range(MESSAGE_SLOT_COUNT))
 
-    def listen(self, take):
-        """Hand each message that is addressed to this gateway to ``take(message)``."""
-        self._take = take
-        self._agent.on_record(self._take_record)
+    def listen(self, handle_message):
+        """Call ``handle_message(message)`` with each message to this gateway."""
+        self._handle_message = handle_message
+        self._agent.on_record(self._handle_record)
 
     @property
     def address(self):
@@ -117,33 +120,33 @@
         return [peer.name for peer in peers if peer.role == Role.GATEWAY]
 
     def alive_addresses(self):
-        """Return the names of the other gateways that answer."""
+        """Return the names of the other gateways that respond."""
         silent = set(self._agent.silent_members(self._agent.times.isolation_s))
         return [name for name in self.all_addresses() if name not in silent]
 
     def repeat_addresses(self):
-        """Return the names of the others if this gateway is to repeat verdicts."""
+        """Return the names of the other gateways if this one is to repeat verdicts."""
         others = self.alive_addresses()
         return others if self.address < min(others, default="") else []
 
     def send(self, message, addresses):
-        """Send a message to some gateways, once; a newer one may overtake it."""
+        """Send a message to some gateways, once; newer messages may replace it."""
         if not addresses:
             return
         member = self._agent.member
         slot = next(self._slots)
         key = f"{QUARANTINE_PREFIX}{member.name}/{member.incarnation}/{slot}"
-        self._agent.publish(key, _Message(tuple(addresses), encode(message)))
+        self._agent.publish(key, _AddressedMessage(tuple(addresses), encode(message)))
 
-    def _take_record(self, record):
+    def _handle_record(self, record):
         if not record.key.startswith(QUARANTINE_PREFIX):
             return
         try:
             message = decode_untrusted(
-                _decoder, record.value, "record of the quarantine"
+                _message_decoder, record.value, "quarantine record"
             )
             if self.address in message.to:
-                self._take(decode(message.content))
+                self._handle_message(decode(message.content))
         except MalformedResponse as error:
             log.warning("unreadable-record", key=record.key, detail=error)
 
@@ -153,7 +156,7 @@
 
 
 class TableRowStore:
-    """Rows of the table service; meets the quarantine's part of a row store.
+    """Row store in the table service, as far as the quarantine uses one.
 
     :param table: :class:`~cowslipcourse.ports.TableService`
     """
@@ -165,8 +168,10 @@
         """See :class:`~cowslipcourse.ports.RowStore`."""
         prefix = f"{table}/"
         rows = await self._table.scan(prefix)
-        found = tuple(_stored(row, prefix) for row in rows)
-        return RowChanges(found, max((row.version for row in rows), default=ABSENT))
+        stored_rows = tuple(_stored_row(row, prefix) for row in rows)
+        return RowChanges(
+            stored_rows, max((row.version for row in rows), default=ABSENT)
+        )
 
     async def write(self, row_write):
         """See :class:`~cowslipcourse.ports.RowStore`."""
@@ -177,27 +182,28 @@
         return await self._table.commit(Transaction(conditions, {key: content}))
 
 
-def _stored(row, prefix):
+def _stored_row(row, prefix):
     try:
         content = msgspec.convert(row.value, dict[str, str])["text"].encode()
     except (msgspec.ValidationError, KeyError) as error:
-        raise MalformedResponse(f"unreadable row {row.key}") from error
+        raise MalformedResponse(f"row {row.key} cannot be decoded") from error
     return StoredRow(row.key.removeprefix(prefix), content, row.version)
 
 
-def make_quarantine(agent, view, targets, table):
-    """Return the :class:`~cowslipcourse.quarantining.Quarantine` of a gateway.
+def make_quarantine(agent, fleet_view, targets, table):
+    """Create the :class:`~cowslipcourse.quarantining.Quarantine` of a gateway.
 
     :param agent: :class:`~cowslipcourse.daemon.Agent`
-    :param view: :class:`~cowslipcourse.gateway.fleet_view.FleetView`
+    :param fleet_view: :class:`~cowslipcourse.gateway.fleet_view.FleetView`
     :param targets: :class:`~cowslipcourse.ports.TargetClient`
     :param table: :class:`~cowslipcourse.ports.TableService`
     """
     peers = RecordMessenger(agent)
-    ends = TargetExitDetector(
-        lambda leader: not view.is_departing(leader.id), targets.refuses_connections
+    exit_detector = TargetExitDetector(
+        lambda leader: not fleet_view.is_departing(leader.id),
+        targets.refuses_connections,
     )
-    kept = VerdictStore(TableRowStore(table), time.time)
-    quarantine = Quarantine(peers, ends, kept)
+    verdict_store = VerdictStore(TableRowStore(table), time.time)
+    quarantine = Quarantine(peers, exit_detector, verdict_store)
     peers.listen(quarantine.handle_message)
     return quarantine
--- a/cowslipcourse/gateway/services.py
+++ b/cowslipcourse/gateway/services.py
@@ -1,4 +1,4 @@
-"""Calls of plain services, at most once where they may not be repeated."""
+"""Calls of plain services; those that may not be repeated run at most once."""
 
 import hashlib
 import secrets
@@ -26,13 +26,13 @@
 __all__ = ["ServiceHandler"]
 
 CLAIM_ID_BYTES = 9
-FORWARD_LIMIT_S = 30.0
+FORWARD_TIMEOUT_S = 30.0
 
 log = get_logger(__name__)
 
 
-class _Job(NamedTuple):
-    """A keyed call, with all that its home needs to know."""
+class _KeyedCall(NamedTuple):
+    """A call with an idempotency key."""
 
     key: str
     workspace: str
@@ -43,19 +43,19 @@
 
     @property
     def fingerprint(self):
-        """Digest of the request that the key stands for."""
+        """Digest of the request; a key belongs to one request only."""
         digest = hashlib.sha256(f"{self.service}\n{self.operation}\n".encode())
         digest.update(self.body)
         return digest.hexdigest()
 
     @property
     def scoped_key(self):
-        """The key within its workspace."""
+        """The key, qualified with its workspace."""
         return f"{self.workspace}\n{self.key}"
 
 
 class ServiceHandler:
-    """Answers calls of plain services.
+    """Handles calls of plain services.
 
     :param context: :class:`~cowslipcourse.gateway.tools.GatewayContext`
     :param claims: :class:`~cowslipcourse.gateway.claims.ClaimCommitter`
@@ -71,7 +71,7 @@
 
         :param request: starlette request.
         :param call: :class:`~cowslipcourse.gateway.callers.Call`
-        :raises RequestError: it ends without its answer.
+        :raises RequestError: the call was not run, or may have run.
         """
         service = request.path_params["service"]
         operation = request.path_params["operation"]
@@ -88,14 +88,14 @@
             raise UnknownService(f"no service {service!r} for {call.workspace}")
 
     async def run(self, call, service, operation, body):
-        """Run a call, at most once if it may not be repeated.
+        """Run a call; at most once if it may not be repeated.
 
         :param call: :class:`~cowslipcourse.gateway.callers.Call`
         :param service: service name.
         :param operation: operation name.
-        :param body: body.
+        :param body: request body.
         :returns: ``(Completed, whether it had been run before)``
-        :raises RequestError: it was not run, or may have run.
+        :raises RequestError: the call was not run, or may have run.
         """
         repeatable = self._context.fleet_view.configuration.service[service].repeatable
         if call.repeatable is not None:
@@ -105,16 +105,18 @@
                 service, operation, body, repeatable, call.deadline, self._context
             )
             return await run.run(), False
-        job = _Job(call.key, call.workspace, service, operation, body, call.deadline)
-        return await self._run_keyed(job)
+        keyed_call = _KeyedCall(
+            call.key, call.workspace, service, operation, body, call.deadline
+        )
+        return await self._run_keyed(keyed_call)
 
     async def handle_forwarded(self, forwarded):
-        """Run a call that another gateway handed to this one, its home.
+        """Run a call that another gateway forwarded to this one, the key's home.
 
         :param forwarded: :class:`~cowslipcourse.ports.peers.ForwardedCall`
         :returns: :class:`~cowslipcourse.ports.peers.ForwardResponse`
         """
-        job = _Job(
+        keyed_call = _KeyedCall(
             forwarded.key,
             forwarded.workspace,
             forwarded.service,
@@ -124,8 +126,10 @@
         )
         try:
             if forwarded.incarnation != self._context.agent.member.incarnation:
-                raise OutcomeUnknown("the home of the key was restarted")
-            completed, remembered = await self._run_locally(job, forwarded.window)
+                raise OutcomeUnknown("the key's home gateway was restarted")
+            completed, remembered = await self._run_locally(
+                keyed_call, forwarded.window
+            )
         except RequestError as error:
             return ForwardResponse(error.code, error.detail, error.retry_after_s or 0.0)
         return ForwardResponse(
@@ -135,65 +139,77 @@
             remembered=remembered,
         )
 
-    async def _run_keyed(self, job):
-        minted = parse_minted_key(job.key)
+    async def _run_keyed(self, keyed_call):
+        minted = parse_minted_key(keyed_call.key)
         if minted is not None:
-            return await self._run_at_home(job, minted)
-        own = self._context.agent.member
+            return await self._run_at_home(keyed_call, minted)
+        own_member = self._context.agent.member
         claim = Claim(
-            own.name,
-            own.incarnation,
+            own_member.name,
+            own_member.incarnation,
             self._context.outcomes.window(now()),
-            job.fingerprint,
+            keyed_call.fingerprint,
             secrets.token_hex(CLAIM_ID_BYTES),
         )
-        claim = await self._claims.claim(claim_key(job.workspace, job.key), claim)
-        return await self._run_at_home(job, claim)
+        claim = await self._claims.claim(
+            claim_key(keyed_call.workspace, keyed_call.key), claim
+        )
+        return await self._run_at_home(keyed_call, claim)
 
-    async def _run_at_home(self, job, home):
-        """Run a call here if this is its home, else hand it over.
+    async def _run_at_home(self, keyed_call, home):
+        """Run a call if this is the key's home gateway, otherwise forward it.
 
         :param home: :class:`~cowslipcourse.requests.MintedKey` or
             :class:`~cowslipcourse.gateway.claims.Claim`
         """
-        own = self._context.agent.member
-        if (home.gateway, home.incarnation) == (own.name, own.incarnation):
-            return await self._run_locally(job, home.window)
+        own_member = self._context.agent.member
+        if (home.gateway, home.incarnation) == (
+            own_member.name,
+            own_member.incarnation,
+        ):
+            return await self._run_locally(keyed_call, home.window)
         member = self._context.agent.revision.members.get(home.gateway)
         if member is None or member.incarnation != home.incarnation:
-            return await self._from_sealed(job, home)
-        return await self._hand_over(job, home, member)
+            return await self._load_stored_outcome(keyed_call, home)
+        return await self._forward_to_home(keyed_call, home, member)
 
-    async def _run_locally(self, job, window):
+    async def _run_locally(self, keyed_call, window):
         async def execute():
             call = ServiceCall(
-                job.service, job.operation, job.body, False, job.deadline, self._context
+                keyed_call.service,
+                keyed_call.operation,
+                keyed_call.body,
+                False,
+                keyed_call.deadline,
+                self._context,
             )
             return await call.run()
 
         return await self._context.outcomes.run_once(
-            job.scoped_key, window, job.fingerprint, execute, now()
+            keyed_call.scoped_key, window, keyed_call.fingerprint, execute, now()
         )
 
-    async def _hand_over(self, job, home, member):
-        remaining_s = job.deadline - now() if job.deadline is not None else 0.0
+    async def _forward_to_home(self, keyed_call, home, member):
+        remaining_s = (
+            keyed_call.deadline - now() if keyed_call.deadline is not None else 0.0
+        )
         call = ForwardedCall(
-            key=job.key,
-            workspace=job.workspace,
-            service=job.service,
-            operation=job.operation,
-            body=job.body,
+            key=keyed_call.key,
+            workspace=keyed_call.workspace,
+            service=keyed_call.service,
+            operation=keyed_call.operation,
+            body=keyed_call.body,
             remaining_s=remaining_s,
             window=home.window,
             incarnation=home.incarnation,
         )
-        timeout_s = remaining_s or FORWARD_LIMIT_S
+        timeout_s = remaining_s or FORWARD_TIMEOUT_S
         try:
             reply = await self._context.agent.peers.forward(
                 member.peer_address, call, timeout_s
             )
         except PeerUnreachable as error:
-            detail = f"the home of the key does not answer: {error.detail}"
+            detail = f"the key's home gateway does not respond: {error.detail}"
             raise OutcomeUnknown(detail, 2.0) from error
         if reply.error_code:
             raise error_from_code(
@@ -202,12 +218,14 @@
         completed = Completed(reply.status, reply.content_type, reply.body)
         return completed, reply.remembered
 
-    async def _from_sealed(self, job, home):
-        """Answer for a home that is gone, from what it left behind."""
+    async def _load_stored_outcome(self, keyed_call, home):
+        """Return the outcome that the key's stopped home gateway stored."""
         content = await read_stored_outcomes(self._context, home)
-        completed = decode_outcome(content, job.scoped_key, job.fingerprint)
+        completed = decode_outcome(
+            content, keyed_call.scoped_key, keyed_call.fingerprint
+        )
         if completed is None:
-            raise KeyHomeStopped("the home of the key has stopped; use a new key")
+            raise KeyHomeStopped("the key's home gateway has stopped; use a new key")
         return completed, True
 
 
--- a/cowslipcourse/gateway/tools.py
+++ b/cowslipcourse/gateway/tools.py
@@ -1,4 +1,4 @@
-"""What the parts of a gateway share."""
+"""Objects that the components of a gateway share."""
 
 import asyncio
 from typing import Any, NamedTuple
@@ -7,13 +7,13 @@
 
 
 class BackgroundTasks:
-    """Keeps background tasks from being collected before they end."""
+    """Starts background tasks and holds references to them until they end."""
 
     def __init__(self):
         self._tasks = set()
 
     def __call__(self, coroutine):
-        """Run a coroutine in the background."""
+        """Run a coroutine in the background and return its task."""
         task = asyncio.create_task(coroutine)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
@@ -21,7 +21,7 @@
 
 
 class GatewayContext(NamedTuple):
-    """Ports and state that a gateway is built with.
+    """Ports and state that the components of a gateway share.
 
     :param settings: :class:`~cowslipcourse.settings.GatewaySettings`
     :param agent: :class:`~cowslipcourse.daemon.Agent`
@@ -35,9 +35,9 @@
         broken streams; larger, since all streams of a group break at once.
     :param quarantine: :class:`~cowslipcourse.quarantining.Quarantine`
     :param outcomes: :class:`~cowslipcourse.requests.OutcomeStore`
-    :param metrics: metrics sink.
+    :param metrics: for example :class:`~cowslipcourse.adapters.metrics.StatsdMetrics`
     :param rng: :class:`random.Random`
-    :param spawn: :class:`BackgroundTasks`
+    :param spawn: :class:`BackgroundTasks`, called with coroutines.
     """
 
     settings: Any
