--- a/cowslipcourse/gateway/app.py
+++ b/cowslipcourse/gateway/app.py
@@ -77,11 +77,11 @@
             return await handler(request, call)
         except ClientDisconnect:
             error = CallerDisconnected()
-        except RequestError as caught_error:
-            error = caught_error
-        except Exception as caught_error:
+        except RequestError as exception:
+            error = exception
+        except Exception as exception:
             log.exception("request-crashed", path=request.url.path)
-            error = RequestFailed(f"internal error of the gateway: {caught_error!r}")
+            error = RequestFailed(f"internal error of the gateway: {exception!r}")
         metrics.count(f"requests.refused.{error.code}")
         log.info("refused", code=error.code, detail=error.detail)
         return self._error_response(error, request)
--- a/cowslipcourse/gateway/callers.py
+++ b/cowslipcourse/gateway/callers.py
@@ -67,7 +67,7 @@
     except ValueError as error:
         raise BadRequest(f"{DEADLINE_HEADER} must be a number of seconds") from error
     if not deadline_s <= MAX_DEADLINE_S:
-        raise BadRequest(f"{DEADLINE_HEADER} must be at most {MAX_DEADLINE_S} s")
+        raise BadRequest(f"{DEADLINE_HEADER} must be at most {MAX_DEADLINE_S}")
     if deadline_s <= 0:
         raise DeadlinePassed("the deadline has passed")
     return now() + deadline_s
--- a/cowslipcourse/gateway/generation.py
+++ b/cowslipcourse/gateway/generation.py
@@ -165,7 +165,7 @@
                                 spec, attempt_id, granted_at, checked_at
                             )
                         chunk = self._relay.filter_events(attempt_id, events)
-                        self._group_run.note_events(len(events), self._relay.offset)
+                        self._group_run.record_events(len(events), self._relay.offset)
                         if chunk:
                             yield chunk
                         self._relay.raise_for_malformed()
--- a/cowslipcourse/gateway/quarantine_ports.py
+++ b/cowslipcourse/gateway/quarantine_ports.py
@@ -186,7 +186,7 @@
     try:
         content = msgspec.convert(row.value, dict[str, str])["text"].encode()
     except (msgspec.ValidationError, KeyError) as error:
-        raise MalformedResponse(f"row {row.key} cannot be decoded") from error
+        raise MalformedResponse(f"cannot decode row {row.key}") from error
     return StoredRow(row.key.removeprefix(prefix), content, row.version)
 
 
