--- a/features/group_plans/late_domains.feature
+++ b/features/group_plans/late_domains.feature
@@ -1,5 +1,5 @@
-Feature: Models get their share of groups however late domains are listed
-  The daemons' own code on an emulated site whose domains are listed one after the other.
+Feature: Models get their share of groups even if domains are listed late
+  The production code runs on an emulated site whose domains are listed one after the other.
 
   Scenario: Each model has most of its groups when the traffic begins
     Given the experiment "late-domains"
--- a/features/steps/answer_steps.py
+++ b/features/steps/answer_steps.py
@@ -8,7 +8,7 @@
 from cowslipcourse.emulator.clock import run_paused
 from cowslipcourse.requests import StreamRelay
 from cowslipcourse.requests.relay import END_DATA
-from features.support.group_runs import AnswerFaults, fixed_secrets, group_run
+from features.support.group_runs import AnswerFaultInjector, fixed_secrets, group_run
 from features.support.group_variants import VARIANTS
 
 TRUTH = [f"data: token {i}".encode() for i in range(6)] + [END_DATA]
@@ -18,7 +18,7 @@
 def one_run(seed):
     """Make one run with spoiled answers."""
     with fixed_secrets(seed):
-        return run_paused(group_run(seed, faults_type=AnswerFaults))
+        return run_paused(group_run(seed, injector_type=AnswerFaultInjector))
 
 
 @when("{number:d} answer runs are made from seed {first:d}")
--- a/features/steps/life_steps.py
+++ b/features/steps/life_steps.py
@@ -139,14 +139,9 @@
 
 
 def _revise(context):
-    assignment, model_demands = (
-        DomainAssignment("large", 0),
-        [ModelDemand("large", 4, 1.0)],
-    )
+    assignment, demands = DomainAssignment("large", 0), [ModelDemand("large", 4, 1.0)]
     views = context.views.values()
-    context.groups = revise_plan(
-        context.plan, views, GROUP_SIZES, model_demands, assignment
-    )
+    context.groups = revise_plan(context.plan, views, GROUP_SIZES, demands, assignment)
 
 
 @when("member {engine} restarts")
--- a/features/support/coordinator_runs.py
+++ b/features/support/coordinator_runs.py
@@ -223,11 +223,11 @@
         await asyncio.sleep(
             0.5 if is_repeated else rng.uniform(*RESTORE_INTERVAL_RANGE_S)
         )
-        age_s, away_s = (
+        age_s, downtime_s = (
             rng.uniform(0.5, MAX_COPY_AGE_S),
             rng.uniform(0, MAX_STORE_DOWNTIME_S),
         )
-        world.come_back_older(age_s, away_s)
+        world.come_back_older(age_s, downtime_s)
 
 
 async def _inject_engine_faults(world, site, rng):
--- a/features/support/engine_world.py
+++ b/features/support/engine_world.py
@@ -1,4 +1,4 @@
-"""Models and a configuration for runs over emulated engines."""
+"""Models and a configuration for runs with emulated engines."""
 
 from cowslipcourse.emulator.engines import OPEN_S, SERVICE, SLOTS, STALL_S
 from cowslipcourse.routes import CallerLimits, EngineModel, RouteTable, ServiceSpec
@@ -11,7 +11,7 @@
 
 
 def route_table():
-    """Return a configuration with one service of both models."""
+    """Return a configuration with one service that has both models."""
     spec = ServiceSpec(
         SERVICE, models=(LARGE, SMALL), slots=SLOTS, open_s=OPEN_S, loads_per_s=20.0
     )
--- a/features/support/fuzz.py
+++ b/features/support/fuzz.py
@@ -8,7 +8,7 @@
 from features.support.coordinator_runs import SITES, coordinator_run
 from features.support.crash_runs import crash_violations
 from features.support.edit_runs import EditRun
-from features.support.group_runs import AnswerFaults, fixed_secrets, group_run
+from features.support.group_runs import AnswerFaultInjector, fixed_secrets, group_run
 from features.support.membership_runs import random_run, settle
 
 
@@ -25,7 +25,7 @@
 
 
 def _answers(seed):
-    return run_paused(group_run(seed, faults_type=AnswerFaults)).violations
+    return run_paused(group_run(seed, injector_type=AnswerFaultInjector)).violations
 
 
 def _bookings(seed):
--- a/features/support/group_runs.py
+++ b/features/support/group_runs.py
@@ -67,39 +67,39 @@
             if not getattr(engine, "members", ()):
                 continue
             if world.all_present(engine.members, engine.assignment):
-                held = engine.assignment
-                self._last_complete_at[(held["group"], held["epoch"])] = now()
+                assigned = engine.assignment
+                self._last_complete_at[(assigned["group"], assigned["epoch"])] = now()
 
     def _check_table(self):
-        owner = {}
+        group_by_vm = {}
         claims = [Claim(*row) for row in self._site.rows("vm/").values()]
-        members = {c.vm: c.group for c in claims if not c.releasing}
+        claimed_groups = {c.vm: c.group for c in claims if not c.releasing}
         for row in self._site.rows("group/").values():
             spec = GroupSpec(*row)
             for vm, *_ in spec.members:
-                other = owner.setdefault(vm, spec.group)
+                other = group_by_vm.setdefault(vm, spec.group)
                 if other != spec.group:
                     self._add_violation("one VM in two groups", vm, other, spec.group)
-                if members.get(vm) != spec.group:
+                if claimed_groups.get(vm) != spec.group:
                     self._add_violation("a member without its claim", vm, spec.group)
 
     def _check_grants(self):
         for gateway in self._site.gateways.values():
             if not gateway.gate.is_open:
                 continue
-            owner = {}
+            group_by_vm = {}
             for grant in gateway.view.grants(["grp"]):
                 spec = grant.report.spec
                 for vm in spec.vm_names:
-                    other = owner.setdefault(vm, spec.group)
+                    other = group_by_vm.setdefault(vm, spec.group)
                     if other != spec.group:
                         self._add_violation("two groups granted on one VM", vm, other)
 
     def _check_started_requests(self):
         world = self._site.world
         for name, target in [*world.targets.items(), *world.removed.items()]:
-            leaving = name in world.removed or target.vm["state"] == "leaving"
-            if not leaving or world.list_faults["frozen"]:
+            is_leaving = name in world.removed or target.vm["state"] == "leaving"
+            if not is_leaving or world.list_faults["frozen"]:
                 # While the VM list is frozen, gateways cannot learn that the VM leaves.
                 self._leaving_since.pop(name, None)
             else:
@@ -114,17 +114,23 @@
         self.started_count += 1
         self.started_requests.add(event["request"])
         if not event["all_present"]:
-            held = (event["group"], event["epoch"])
-            last = self._last_complete_at.get(held)
+            group_epoch = (event["group"], event["epoch"])
+            last_complete_at = self._last_complete_at.get(group_epoch)
             if (
-                last is None
-                or event["at"] - last > GRANT_DURATION_S + 2 * CHECK_INTERVAL_S
+                last_complete_at is None
+                or event["at"] - last_complete_at
+                > GRANT_DURATION_S + 2 * CHECK_INTERVAL_S
             ):
-                violation = (round(now(), 2), "served without all members", *held, last)
+                violation = (
+                    round(now(), 2),
+                    "served without all members",
+                    *group_epoch,
+                    last_complete_at,
+                )
                 self.incomplete_starts[event["attempt"]] = violation
-        since = self._leaving_since.get(name)
-        if since is not None:
-            delay_s = event["at"] - since
+        leaving_since = self._leaving_since.get(name)
+        if leaving_since is not None:
+            delay_s = event["at"] - leaving_since
             self.max_new_work_delay_s = max(self.max_new_work_delay_s, delay_s)
             if delay_s > MAX_NEW_WORK_AFTER_LEAVING_S:
                 self._add_violation("new work on a leaving VM", name, delay_s)
@@ -148,11 +154,13 @@
 
     async def run(self):
         """Send requests until cancelled."""
-        number = 0
+        round_number = 0
         while True:
-            number += 1
+            round_number += 1
             for gateway in list(self._site.gateways.values()):
-                task = asyncio.create_task(self._request(gateway, f"r{number}"))
+                task = asyncio.create_task(
+                    self._send_request(gateway, f"r{round_number}")
+                )
                 self._tasks.add(task)
                 task.add_done_callback(self._tasks.discard)
             await asyncio.sleep(self._interval_s)
@@ -161,7 +169,7 @@
         """Wait for the requests in flight."""
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
-    async def _request(self, gateway, request_id):
+    async def _send_request(self, gateway, request_id):
         body = chat_body(request_id, "m", 12)
         call = Call(request_id, "crew", Priority.NORMAL, None, "", None)
         chunks = []
@@ -221,7 +229,7 @@
     ]
 
 
-class Faults:
+class FaultInjector:
     """Injects random faults into a site.
 
     :param site: :class:`InProcessSite`
@@ -349,11 +357,11 @@
                 world.change_vm(name, "stay")
 
 
-class AnswerFaults(Faults):
-    """Faults of answers: wrong attempt, lost or repeated tokens, truncation."""
+class AnswerFaultInjector(FaultInjector):
+    """Injects faults of answers: wrong attempt, lost or repeated tokens, truncation."""
 
     def weights(self):
-        """See :class:`Faults`."""
+        """See :class:`FaultInjector`."""
         return {
             self.corrupt_answers: 12,
             self.refuse_requests: 4,
@@ -373,13 +381,13 @@
             target.faults["refuse"] = self._rng.choice(("", "busy"))
 
 
-async def group_run(seed, fault_count=40, fenced=None, faults_type=Faults):
+async def group_run(seed, fault_count=40, fenced=None, injector_type=FaultInjector):
     """Inject random faults into a site under load.
 
     :param seed: seed of all random choices.
     :param fault_count: number of faults.
     :param fenced: whether targets check fencing tokens; chosen by the seed if ``None``.
-    :param faults_type: :class:`Faults` or a subclass.
+    :param injector_type: :class:`FaultInjector` or a subclass.
     :returns: :class:`GroupRunResult`
     """
     rng = random.Random(seed)
@@ -397,12 +405,12 @@
     view = site.gateways["g1"].view
     await site.wait_until(lambda: len(view.grants(["grp"])) == 4)
     tasks.append(asyncio.create_task(load.run()))
-    faults = faults_type(site, rng)
+    injector = injector_type(site, rng)
     injected_faults = []
     for _ in range(fault_count):
-        injected_faults.append((round(now(), 1), await faults.inject_one()))
+        injected_faults.append((round(now(), 1), await injector.inject_one()))
         await asyncio.sleep(rng.choice((0.2, 0.7, 1.5, 3.0, 6.0, 9.0)))
-    await faults.repair()
+    await injector.repair()
     has_recovered = await _wait_for_recovery(site, view)
     for task in tasks:
         task.cancel()
