--- a/features/steps/spread_steps.py
+++ b/features/steps/spread_steps.py
@@ -13,7 +13,7 @@
     "{places:d} data centres of {daemons:d} daemons, losing {lost:d} in 100 datagrams"
 )
 def step_network(context, places, daemons, lost):
-    context.scenario = SpreadScenario(
+    context.spread_scenario = SpreadScenario(
         NetworkShape(places, daemons, loss_rate=lost / 100)
     )
     context.repeat = Quarantine._repeat_verdicts
@@ -26,24 +26,24 @@
 
 @when("three of them see one target end each under the same request")
 def step_ends(context):
-    context.scenario = context.scenario._replace(target_exits=3)
+    context.spread_scenario = context.spread_scenario._replace(target_exits=3)
 
 
 @when("no target ends under a request")
 def step_no_end(context):
-    context.scenario = context.scenario._replace(target_exits=0)
+    context.spread_scenario = context.spread_scenario._replace(target_exits=0)
 
 
 @when("{number:d} daemons were cut off until {seconds:d} s after that")
 def step_cut(context, number, seconds):
-    context.scenario = context.scenario._replace(
+    context.spread_scenario = context.spread_scenario._replace(
         isolated_daemons=number, isolation_s=float(seconds)
     )
 
 
 def _play(context):
     with mock.patch.object(Quarantine, "_repeat_verdicts", context.repeat):
-        context.spread = simulate_spread(context.scenario)
+        context.spread = simulate_spread(context.spread_scenario)
 
 
 @then("all daemons refuse it 2.5 s later")
