--- a/cowslipcourse/controller/api.py
+++ b/cowslipcourse/controller/api.py
@@ -8,7 +8,7 @@
 from starlette.applications import Starlette
 from starlette.routing import Route
 
-from cowslipcourse.adapters.answers import json_answer
+from cowslipcourse.adapters.answers import json_response
 from cowslipcourse.adapters.log import get_logger
 from cowslipcourse.config import Change, Edit, ObjectRef
 from cowslipcourse.config.objects import KINDS
@@ -123,11 +123,11 @@
         )
         if body.trial:
             result = await self._edits.plan(edit)
-            return json_answer(_result_content(result))
+            return json_response(_result_content(result))
         result = await self._edits.commit(edit)
         accepted = await self._acceptor.wait_accepted(result.revision, body.wait_s)
         members_behind = [] if accepted else self._acceptor.members_behind()
-        return json_answer(
+        return json_response(
             {**_result_content(result), "accepted": accepted, "missing": members_behind}
         )
 
@@ -136,15 +136,15 @@
         wait_s = min(float(_integer_parameter(request, "wait_s", 0)), 60.0)
         accepted = await self._acceptor.wait_accepted(number, wait_s)
         members_behind = [] if accepted else self._acceptor.members_behind()
-        return json_answer({"accepted": accepted, "missing": members_behind})
+        return json_response({"accepted": accepted, "missing": members_behind})
 
     async def _handle_configuration(self, request, operator):
         number = _integer_parameter(request, "revision", None)
         number, configuration = await self._edits.read_configuration(number)
-        return json_answer({"revision": number, "configuration": configuration})
+        return json_response({"revision": number, "configuration": configuration})
 
     async def _handle_status(self, request, operator):
-        return json_answer(
+        return json_response(
             system_status(self._context, self._acceptor, self._shard_manager)
         )
 
@@ -161,7 +161,7 @@
             and (wanted_object is None or wanted_object in record["changed"])
             and record["revision"] >= since
         ]
-        return json_answer(matching[:limit])
+        return json_response(matching[:limit])
 
 
 async def _read_body(request):
@@ -239,4 +239,4 @@
         content["outcome"] = "unknown" if isinstance(error, ReplyLost) else "not_run"
     else:
         log.warning("operator-request-failed", code=error.code, detail=error.detail)
-    return json_answer(content, status)
+    return json_response(content, status)
--- a/features/support/fuzz.py
+++ b/features/support/fuzz.py
@@ -8,14 +8,16 @@
 from features.support.coordinator_runs import SITES, coordinator_run
 from features.support.crash_runs import crash_violations
 from features.support.edit_runs import EditRun
-from features.support.group_runs import AnswerFaults, fixed_secrets, group_run
+from features.support.group_runs import AnswerFaultInjector, fixed_secrets, group_run
 from features.support.membership_runs import random_run, settle
 
 
 def _membership(seed):
     fleet = settle(random_run(seed))
     whole = len(fleet.serving()) == len(fleet.names)
-    stuck = [] if whole and fleet.accepted == fleet.head.number else ["not settled"]
+    stuck = (
+        [] if whole and fleet.accepted_number == fleet.head.number else ["not settled"]
+    )
     return [*fleet.violations, *stuck]
 
 
@@ -25,7 +27,7 @@
 
 
 def _answers(seed):
-    return run_paused(group_run(seed, faults_type=AnswerFaults)).violations
+    return run_paused(group_run(seed, injector_type=AnswerFaultInjector)).violations
 
 
 def _bookings(seed):
--- a/features/support/outside.py
+++ b/features/support/outside.py
@@ -6,7 +6,7 @@
 import msgspec
 from hypothesis import strategies as st
 
-from cowslipcourse.exceptions import ConfigurationError, MalformedAnswer
+from cowslipcourse.exceptions import ConfigurationError, MalformedResponse
 from cowslipcourse.groups import PlannedGroup, decode_plan, encode_plan
 from cowslipcourse.peers import (
     Heartbeat,
@@ -283,7 +283,7 @@
 }
 """Valid value, decoder and type check by kind of input."""
 
-REFUSALS = (MalformedAnswer, ConfigurationError)
+REFUSALS = (MalformedResponse, ConfigurationError)
 
 
 def lenient_entry(value):
@@ -299,4 +299,4 @@
             incarnation=value.get("born", 1),
         )
     except (KeyError, TypeError, ValueError) as error:
-        raise MalformedAnswer(repr(error)) from error
+        raise MalformedResponse(repr(error)) from error
