--- a/features/group_plans/practice.feature
+++ b/features/group_plans/practice.feature
@@ -1,13 +1,13 @@
 Feature: Spares perform a warm-up join
   A join takes 0.2 s if the engine's last group had the same model; otherwise the engine loads the
-  weights from its host first. A spare that has joined a warm-up group repairs another group sooner.
+  weights from its host first. A warm-up join saves a spare that load in a later repair.
 
   Scenario Outline: An idle spare warms up once if its host stores a model of the domain
     Given a spare that stores <stored>, joined <joined> last, and has <orders> orders by report
-    Then in a domain of large it is to <do>
+    Then in a domain of large it is to <action>
 
     Examples:
-      | stored  | joined  | orders | do                    |
+      | stored  | joined  | orders | action                |
       | large   | nothing | 0      | join a warm-up group  |
       | large   | nothing | no     | be asked for a report |
       | large   | large   | 2      | do nothing            |
--- a/features/steps/balance_steps.py
+++ b/features/steps/balance_steps.py
@@ -115,7 +115,7 @@
     )
 
 
-def _begin(context, reassignments):
+def _begin_reassignments(context, reassignments):
     for reassignment in reassignments:
         plan = context.plans[reassignment.domain]
         groups = tuple(
@@ -129,12 +129,12 @@
 
 @when("the first of these reassignments has begun")
 def step_begin_first(context):
-    _begin(context, _reassignments(context)[:1])
+    _begin_reassignments(context, _reassignments(context)[:1])
 
 
 @when("the rest of these reassignments have begun")
 def step_begin_rest(context):
-    _begin(context, _reassignments(context))
+    _begin_reassignments(context, _reassignments(context))
 
 
 @then("no group is to be reassigned")
@@ -184,7 +184,7 @@
     assert first.model == "large" and len(first.groups) == 2, first
 
 
-def _standby(context):
+def _standby_models(context):
     return choose_standby(
         context.plans,
         context.data_centres,
@@ -198,22 +198,24 @@
     "centres"
 )
 def step_standby_groups(context, number, data_centres):
-    chosen = _standby(context)
+    chosen = _standby_models(context)
     groups = [name for name, model in chosen.items() if model == "small"]
     assert len(groups) == number, chosen
-    found = {context.data_centres[name.rsplit("-", 1)[0]] for name in groups}
-    assert len(found) == data_centres, chosen
+    chosen_data_centres = {
+        context.data_centres[name.rsplit("-", 1)[0]] for name in groups
+    }
+    assert len(chosen_data_centres) == data_centres, chosen
 
 
 @then("no host is to store large")
 def step_no_large(context):
-    assert "large" not in _standby(context).values(), _standby(context)
+    assert "large" not in _standby_models(context).values(), _standby_models(context)
 
 
 @then("the {which} group of {domain} is among those that are to store small")
 def step_group_on_standby(context, which, domain):
     name = _group_name(context, which, domain)
-    assert _standby(context).get(name) == "small", _standby(context)
+    assert _standby_models(context).get(name) == "small", _standby_models(context)
 
 
 class _FreshPlanTable:
--- a/features/steps/evidence_steps.py
+++ b/features/steps/evidence_steps.py
@@ -156,9 +156,9 @@
 
 
 def _observed_domain(context):
-    context.domain = getattr(context, "domain", None) or ObservedDomain()
-    context.domain.engines["e1"] = context.engine
-    return context.domain
+    context.observed = getattr(context, "observed", None) or ObservedDomain()
+    context.observed.engines["e1"] = context.engine
+    return context.observed
 
 
 @when("another coordinator's plan without groups becomes known at {now:f} s")
--- a/features/steps/life_steps.py
+++ b/features/steps/life_steps.py
@@ -58,23 +58,23 @@
 
 @given("the engine e1, ready in g1 at epoch 4, silent, slow, with 5 orders")
 def step_engine(context):
-    context.domain = ObservedDomain()
-    context.domain.update_from_entry(_entry(membership=READY_IN_G1))
+    context.observed = ObservedDomain()
+    context.observed.update_from_entry(_entry(membership=READY_IN_G1))
     report = EngineReport(
         5, READY_IN_G1, ("large",), pace=3.0, incarnation=FIRST_INCARNATION
     )
-    context.domain.update_from_report("e1", report, 10.0)
-    context.domain.engines["e1"].mark_silent(11.0)
+    context.observed.update_from_report("e1", report, 10.0)
+    context.observed.engines["e1"].mark_silent(11.0)
 
 
 @when("the target list has a later incarnation of e1 that is in no group")
 def step_later_incarnation_listed(context):
-    context.domain.update_from_entry(_entry(incarnation=SECOND_INCARNATION))
+    context.observed.update_from_entry(_entry(incarnation=SECOND_INCARNATION))
 
 
 @when("the target list repeats the entry of the earlier incarnation of e1")
 def step_earlier_incarnation_listed(context):
-    context.domain.update_from_entry(_entry(membership=READY_IN_G1))
+    context.observed.update_from_entry(_entry(membership=READY_IN_G1))
 
 
 @when(
@@ -82,7 +82,7 @@
 )
 def step_later_incarnation_reports(context):
     report = EngineReport(0, None, ("large",), incarnation=SECOND_INCARNATION)
-    context.domain.update_from_report("e1", report, 12.0)
+    context.observed.update_from_report("e1", report, 12.0)
 
 
 @when(
@@ -93,18 +93,18 @@
     report = EngineReport(
         orders, READY_IN_G1, ("large",), incarnation=FIRST_INCARNATION
     )
-    context.domain.update_from_report("e1", report, 12.0)
+    context.observed.update_from_report("e1", report, 12.0)
 
 
 @when("a plan has the later incarnation of e1 in g1 at epoch 5")
 def step_later_incarnation_planned(context):
     group = G1._replace(epoch=5, incarnations=(SECOND_INCARNATION,))
-    context.domain.update_from_plan(DomainPlan("d1", 4, (group,)), 12.0)
+    context.observed.update_from_plan(DomainPlan("d1", 4, (group,)), 12.0)
 
 
 @then("e1 has no order count, is not silent, not slow, and was never ready in g1")
 def step_state_discarded(context):
-    engine = context.domain.engines["e1"]
+    engine = context.observed.engines["e1"]
     assert engine.order_count is None and engine.silent_since is None
     assert engine.pace == 1.0 and engine.membership is None
     assert not engine.was_ready(G1) and engine.incarnation == SECOND_INCARNATION
@@ -112,7 +112,7 @@
 
 @then("e1 has accepted {orders:d} orders and was never ready in g1")
 def step_accepted_orders(context, orders):
-    engine = context.domain.engines["e1"]
+    engine = context.observed.engines["e1"]
     assert engine.order_count == orders and not engine.was_ready(G1)
     assert engine.incarnation == SECOND_INCARNATION
 
--- a/features/steps/practice_steps.py
+++ b/features/steps/practice_steps.py
@@ -41,7 +41,7 @@
     return GroupMembership("d1-e1.alone", 7, 0, state, "large")
 
 
-def _report(context, membership):
+def _update_from_report(context, membership):
     report = EngineReport(1, membership, ("large",), incarnation=1)
     context.observed.update_from_report("e1", report, 5.0)
 
@@ -59,12 +59,12 @@
     engine.order_count = None if orders == "no" else int(orders)
 
 
-@then("in a domain of large it is to {do}")
-def step_is_to(context, do):
+@then("in a domain of large it is to {action}")
+def step_warmup_action(context, action):
     step = warmup_step(PLAN, context.observed.engines["e1"], ["large"])
-    if do == "do nothing":
+    if action == "do nothing":
         assert step is None, step
-    elif do == "be asked for a report":
+    elif action == "be asked for a report":
         assert step.kind is StepKind.ASK, step
     else:
         order = step.order
@@ -78,26 +78,26 @@
 def step_joining_warmup_group(context):
     context.observed = ObservedDomain()
     context.observed.update_from_entry(_entry())
-    _report(context, _warmup_membership(GroupState.JOINING))
+    _update_from_report(context, _warmup_membership(GroupState.JOINING))
 
 
-def _steps(context):
+def _next_steps(context):
     return next_steps(PLAN, context.observed.engines, {}, STALL_S, 10.0)
 
 
 @then("no order is sent")
 def step_no_order(context):
-    assert _steps(context) == []
+    assert _next_steps(context) == []
 
 
 @when("it is ready in that group")
 def step_ready(context):
-    _report(context, _warmup_membership(GroupState.READY))
+    _update_from_report(context, _warmup_membership(GroupState.READY))
 
 
 @then("it is ordered to leave that group")
 def step_ordered_to_leave(context):
-    (step,) = _steps(context)
+    (step,) = _next_steps(context)
     assert step.order.operation is OrderOperation.LEAVE, step
     assert step.order.group == "d1-e1.alone", step
 
--- a/features/steps/revision_steps.py
+++ b/features/steps/revision_steps.py
@@ -31,7 +31,7 @@
 
 def _revise(context, model_demands=NO_DEMANDS, broken=frozenset()):
     views = context.views.values()
-    context.revised = revise_plan(
+    context.revised_groups = revise_plan(
         context.plan, views, GROUP_SIZES, model_demands, context.assignment, broken
     )
 
@@ -156,7 +156,7 @@
 @when("that plan is in force and the spare {engine} that stores {model} comes")
 def step_spare_added(context, engine, model):
     context.plan = context.plan._replace(
-        version=context.plan.version + 1, groups=context.revised
+        version=context.plan.version + 1, groups=context.revised_groups
     )
     context.views[engine] = _view(engine, (model,), is_free=True)
     _revise(context)
@@ -169,7 +169,7 @@
 
 @then("the group keeps its name, gets a higher epoch and has the members {members}")
 def step_repaired(context, members):
-    (group,) = context.revised
+    (group,) = context.revised_groups
     assert group.name == "g1"
     assert group.epoch == context.plan.version + 1
     assert group.members == tuple(members.split()), group
@@ -177,18 +177,18 @@
 
 @then("nothing changes")
 def step_plan_unchanged(context):
-    assert context.revised == context.plan.groups, context.revised
+    assert context.revised_groups == context.plan.groups, context.revised_groups
 
 
 @then("the domain has no groups")
 def step_no_groups(context):
-    assert context.revised == (), context.revised
+    assert context.revised_groups == (), context.revised_groups
 
 
 @then("the group of {model} is retired")
 def step_retired(context, model):
-    retired = [group.model for group in context.revised if group.is_retired]
-    assert retired == [model], context.revised
+    retired = [group.model for group in context.revised_groups if group.is_retired]
+    assert retired == [model], context.revised_groups
 
 
 @given("the free engines {free}")
@@ -231,14 +231,14 @@
 
 @then("one group of {model} on {members} is planned")
 def step_one_group_planned(context, model, members):
-    (group,) = context.revised
+    (group,) = context.revised_groups
     assert (group.model, group.members) == (model, tuple(members.split())), group
 
 
 @then("a group of {model} on {members} is added")
 def step_group_added(context, model, members):
     previous = set(context.plan.groups)
-    added = [group for group in context.revised if group not in previous]
-    assert previous <= set(context.revised), context.revised
+    added = [group for group in context.revised_groups if group not in previous]
+    assert previous <= set(context.revised_groups), context.revised_groups
     added_groups = [(group.model, group.members) for group in added]
-    assert added_groups == [(model, tuple(members.split()))], context.revised
+    assert added_groups == [(model, tuple(members.split()))], context.revised_groups
--- a/features/support/group_variants.py
+++ b/features/support/group_variants.py
@@ -50,11 +50,11 @@
 def _keep_expired_grants():
     """Use grants after their expiry."""
 
-    def is_good(self, name, grant, at):
+    def is_usable(self, name, grant, at):
         return grant.report.serving
 
     return _apply_patches(
-        mock.patch.object(FleetView, "_is_usable", is_good),
+        mock.patch.object(FleetView, "_is_usable", is_usable),
         mock.patch.object(FleetView, "was_sent_under_grant", lambda *_: True),
     )
 
