--- a/cowslipcourse/membership/acceptance.py
+++ b/cowslipcourse/membership/acceptance.py
@@ -13,11 +13,11 @@
 __all__ = ["AcceptanceRule"]
 
 MAX_CANDIDATE_REVISIONS = 50
-"""Number of revisions, counted back from the newest, that are considered."""
+"""Revisions, counted back from the newest, that are considered for acceptance."""
 
 
 class AcceptanceRule:
-    """Decides whether a revision may be called accepted.
+    """Decides which revisions are accepted.
 
     :param times: :class:`~cowslipcourse.membership.MembershipTimes`
     :param contacts: :class:`~cowslipcourse.membership.Contacts`
@@ -40,9 +40,9 @@
         )
 
     def newest_accepted(self, revision: Revision, last_accepted, now):
-        """Return the newest revision number before which nothing can be served.
+        """Return the number of the newest revision before which none can be served.
 
-        A change of members during the wait of an edit does not restart that wait.
+        A change of members while an edit waits does not restart its wait.
 
         :param revision: newest revision.
         :param last_accepted: number of the last accepted revision.
@@ -50,47 +50,49 @@
         """
         oldest = max(last_accepted, revision.number - MAX_CANDIDATE_REVISIONS)
         for number in range(revision.number, oldest, -1):
-            if self._accepted(number, revision, last_accepted, now):
+            if self._is_accepted(number, revision, last_accepted, now):
                 return number
         return last_accepted
 
-    def _accepted(self, number, revision, last_accepted, now):
-        """Return whether no revision before a number can be served."""
-        following = [
-            member_list.first_revision_number for member_list in revision.lists[1:]
+    def _is_accepted(self, number, revision, last_accepted, now):
+        """Return whether no revision before the given number can be served."""
+        next_first_numbers = [
+            later_list.first_revision_number for later_list in revision.lists[1:]
         ]
-        for listed, next_first in zip(
-            revision.lists, [*following, number], strict=True
+        for member_list, next_first in zip(
+            revision.lists, [*next_first_numbers, number], strict=True
         ):
             newest_with_list = min(next_first, number) - 1
-            if newest_with_list < max(listed.first_revision_number, last_accepted):
+            if newest_with_list < max(member_list.first_revision_number, last_accepted):
                 continue
-            if not self._cannot_be_served(listed.runs, newest_with_list, revision, now):
+            if not self._cannot_be_served(
+                member_list.identities, newest_with_list, revision, now
+            ):
                 return False
         return True
 
-    def _cannot_be_served(self, runs, number, revision, now):
-        """Return whether nobody can serve a revision with these incarnations."""
-        past = [
+    def _cannot_be_served(self, identities, number, revision, now):
+        """Return whether nobody can serve a revision with these members."""
+        moved_past_times = [
             self._contacts.moved_past_at(incarnation, number)
-            for incarnation, _ in runs.values()
+            for incarnation, _ in identities.values()
         ]
-        if all(since is not None for since in past):
+        if all(since is not None for since in moved_past_times):
             return True
         moved_before = now - self._times.eviction_s
-        gone = sum(
-            self._has_moved_past(run, number, revision, moved_before)
-            for run in runs.values()
+        moved_past_count = sum(
+            self._has_moved_past(identity, number, revision, moved_before)
+            for identity in identities.values()
         )
-        return 2 * gone > len(runs)
+        return 2 * moved_past_count > len(identities)
 
-    def _has_moved_past(self, run, number, revision, moved_before):
+    def _has_moved_past(self, identity, number, revision, moved_before):
         """Return whether an incarnation moved past a revision, or is gone, long enough.
 
         An incarnation is gone if another one answers at its address: two processes
         cannot both be reached there.
         """
-        incarnation, address = run
+        incarnation, address = identity
         since = self._contacts.moved_past_at(incarnation, number)
         if since is not None and since <= moved_before:
             return True
--- a/cowslipcourse/membership/contacts.py
+++ b/cowslipcourse/membership/contacts.py
@@ -1,21 +1,21 @@
-"""State of peers as known from answered heartbeats."""
+"""State of peers, as reported in answers to heartbeats."""
 
 from typing import NamedTuple
 
 __all__ = ["Contact", "Contacts"]
 
 MAX_TRACKED_INCARNATIONS = 4096
-"""Incarnations of daemons whose revisions are remembered."""
+"""Incarnations whose revision history is kept; the oldest are dropped first."""
 
 
 class Contact(NamedTuple):
-    """The newest answered heartbeat to one peer.
+    """Newest answered heartbeat to a peer.
 
     :param sent_at: loop time just before the heartbeat was sent.
     :param incarnation: incarnation of the peer that answered.
-    :param revision: revision that the peer runs.
-    :param stopped: whether the peer takes no new work.
-    :param silent: names of members that the peer itself cannot reach.
+    :param revision: number of the revision that the peer runs.
+    :param stopped: whether the peer accepts no new work.
+    :param silent: names of members that the peer cannot reach.
     """
 
     sent_at: float
@@ -28,14 +28,14 @@
 class Contacts:
     """Newest contact by peer name, and the revisions that each incarnation has reached.
 
-    :param memory_s: seconds for which the time of a change to a newer revision is kept;
-        after that it is only known to be at least that long ago.
+    :param history_s: seconds for which the time of a change to a newer revision is
+        kept; after that it is only known to be at least that long ago.
     """
 
-    def __init__(self, memory_s):
-        self._memory_s = memory_s
+    def __init__(self, history_s):
+        self._history_s = history_s
         self._contacts = {}
-        self._steps = {}
+        self._revision_history = {}
         self._expected_since = {}
 
     def record_answer(self, name, contact, now):
@@ -46,33 +46,33 @@
         :param now: loop time at which the answer is recorded.
         """
         self.record_revision(contact.incarnation, contact.revision, now)
-        known = self._contacts.get(name)
-        if known is None or known.sent_at <= contact.sent_at:
+        current = self._contacts.get(name)
+        if current is None or current.sent_at <= contact.sent_at:
             self._contacts[name] = contact
 
-    def record_revision(self, incarnation, revision, now):
+    def record_revision(self, incarnation, revision_number, now):
         """Record that an incarnation has reached a revision; it never goes back.
 
         :param incarnation: incarnation of the daemon.
-        :param revision: revision number.
+        :param revision_number: number of the revision.
         :param now: loop time.
         """
-        steps = self._steps.setdefault(incarnation, [])
-        if steps and steps[-1][0] >= revision:
+        history = self._revision_history.setdefault(incarnation, [])
+        if history and history[-1][0] >= revision_number:
             return
-        steps.append((revision, now))
-        while len(steps) > 1 and steps[1][1] < now - self._memory_s:
-            steps.pop(0)
-        while len(self._steps) > MAX_TRACKED_INCARNATIONS:
-            del self._steps[next(iter(self._steps))]
+        history.append((revision_number, now))
+        while len(history) > 1 and history[1][1] < now - self._history_s:
+            history.pop(0)
+        while len(self._revision_history) > MAX_TRACKED_INCARNATIONS:
+            del self._revision_history[next(iter(self._revision_history))]
 
-    def moved_past_at(self, incarnation, revision):
-        """Return since when an incarnation is known to run a newer revision.
+    def moved_past_at(self, incarnation, revision_number):
+        """Return when an incarnation is first known to have run a newer revision.
 
         :returns: loop time, or ``None`` if it is not known to run a newer one.
         """
-        for number, since in self._steps.get(incarnation, ()):
-            if number > revision:
+        for number, since in self._revision_history.get(incarnation, ()):
+            if number > revision_number:
                 return since
         return None
 
@@ -80,31 +80,38 @@
         """Return the newest contact with a peer, or ``None``."""
         return self._contacts.get(name)
 
-    def confirms_revision(self, member, revision, now, within_s):
+    def confirms_revision(self, member, revision_number, now, max_age_s):
         """Return whether a member confirms that a revision is the newest it knows.
 
-        It does if it answered a heartbeat sent within the last ``within_s`` seconds,
+        It does if it answered a heartbeat sent within the last ``max_age_s`` seconds,
         accepts work itself and knows no newer revision.
         """
         contact = self._contacts.get(member.name)
-        if contact is None or contact.stopped or contact.revision > revision:
+        if contact is None or contact.stopped or contact.revision > revision_number:
             return False
         if contact.incarnation != member.incarnation:
             return False
-        return now - contact.sent_at <= within_s
+        return now - contact.sent_at <= max_age_s
 
-    def silent_members(self, members, now, after_s):
-        """Return the names of members that have not answered for ``after_s`` seconds.
+    def silent_members(self, members, now, silence_limit_s):
+        """Return the names of members that have been silent for longer than a limit.
 
-        For a member that has never answered, the time counts from when it was listed.
+        For an incarnation that has never answered, the time counts from when it was
+        listed.
+
+        :param members: iterable of :class:`~cowslipcourse.membership.Member`
+        :param now: loop time.
+        :param silence_limit_s: seconds without an answer.
         """
         names = set()
         for member in members:
             contact = self._contacts.get(member.name)
-            same = contact is not None and contact.incarnation == member.incarnation
+            is_same_incarnation = (
+                contact is not None and contact.incarnation == member.incarnation
+            )
             since = self._expected_since.get((member.name, member.incarnation), now)
-            heard_at = contact.sent_at if same else since
-            if now - heard_at > after_s:
+            heard_at = contact.sent_at if is_same_incarnation else since
+            if now - heard_at > silence_limit_s:
                 names.add(member.name)
         return frozenset(names)
 
@@ -114,9 +121,11 @@
         :param members: iterable of :class:`~cowslipcourse.membership.Member`
         :param now: loop time.
         """
-        runs = {(member.name, member.incarnation) for member in members}
-        known = self._expected_since
-        self._expected_since = {run: known.get(run, now) for run in runs}
-        names_kept = {name for name, _ in runs}
-        for name in set(self._contacts) - names_kept:
+        incarnations = {(member.name, member.incarnation) for member in members}
+        expected_since = self._expected_since
+        self._expected_since = {
+            key: expected_since.get(key, now) for key in incarnations
+        }
+        member_names = {name for name, _ in incarnations}
+        for name in set(self._contacts) - member_names:
             del self._contacts[name]
--- a/cowslipcourse/membership/members.py
+++ b/cowslipcourse/membership/members.py
@@ -1,4 +1,4 @@
-"""Members and the revisions that list them."""
+"""Members, and the revisions that list them."""
 
 from enum import StrEnum
 from typing import Any, NamedTuple
@@ -7,21 +7,21 @@
 
 
 class Role(StrEnum):
-    """What a daemon does."""
+    """Role of a daemon."""
 
     GATEWAY = "gateway"
     CONTROLLER = "controller"
 
 
 class Member(NamedTuple):
-    """One run of one daemon.
+    """One incarnation of a daemon.
 
-    :param name: name from its settings.
-    :param incarnation: unique to this run of the process.
+    :param name: daemon name from its settings.
+    :param incarnation: unique to each start of the process.
     :param role: gateway or controller.
     :param data_centre: data centre from its settings.
-    :param peer_address: ``ip:port`` for other daemons.
-    :param public_address: base URL for callers or operators.
+    :param peer_address: ``ip:port`` at which other daemons reach it.
+    :param public_address: base URL at which callers or operators reach it.
     """
 
     name: str
@@ -33,26 +33,28 @@
 
 
 class MemberList(NamedTuple):
-    """Who was listed from some revision on, until the next list.
+    """Members listed from one revision until the next list.
 
     :param first_revision_number: number of the first revision with this list.
-    :param runs: ``(incarnation, peer address)`` by daemon name.
+    :param identities: ``(incarnation, peer address)`` by daemon name.
     """
 
     first_revision_number: int
-    runs: dict[str, tuple[str, str]]
+    identities: dict[str, tuple[str, str]]
 
 
 class Revision(NamedTuple):
-    """One revision: a configuration and the daemons that must run it.
+    """A configuration and the members that must run it.
 
-    Every edit, join and eviction makes a new one.
+    Each edit, join and eviction creates a new revision.
 
-    :param number: revision number, one more than the one before.
-    :param members: daemons by name.
+    :param number: revision number, one more than that of the previous revision.
+    :param members: :class:`Member` by daemon name.
     :param configuration: declared objects as plain JSON data.
-    :param configuration_number: revision of the edit that made the configuration.
-    :param lists: member lists since the last accepted revision, the present one last.
+    :param configuration_number: number of the revision whose edit created the
+        configuration.
+    :param lists: member lists since the last accepted revision, the current one
+        last.
     """
 
     number: int
@@ -62,21 +64,25 @@
     lists: tuple[MemberList, ...] = ()
 
     def includes(self, member):
-        """Return whether exactly this run of the daemon is a member."""
+        """Return whether this incarnation of the daemon is a member."""
         listed = self.members.get(member.name)
         return listed is not None and listed.incarnation == member.incarnation
 
-    def next(self, members, accepted):
-        """Return the next revision, with other members.
+    def next(self, members, last_accepted):
+        """Return the next revision, with the given members.
 
-        :param members: daemons by name.
-        :param accepted: last accepted revision number; older lists are dropped.
+        :param members: :class:`Member` by daemon name.
+        :param last_accepted: number of the last accepted revision; lists replaced by
+            then are dropped.
         """
         number = self.number + 1
         lists = self.lists
         if members != self.members or not lists:
-            runs = {n: (m.incarnation, m.peer_address) for n, m in members.items()}
-            lists = (*lists, MemberList(number, runs))
-        while len(lists) > 1 and lists[1].first_revision_number <= accepted:
+            identities = {
+                name: (member.incarnation, member.peer_address)
+                for name, member in members.items()
+            }
+            lists = (*lists, MemberList(number, identities))
+        while len(lists) > 1 and lists[1].first_revision_number <= last_accepted:
             lists = lists[1:]
         return self._replace(number=number, members=dict(members), lists=lists)
--- a/cowslipcourse/membership/messages.py
+++ b/cowslipcourse/membership/messages.py
@@ -1,4 +1,4 @@
-"""Messages between members."""
+"""Heartbeat messages between members."""
 
 from typing import NamedTuple
 
@@ -9,15 +9,20 @@
 
 
 class Heartbeat(NamedTuple):
-    """An answered probe that also asks for news.
-
-    :param name: asking daemon.
-    :param incarnation: its run.
-    :param revision: revision that it runs.
-    :param configuration_number: newest configuration that it holds.
-    :param position_incarnation: run of the answering daemon that ``position`` is of.
-    :param position: position in the answering daemon's records seen so far.
-    :param silent: members that it cannot reach and whose records it wants relayed.
+    """Liveness probe that also requests newer revisions and records.
+
+    The fields are passed to the protobuf message by name.
+
+    :param name: name of the sender.
+    :param incarnation: incarnation of the sender.
+    :param revision: number of the revision that the sender runs.
+    :param configuration_number: number of the newest configuration that the sender
+        holds.
+    :param position_incarnation: incarnation of the receiver that ``position`` refers
+        to.
+    :param position: position up to which the sender has the receiver's records.
+    :param silent: names of members that the sender cannot reach and whose records it
+        wants relayed.
     """
 
     name: str
@@ -30,16 +35,17 @@
 
 
 class HeartbeatAnswer(NamedTuple):
-    """The answer to a heartbeat.
-
-    :param incarnation: run of the answering daemon.
-    :param revision: revision that it runs.
-    :param stopped: whether it takes no new work.
-    :param position: position of its last record.
-    :param silent: members that it cannot reach.
-    :param newer_revision: its revision if the asker's is older, else ``None``.
-    :param records: records that the asker lacks, ``observed_at`` replaced by the age
-        in seconds.
+    """Answer to a heartbeat.
+
+    :param incarnation: incarnation of the responder.
+    :param revision: number of the revision that the responder runs.
+    :param stopped: whether the responder accepts no new work.
+    :param position: position of the responder's last record change.
+    :param silent: names of members that the responder cannot reach.
+    :param newer_revision: the responder's revision if the requester's is older, else
+        ``None``; without the configuration if the requester has that.
+    :param records: records that the requester lacks, with their age in seconds in
+        ``observed_at``.
     """
 
     incarnation: str
--- a/cowslipcourse/membership/node.py
+++ b/cowslipcourse/membership/node.py
@@ -1,7 +1,7 @@
-"""One daemon's part in the membership, without sockets, tasks or clock.
+"""State machine of one daemon's membership, without sockets, tasks or a clock.
 
 :class:`~cowslipcourse.daemon.Agent` runs it over the network; tests run many of
-them over an emulated one.
+them over a simulated network.
 """
 
 from cowslipcourse.membership.acceptance import AcceptanceRule
@@ -14,11 +14,12 @@
 
 
 class MembershipNode:
-    """State and rules of one run of one daemon.
+    """Membership state and rules of one incarnation of a daemon.
 
-    :param member: this run, :class:`~cowslipcourse.membership.Member`.
+    :param member: this daemon, :class:`~cowslipcourse.membership.Member`.
     :param times: :class:`~cowslipcourse.membership.MembershipTimes`
-    :param record_keep_s: seconds after which a record that is not renewed is dropped.
+    :param record_keep_s: seconds after which a record that has not been renewed is
+        dropped.
     """
 
     def __init__(self, member, times, record_keep_s=30.0):
@@ -32,7 +33,7 @@
 
     @property
     def member(self):
-        """This run of this daemon."""
+        """This daemon, :class:`~cowslipcourse.membership.Member`."""
         return self._member
 
     @property
@@ -52,12 +53,12 @@
 
     @property
     def revision(self):
-        """The revision that runs here, or ``None``."""
+        """The revision that this daemon runs, or ``None``."""
         return self._rule.revision
 
     @property
     def revision_number(self):
-        """Number of the revision that runs here; 0 for none."""
+        """Number of the revision that this daemon runs; 0 if it runs none."""
         return self.revision.number if self.revision else 0
 
     @property
@@ -68,32 +69,35 @@
 
     @property
     def is_listed(self):
-        """Whether the revision that runs here lists this run."""
+        """Whether the revision that this daemon runs lists this incarnation."""
         return self.revision is not None and self.revision.includes(self._member)
 
     def may_serve(self, now):
-        """Return whether this daemon may take new work."""
+        """Return whether this daemon may accept new work."""
         return self._rule.update(now)
 
     def silent_members(self, now):
-        """Return the names of members that do not answer this daemon."""
+        """Return the names of members that have not answered for ``eviction_s``."""
         return self._contacts.silent_members(self.peers, now, self._times.eviction_s)
 
     def silent_to_majority(self, now):
-        """Return the members that most of those who answer cannot reach either."""
-        own = self.silent_members(now)
-        answering = [
+        """Return the silent members that most responsive members cannot reach either.
+
+        This daemon counts as one of the responsive members.
+        """
+        own_silent = self.silent_members(now)
+        silent_at_peers = [
             contact.silent
             for name in (self.revision.members if self.revision else ())
-            if name not in own
+            if name not in own_silent
             and (contact := self._contacts.get(name)) is not None
             and now - contact.sent_at <= self._times.isolation_s
         ]
-        witnesses = len(answering) + 1
+        voter_count = len(silent_at_peers) + 1
         return frozenset(
             name
-            for name in own
-            if 2 * (1 + sum(name in silent for silent in answering)) > witnesses
+            for name in own_silent
+            if 2 * (1 + sum(name in silent for silent in silent_at_peers)) > voter_count
         )
 
     def members_behind(self):
@@ -101,16 +105,16 @@
         return self._acceptance.members_behind(self.revision) if self.revision else []
 
     def newest_accepted(self, last_accepted, now):
-        """Return the newest revision number that is in force everywhere.
+        """Return the number of the newest accepted revision.
 
-        :param last_accepted: number of the last accepted revision.
+        :param last_accepted: number of the last revision known to be accepted.
         """
         if not self.may_serve(now):
             return last_accepted
         return self._acceptance.newest_accepted(self.revision, last_accepted, now)
 
     def build_heartbeat(self, member, now):
-        """Return the :class:`Heartbeat` to be sent to a member."""
+        """Return the :class:`Heartbeat` to send to a member."""
         incarnation, position = self._positions.get(member.name, ("", 0))
         revision = self.revision
         return Heartbeat(
@@ -124,16 +128,16 @@
         )
 
     def answer(self, heartbeat, now):
-        """Return the :class:`HeartbeatAnswer` to a heartbeat, also of a stranger."""
+        """Return the :class:`HeartbeatAnswer`; the sender need not be a member."""
         serving = self.may_serve(now)
         revision = self.revision
-        newer = None
+        newer_revision = None
         if revision is not None and heartbeat.revision < revision.number:
-            newer = revision
+            newer_revision = revision
             if heartbeat.configuration_number == revision.configuration_number:
-                newer = revision._replace(configuration=None)
-        same_run = heartbeat.position_incarnation == self._member.incarnation
-        position = heartbeat.position if same_run else 0
+                newer_revision = revision._replace(configuration=None)
+        is_same_incarnation = heartbeat.position_incarnation == self._member.incarnation
+        position = heartbeat.position if is_same_incarnation else 0
         origins = {self._member.name, *heartbeat.silent}
         records = tuple(
             record._replace(observed_at=now - record.observed_at)
@@ -146,19 +150,21 @@
             stopped=not serving,
             position=self._records.position,
             silent=self.silent_members(now),
-            newer_revision=newer,
+            newer_revision=newer_revision,
             records=records,
         )
 
     def handle_heartbeat_answer(self, member, answer, sent_at, now):
-        """Take in the answer to a heartbeat.
+        """Apply the answer to a heartbeat.
 
-        :param member: who was asked.
+        :param member: member that the heartbeat was sent to.
         :param answer: :class:`HeartbeatAnswer`
         :param sent_at: loop time just before the heartbeat was sent.
-        :returns: records that were new here; ``None`` if another run answered.
+        :returns: records that were new to this daemon; ``None`` if another incarnation
+            answered.
         """
-        # A process that was paused judges its old contacts before this new one.
+        # After a pause of the process, lost contact is detected before this answer
+        # counts.
         self.may_serve(now)
         if answer.incarnation != member.incarnation:
             return None
@@ -171,16 +177,16 @@
         if not answer.stopped:
             self._rule.record_peer_confirmation(answer.revision, now)
         self._positions[member.name] = (answer.incarnation, answer.position)
-        new = []
+        new_records = []
         for record in answer.records:
-            # The age at the peer counts from before the heartbeat was sent.
-            aged = record._replace(observed_at=sent_at - record.observed_at)
-            if self._records.apply(aged):
-                new.append(aged)
-        return new
+            # Counting from before the heartbeat was sent never understates the age.
+            local_record = record._replace(observed_at=sent_at - record.observed_at)
+            if self._records.apply(local_record):
+                new_records.append(local_record)
+        return new_records
 
     def handle_table_revision(self, revision, sent_at, now):
-        """Take in the newest revision as read from the table.
+        """Apply the newest revision read from the table.
 
         :param revision: :class:`~cowslipcourse.membership.Revision`
         :param sent_at: loop time just before the read was sent.
@@ -190,7 +196,7 @@
         self._rule.record_table_confirmation(revision.number, sent_at, now)
 
     def apply(self, revision, now):
-        """Run a revision if it is newer; returns whether it was.
+        """Switch to a revision if it is newer; return whether it was.
 
         :param revision: :class:`~cowslipcourse.membership.Revision` or ``None``.
         """
@@ -200,10 +206,13 @@
         return True
 
     def _with_configuration(self, revision):
-        """Return a peer's revision with its configuration, if that is known here."""
+        """Return a peer's revision with its configuration, or ``None`` if unknown."""
         if revision.configuration is not None:
             return revision
-        known = self.revision
-        if known is None or known.configuration_number != revision.configuration_number:
+        current = self.revision
+        if (
+            current is None
+            or current.configuration_number != revision.configuration_number
+        ):
             return None
-        return revision._replace(configuration=known.configuration)
+        return revision._replace(configuration=current.configuration)
--- a/cowslipcourse/membership/records.py
+++ b/cowslipcourse/membership/records.py
@@ -1,7 +1,7 @@
-"""State that daemons spread to each other, newest first to win.
+"""Records replicated between daemons; the newest record of a key wins.
 
-A record carries a fencing token and a sequence number, so that a relay can pass
-it on without agreement: whoever holds a newer one ignores it.
+A record carries a fencing token and a sequence number, so that any daemon can relay
+it without coordination: a daemon that holds a newer one ignores it.
 """
 
 from typing import NamedTuple
@@ -10,14 +10,15 @@
 
 
 class Record(NamedTuple):
-    """One piece of spread state.
+    """A value replicated between daemons.
 
-    :param key: for example ``group/d1/g7``.
+    :param key: key of the record, for example ``group/d1/g7``.
     :param fence: fencing token under which it was written.
-    :param sequence: grows with each write under the same token.
+    :param sequence: increases with each write under the same token.
     :param value: encoded value.
-    :param observed_at: local loop time from which its age counts.
-    :param origin: daemon that wrote it.
+    :param observed_at: local loop time from which its age counts; in a heartbeat
+        answer, its age in seconds.
+    :param origin: name of the daemon that wrote it.
     """
 
     key: str
@@ -29,33 +30,34 @@
 
 
 class RecordStore:
-    """Newest record by key, with a local log position for incremental reads.
+    """Newest record of each key, with a local position for incremental reads.
 
-    :param keep_s: seconds after which a record that is not renewed is dropped.
+    :param retention_s: seconds after which a record that has not been renewed is
+        dropped.
     """
 
-    def __init__(self, keep_s):
-        self._keep_s = keep_s
+    def __init__(self, retention_s):
+        self._retention_s = retention_s
         self._records = {}
         self._positions = {}
         self._position = 0
 
     @property
     def position(self):
-        """Position of the last change."""
+        """Position of the last change, increased by each."""
         return self._position
 
     def __len__(self):
         return len(self._records)
 
     def apply(self, record):
-        """Take a record in if it is newer than the one held.
+        """Store a record if it is newer than the stored one of its key.
 
         :returns: whether it was newer.
         """
-        held = self._records.get(record.key)
-        newer = (record.fence, record.sequence)
-        if held is not None and newer <= (held.fence, held.sequence):
+        current = self._records.get(record.key)
+        version = (record.fence, record.sequence)
+        if current is not None and version <= (current.fence, current.sequence):
             return False
         self._position += 1
         self._records[record.key] = record
@@ -72,9 +74,9 @@
         return [r for key, r in self._records.items() if key.startswith(prefix)]
 
     def since(self, position):
-        """Return records changed after a position, newest change first.
+        """Return records changed after a position, latest change first.
 
-        :param position: a value of :attr:`position`; 0 for everything.
+        :param position: a value of :attr:`position`; 0 for all records.
         """
         changed = []
         for key in reversed(self._positions):
@@ -84,8 +86,8 @@
         return changed
 
     def drop_expired(self, now):
-        """Drop records that were not renewed for a long time."""
+        """Drop records that have not been renewed within the retention period."""
         for key, record in list(self._records.items()):
-            if now - record.observed_at > self._keep_s:
+            if now - record.observed_at > self._retention_s:
                 del self._records[key]
                 del self._positions[key]
--- a/cowslipcourse/membership/serving.py
+++ b/cowslipcourse/membership/serving.py
@@ -1,8 +1,8 @@
 """Rule that decides whether a daemon may accept new work.
 
-A partitioned daemon must stop before anybody can be told that a revision it has not
-seen is in force everywhere. It may serve while the table service, or at least half of
-the members it knows, confirm its revision.
+A partitioned daemon must stop before a revision that it has not seen can be reported as
+accepted. It may serve while the table service, or at least half of the members that it
+knows, confirm its revision.
 """
 
 from typing import NamedTuple
@@ -14,7 +14,8 @@
     """Times of the membership rules.
 
     :param heartbeat_s: seconds between heartbeats to a peer.
-    :param isolation_s: seconds without contact after which a daemon stops.
+    :param isolation_s: seconds without contact after which a daemon accepts no new
+        work.
     :param eviction_s: seconds of silence after which a member is evicted; longer
         than ``isolation_s`` plus margins.
     :param table_poll_s: seconds between reads of the newest revision.
@@ -53,7 +54,7 @@
         return self._revision
 
     def update(self, now):
-        """Stop if contact was lost; call it before processing any message.
+        """Stop if contact was lost; called before any message is processed.
 
         :param now: loop time.
         :returns: whether the daemon may serve.
@@ -63,7 +64,7 @@
         return not self._stopped
 
     def apply(self, revision, now):
-        """Run a revision if it is newer than the present one.
+        """Switch to a revision if it is newer than the current one.
 
         :param revision: :class:`~cowslipcourse.membership.Revision`
         :param now: loop time.
@@ -78,9 +79,9 @@
         return True
 
     def record_table_confirmation(self, number, sent_at, now):
-        """Record an answered read of the newest revision number.
+        """Record that a read of the newest revision number was answered.
 
-        :param number: newest revision in the table.
+        :param number: number of the newest revision in the table.
         :param sent_at: loop time just before the read was sent.
         :param now: loop time.
         """
@@ -108,8 +109,11 @@
         return current.includes(self._member)
 
     def _in_contact(self, now):
-        at = self._table_contact_at
-        if at is not None and now - at <= self._times.isolation_s:
+        table_contact_at = self._table_contact_at
+        if (
+            table_contact_at is not None
+            and now - table_contact_at <= self._times.isolation_s
+        ):
             return True
         return self._has_quorum(now)
 
@@ -117,12 +121,12 @@
         if self._revision is None or not self._revision.includes(self._member):
             return False
         members = self._revision.members.values()
-        within_s = self._times.isolation_s
-        counted = 1 + sum(
+        max_age_s = self._times.isolation_s
+        confirming_count = 1 + sum(
             self._contacts.confirms_revision(
-                member, self._revision.number, now, within_s
+                member, self._revision.number, now, max_age_s
             )
             for member in members
             if member.name != self._member.name
         )
-        return 2 * counted >= len(members)
+        return 2 * confirming_count >= len(members)
--- a/features/support/membership_variants.py
+++ b/features/support/membership_variants.py
@@ -16,22 +16,22 @@
 
     def accepted(number, revision, last_accepted, now):
         newest = revision._replace(lists=revision.lists[-1:])
-        return AcceptanceRule._accepted(rule, number, newest, last_accepted, now)
+        return AcceptanceRule._is_accepted(rule, number, newest, last_accepted, now)
 
-    rule._accepted = accepted
+    rule._is_accepted = accepted
 
 
 def _exactly_half(node):
     """Be content with half of a list where more than half is needed."""
     rule = node._acceptance
 
-    def cannot_be_served(runs, number, revision, now):
+    def cannot_be_served(identities, number, revision, now):
         moved_before = now - node.times.eviction_s
         gone = sum(
-            rule._has_moved_past(run, number, revision, moved_before)
-            for run in runs.values()
+            rule._has_moved_past(identity, number, revision, moved_before)
+            for identity in identities.values()
         )
-        return 2 * gone >= len(runs)
+        return 2 * gone >= len(identities)
 
     rule._cannot_be_served = cannot_be_served
 
@@ -45,8 +45,8 @@
     """Count members that know a newer revision, and learn nothing from them."""
     contacts = node._contacts
     counted = contacts.confirms_revision
-    contacts.confirms_revision = lambda member, revision, now, within_s: counted(
-        member, 10**9, now, within_s
+    contacts.confirms_revision = lambda member, revision, now, max_age_s: counted(
+        member, 10**9, now, max_age_s
     )
     node._with_configuration = lambda revision: None
 
