--- a/cowslipcourse/entry/knowledge.py
+++ b/cowslipcourse/entry/knowledge.py
@@ -133,25 +133,27 @@
         """
         has_newer = self.configuration_version > known_configuration
         configuration = self.configuration_version if has_newer else None
-        after = min(known_targets, self.targets_version)
-        key = configuration, after, self.targets_version
+        base_version = min(known_targets, self.targets_version)
+        key = configuration, base_version, self.targets_version
         if key not in self._cached_states:
             if len(self._cached_states) >= MAX_CACHED_STATES:
                 del self._cached_states[next(iter(self._cached_states))]
-            self._cached_states[key] = encode_state(self._build_state(has_newer, after))
+            self._cached_states[key] = encode_state(
+                self._build_state(has_newer, base_version)
+            )
         return self._cached_states[key]
 
-    def _build_state(self, has_newer, after):
+    def _build_state(self, has_newer, base_version):
         configuration = self._configuration_content if has_newer else None
         version, contents = self.targets_version, self._target_list.contents
-        if after == version:
-            return PeerState(configuration, version, {}, after)
-        found = self._change_history.changes_since(after)
+        if base_version == version:
+            return PeerState(configuration, version, {}, base_version)
+        found = self._change_history.changes_since(base_version)
         if found is None:
             return PeerState(configuration, version, contents)
         changed, gone = found
         targets = {target: contents[target] for target in changed}
-        return PeerState(configuration, version, targets, after, tuple(gone))
+        return PeerState(configuration, version, targets, base_version, tuple(gone))
 
     # From the store.
 
@@ -212,7 +214,7 @@
         )
         self._listener.apply_targets(*changes)
 
-    def _on_target_changes(self, after, changes):
+    def _on_target_changes(self, base_version, changes):
         loop = asyncio.get_running_loop()
         gone = tuple(row.key for row in changes.rows if row.deleted)
         if loop.time() < self._recovered_at:
@@ -223,7 +225,7 @@
         self._held_until = {
             t: at for t, at in self._held_until.items() if t not in changed
         }
-        message = TargetChanges(after, changes.version, changed, gone)
+        message = TargetChanges(base_version, changes.version, changed, gone)
         self._apply_changes(message)
         versions = {row.key: row.version for row in changes.rows}
         for part in split_changes(message, versions):
@@ -290,7 +292,7 @@
             return
         if message.version <= self.targets_version:
             self._apply_late_removals(message)
-        elif message.after <= self.targets_version:
+        elif message.base_version <= self.targets_version:
             self._apply_changes(message)
             self._target_follower.note_peer_update()
 
@@ -334,11 +336,14 @@
         version = state.targets_version
         if version <= self._needed_after_version():
             return
-        if state.after is not None and state.after <= self.targets_version:
+        if (
+            state.base_version is not None
+            and state.base_version <= self.targets_version
+        ):
             self._apply_changes(
-                TargetChanges(state.after, version, state.targets, state.gone)
+                TargetChanges(state.base_version, version, state.targets, state.gone)
             )
-        elif state.after is None and state.targets:
+        elif state.base_version is None and state.targets:
             self._replace_targets(dict(state.targets), version)
 
     def _needed_after_version(self):
--- a/cowslipcourse/entry/peer_link.py
+++ b/cowslipcourse/entry/peer_link.py
@@ -101,7 +101,9 @@
                 encode(own_heartbeat),
                 [a for a in local_addresses if a not in reporters],
             )
-        if own_heartbeat.member.name in self._registry.reporters(own_heartbeat, now):
+        if own_heartbeat.member.name in self._registry.reporter_names(
+            own_heartbeat, now
+        ):
             self._send_digests(own_heartbeat, now)
 
     def _is_full_heartbeat_due(self, own_heartbeat, now):
--- a/cowslipcourse/entry/roles.py
+++ b/cowslipcourse/entry/roles.py
@@ -81,7 +81,7 @@
             if not is_settled(self._registrar.completed_at, now):
                 continue
             own = self._daemon.heartbeat()
-            reporters = self._registry.reporters(own, now)
+            reporters = self._registry.reporter_names(own, now)
             is_reporter = self._is_reporter = own.member.name in reporters
             self._first_reporters = self._registry.first_reporter_by_data_centre(
                 own, now
--- a/cowslipcourse/peers/__init__.py
+++ b/cowslipcourse/peers/__init__.py
@@ -1,4 +1,4 @@
-"""What the daemons tell each other: liveness, versions, load, suspicions."""
+"""Messages between daemons (liveness, versions, load, suspicions) and their state."""
 
 from cowslipcourse.peers.digests import DigestWriter
 from cowslipcourse.peers.messages import (
--- a/cowslipcourse/peers/digests.py
+++ b/cowslipcourse/peers/digests.py
@@ -43,7 +43,7 @@
             own, now
         ):
             return None
-        return self._content(own, now, self._local_members)
+        return self._build_content_digest(own, now, self._local_members)
 
     def build_remote_digest(self, own, now):
         """Return the digest for reporters of other data centres.
@@ -53,7 +53,7 @@
         it was relayed to 38 daemons carried 1.9 MB/s of it.
         """
         if self._registry.is_active_reporter(own, now) and self._is_due(own, now):
-            return self._content(own, now, self._remote_members)
+            return self._build_content_digest(own, now, self._remote_members)
         self._sequence += 1
         return Digest(own.member, self._sequence, None, None, {})
 
@@ -75,17 +75,17 @@
         self._last_content_at = now
         return True
 
-    def _content(self, own, now, member_tracker):
+    def _build_content_digest(self, own, now, member_tracker):
         self._sequence += 1
         local = [own, *self._registry.routable_heartbeats(now)]
         in_flight, suspects = {}, {}
         for heartbeat in local:
             suspects |= heartbeat.suspects
-            for target, number in heartbeat.in_flight.items():
-                in_flight[target] = in_flight.get(target, 0) + number
+            for target, count in heartbeat.in_flight.items():
+                in_flight[target] = in_flight.get(target, 0) + count
         members = tuple(heartbeat.member for heartbeat in local)
-        changed = member_tracker.changed_members(members, now)
-        return Digest(own.member, self._sequence, changed, in_flight, suspects)
+        changed_members = member_tracker.changed_members(members, now)
+        return Digest(own.member, self._sequence, changed_members, in_flight, suspects)
 
 
 class _MemberListTracker:
--- a/cowslipcourse/peers/load.py
+++ b/cowslipcourse/peers/load.py
@@ -28,15 +28,15 @@
         """Replace the counts of a sender."""
         self.drop(sender)
         self._by_sender[sender] = in_flight
-        for target, number in in_flight.items():
-            self._total[target] = self._total.get(target, 0) + number
+        for target, count in in_flight.items():
+            self._total[target] = self._total.get(target, 0) + count
 
     def drop(self, sender):
         """Remove the counts of a sender."""
-        for target, number in self._by_sender.pop(sender, {}).items():
-            left = self._total[target] - number
-            if left:
-                self._total[target] = left
+        for target, count in self._by_sender.pop(sender, {}).items():
+            remaining_count = self._total[target] - count
+            if remaining_count:
+                self._total[target] = remaining_count
             else:
                 del self._total[target]
 
--- a/cowslipcourse/peers/messages.py
+++ b/cowslipcourse/peers/messages.py
@@ -1,4 +1,4 @@
-"""Datagrams between daemons: a letter for the kind and a MessagePack array, packed."""
+"""Datagrams between daemons: a letter for the type and a MessagePack array, packed."""
 
 from typing import Annotated, NamedTuple
 
@@ -29,14 +29,15 @@
 
 
 class Member(NamedTuple):
-    """A daemon as others need to know it.
+    """A daemon as described to other daemons.
 
     :param name: name of the daemon.
-    :param incarnation: run of its process.
-    :param registration_version: store version of its registration; 0 if not registered.
+    :param incarnation: Unix time in ns at which its process was started.
+    :param registration_version: store version of its registration; 0 if it is not
+        registered.
     :param peer_address: ``ip:port`` for datagrams and for reading its state.
-    :param front_address: ``ip:port`` for callers.
-    :param data_centre: where it runs.
+    :param front_address: ``ip:port`` at which callers reach it.
+    :param data_centre: data centre in which it runs.
     :param is_ready: whether callers may be sent to it.
     :param configuration_version: version of its configuration, 0 for none.
     """
@@ -52,15 +53,15 @@
 
 
 class Heartbeat(NamedTuple):
-    """What a daemon tells the others of its data centre.
+    """State that a daemon sends to the other daemons of its data centre.
 
     :param member: the sender.
-    :param sequence: counts the heartbeats of its run.
-    :param is_healthy: whether it reaches the store, if it asks it, and the engines, and
-        is not about to stop.
-    :param targets_version: store version up to which its list of targets is complete.
+    :param sequence: number of the heartbeat within its incarnation.
+    :param is_healthy: whether it reaches the engines and, if it reads the store, the
+        store too, and is not about to stop.
+    :param targets_version: store version up to which its target list is complete.
     :param in_flight: its requests in flight by target id.
-    :param suspects: targets that it found silent, with the epoch of their group.
+    :param suspects: epoch of their group by id of targets that it found silent.
     :param interval_s: seconds until its next heartbeat.
     """
 
@@ -74,15 +75,18 @@
 
 
 class Digest(NamedTuple):
-    """What the reporter of a data centre tells the other data centres.
+    """State of a data centre, sent by its reporters.
+
+    It goes to the reporters of other data centres and, in a large data centre, to its
+    own daemons.
 
     :param reporter: the sender.
-    :param sequence: counts the digests of its run.
+    :param sequence: number of the digest within the incarnation of the sender.
     :param members: the daemons of its data centre that are alive, itself included;
         ``None`` if none has changed since the last digest that listed them.
-    :param in_flight: their requests in flight by target id; ``None`` if this only says
-        that the sender lives.
-    :param suspects: targets that they found silent, with the epoch of their group.
+    :param in_flight: their requests in flight by target id; ``None`` if the digest only
+        shows that the sender is alive.
+    :param suspects: epoch of their group by id of targets that they found silent.
     """
 
     reporter: Member
@@ -93,28 +97,29 @@
 
 
 class TargetChanges(NamedTuple):
-    """Changes of the list of targets, from a reporter to its data centre.
+    """Changes of the target list, from a reporter to its data centre.
 
-    :param after: store version that a reader must know already.
-    :param version: store version that it knows then.
+    :param base_version: store version that the receiver must have applied before.
+    :param version: store version that the receiver has applied afterwards.
     :param changed: content of changed entries by target id.
-    :param gone: ids of entries that were dropped.
+    :param gone: ids of entries that were removed.
     """
 
-    after: _Count
+    base_version: _Count
     version: _Count
     changed: dict[str, bytes]
     gone: tuple[str, ...]
 
 
 class GroupUpdate(NamedTuple):
-    """What a coordinator has decided about a group, for all daemons.
+    """Decision of a coordinator on a group, for all daemons.
 
-    The list of targets tells the same, up to a second later.
+    The target list shows the same up to a second later.
 
     :param group: name of the group.
-    :param epoch: epoch from which on it may serve; heads of earlier ones no longer do.
-    :param opened: what its head serves, if it was told to open.
+    :param epoch: epoch from which on the group may serve; heads of earlier epochs no
+        longer serve.
+    :param opened: its head if that was ordered to open, else ``None``.
     """
 
     group: Annotated[str, msgspec.Meta(min_length=1)]
@@ -126,9 +131,9 @@
     """The head of a group that begins to serve.
 
     :param engine: id of the head.
-    :param incarnation: life of the head that was told to open.
+    :param incarnation: incarnation of the head that was ordered to open.
     :param model: model that it serves.
-    :param serves_in_s: seconds until it serves.
+    :param serves_in_s: seconds until it begins to serve.
     """
 
     engine: str
@@ -138,33 +143,33 @@
 
 
 class CrashReports(NamedTuple):
-    """Targets that ended under requests, for those daemons that judge the requests.
+    """Crash reports for the daemons that evaluate the requests.
 
-    :param reports: of any number of requests.
+    :param reports: reports on any number of requests.
     """
 
     reports: tuple[CrashReport, ...]
 
 
 class QuarantineUpdate(NamedTuple):
-    """Requests that are not to be sent to targets, for all daemons.
+    """Verdicts on requests that must not be sent to targets, for all daemons.
 
-    :param verdicts: their times are seconds from now on.
+    :param verdicts: verdicts whose ``until`` is in seconds from now.
     """
 
     verdicts: tuple[Verdict, ...]
 
 
 class RequestCleared(NamedTuple):
-    """A target has answered a request whole that is suspected or quarantined.
+    """A suspected or quarantined request was answered completely by a target.
 
-    :param fingerprint: of the request.
+    :param fingerprint: fingerprint of the request.
     """
 
     fingerprint: bytes
 
 
-_KINDS = {
+_TYPE_BY_LETTER = {
     b"C": CrashReports,
     b"D": Digest,
     b"G": GroupUpdate,
@@ -173,23 +178,28 @@
     b"R": RequestCleared,
     b"T": TargetChanges,
 }
-_LETTERS = {kind: letter for letter, kind in _KINDS.items()}
+_LETTER_BY_TYPE = {
+    message_type: letter for letter, message_type in _TYPE_BY_LETTER.items()
+}
 _encoder = msgspec.msgpack.Encoder()
-_decoders = {letter: msgspec.msgpack.Decoder(kind) for letter, kind in _KINDS.items()}
+_decoder_by_letter = {
+    letter: msgspec.msgpack.Decoder(message_type)
+    for letter, message_type in _TYPE_BY_LETTER.items()
+}
 
 
 def encode(message):
     """Return the bytes of a message."""
-    return pack(_LETTERS[type(message)] + _encoder.encode(message))
+    return pack(_LETTER_BY_TYPE[type(message)] + _encoder.encode(message))
 
 
 def decode(content):
     """Return the message in a datagram.
 
-    :raises MalformedAnswer: it cannot be read.
+    :raises MalformedAnswer: the datagram cannot be decoded.
     """
     content = unpack(content)
-    decoder = _decoders.get(content[:1])
+    decoder = _decoder_by_letter.get(content[:1])
     if decoder is None:
-        raise MalformedAnswer("a datagram of an unknown kind")
+        raise MalformedAnswer("datagram of unknown type")
     return decoded(decoder, content[1:], "datagram")
--- a/cowslipcourse/peers/packing.py
+++ b/cowslipcourse/peers/packing.py
@@ -1,7 +1,7 @@
 """Compression of messages between daemons.
 
-Entries of targets and lists of daemons repeat names and addresses. Uncompressed, a list
-of 930 targets takes 304 KB, and daemons that read it again after a loss saturated the
+Target entries and member lists repeat names and addresses. Uncompressed, a list of 930
+targets takes 304 KB, and daemons that read it again after a loss saturated the
 20 Mbit/s links of the daemons that they read from.
 """
 
@@ -16,33 +16,34 @@
 COMPRESSION_LEVEL = 1
 """Fastest level: 4 ms for 300 KB on a whole core, hence 30 ms on the smallest VMs."""
 MAX_UNPACKED_BYTES = 64 * 1024 * 1024
-"""Limit on unpacked content: far more than the list of any site, and less than what
-would exhaust the memory of a daemon."""
-_PACKED, _PLAIN = b"Z", b"P"
+"""Limit on unpacked content: far more than the target list of any site, and less than
+what would exhaust the memory of a daemon."""
+_COMPRESSED, _UNCOMPRESSED = b"Z", b"P"
 
 
 def pack(content):
     """Return content in the form that :func:`unpack` reads, compressed if long."""
     if len(content) < MIN_COMPRESSED_BYTES:
-        return _PLAIN + content
-    return _PACKED + zlib.compress(content, COMPRESSION_LEVEL)
+        return _UNCOMPRESSED + content
+    return _COMPRESSED + zlib.compress(content, COMPRESSION_LEVEL)
 
 
 def unpack(content):
     """Return the content of packed bytes.
 
-    :raises MalformedAnswer: the bytes are not packed, truncated or too long.
+    :raises MalformedAnswer: the bytes are not packed, truncated or unpack to more
+        than ``MAX_UNPACKED_BYTES``.
     """
-    kind, rest = content[:1], content[1:]
-    if kind == _PLAIN:
-        return rest
-    if kind != _PACKED:
-        raise MalformedAnswer("unreadable: not packed")
+    marker, payload = content[:1], content[1:]
+    if marker == _UNCOMPRESSED:
+        return payload
+    if marker != _COMPRESSED:
+        raise MalformedAnswer("unreadable content: not packed, unknown marker")
     decompressor = zlib.decompressobj()
     try:
-        found = decompressor.decompress(rest, MAX_UNPACKED_BYTES)
+        unpacked = decompressor.decompress(payload, MAX_UNPACKED_BYTES)
     except zlib.error as error:
-        raise MalformedAnswer(f"unreadable: {error}") from error
+        raise MalformedAnswer(f"unreadable packed content: {error}") from error
     if not decompressor.eof:
-        raise MalformedAnswer("unreadable: cut short or too long")
-    return found
+        raise MalformedAnswer("unreadable packed content: truncated or too long")
+    return unpacked
--- a/cowslipcourse/peers/registration.py
+++ b/cowslipcourse/peers/registration.py
@@ -1,4 +1,4 @@
-"""A daemon's row in the store, by which the others find it: a JSON array."""
+"""Row of the store by which the other daemons find a daemon: a JSON array."""
 
 from typing import Annotated, NamedTuple
 
@@ -11,10 +11,10 @@
 
 
 class Registration(NamedTuple):
-    """Where a daemon is found.
+    """Location of a daemon.
 
     :param peer_address: ``ip:port`` for datagrams and for reading its state.
-    :param data_centre: where it runs.
+    :param data_centre: data centre in which it runs.
     """
 
     peer_address: Address
@@ -32,6 +32,6 @@
 def decode_registration(content):
     """Return the :class:`Registration` in a row.
 
-    :raises MalformedAnswer: it cannot be read.
+    :raises MalformedAnswer: the row cannot be decoded.
     """
     return decoded(_decoder, content, "registration")
--- a/cowslipcourse/peers/splitting.py
+++ b/cowslipcourse/peers/splitting.py
@@ -1,4 +1,4 @@
-"""Splitting of changes of the target list into datagrams of bounded size."""
+"""Splitting of target list changes into datagrams of bounded size."""
 
 from cowslipcourse.peers.messages import TargetChanges
 
@@ -21,23 +21,28 @@
     """
     if len(versions) <= MAX_DATAGRAM_ENTRIES:
         return [changes]
-    parts, after = [], changes.after
+    parts, base_version = [], changes.base_version
     for ids in _batches(versions):
         version = versions[ids[-1]]
-        changed = {i: changes.changed[i] for i in ids if i in changes.changed}
-        gone = tuple(i for i in ids if i in changes.gone)
-        parts.append(TargetChanges(after, version, changed, gone))
-        after = version
+        changed = {
+            target: changes.changed[target]
+            for target in ids
+            if target in changes.changed
+        }
+        gone = tuple(target for target in ids if target in changes.gone)
+        parts.append(TargetChanges(base_version, version, changed, gone))
+        base_version = version
     parts[-1] = parts[-1]._replace(version=changes.version)
     return parts
 
 
 def _batches(versions):
-    ids = sorted(versions, key=versions.get)
+    """Yield lists of target ids in order of version, each version in one list."""
+    ordered_ids = sorted(versions, key=versions.get)
     batch = []
-    for target in ids:
-        is_new = batch and versions[target] != versions[batch[-1]]
-        if is_new and len(batch) >= MAX_DATAGRAM_ENTRIES:
+    for target in ordered_ids:
+        is_new_version = batch and versions[target] != versions[batch[-1]]
+        if is_new_version and len(batch) >= MAX_DATAGRAM_ENTRIES:
             yield batch
             batch = []
         batch.append(target)
--- a/cowslipcourse/peers/state.py
+++ b/cowslipcourse/peers/state.py
@@ -1,4 +1,4 @@
-"""What a daemon reads from a peer: a packed MessagePack array."""
+"""State that a daemon reads from a peer: a packed MessagePack array."""
 
 from typing import Annotated, NamedTuple
 
@@ -14,21 +14,21 @@
 
 
 class PeerState(NamedTuple):
-    """Configuration and targets as a daemon knows them.
+    """Configuration and targets as a daemon knows them, for a reader.
 
     :param configuration: content of the configuration, or ``None`` if the reader's is
         as new.
     :param targets_version: store version up to which the targets are complete.
-    :param targets: content of the entries by target id.
-    :param after: store version since which the targets have changed; ``None`` if they
-        are the whole list.
-    :param gone: ids of entries that were dropped since.
+    :param targets: content of entries by target id.
+    :param base_version: store version since which the entries in ``targets`` have
+        changed; ``None`` if they are the whole target list.
+    :param gone: ids of entries removed since ``base_version``.
     """
 
     configuration: bytes | None
     targets_version: _Version
     targets: dict[str, bytes]
-    after: _Version | None = None
+    base_version: _Version | None = None
     gone: tuple[str, ...] = ()
 
 
@@ -43,6 +43,6 @@
 def decode_state(content):
     """Return the :class:`PeerState` in an answer.
 
-    :raises MalformedAnswer: it cannot be read.
+    :raises MalformedAnswer: the answer cannot be decoded.
     """
     return decoded(_decoder, unpack(content), "peer state")
--- a/features/steps/peer_steps.py
+++ b/features/steps/peer_steps.py
@@ -50,7 +50,7 @@
 @then("{reporter} reports for north, and {coordinator} coordinates")
 def step_roles(context, reporter, coordinator):
     own = heartbeat("a1", 30)
-    assert context.registry.reporters(own, context.now) == [reporter]
+    assert context.registry.reporter_names(own, context.now) == [reporter]
     assert _global_coordinator(context, own) == coordinator
 
 
--- a/features/steps/size_steps.py
+++ b/features/steps/size_steps.py
@@ -410,7 +410,7 @@
     state = decode_state(
         source.encoded_state(reader.configuration_version, reader.targets_version)
     )
-    context.whole += state.after is None
+    context.whole += state.base_version is None
     reader._apply_peer_state(state)
 
 
@@ -437,9 +437,9 @@
 
 @then("they are pushed in parts that follow on each other, of {most:d} KB at most")
 def step_parts(context, most):
-    assert context.parts[0].after == 100 and context.parts[-1].version == 1031
+    assert context.parts[0].base_version == 100 and context.parts[-1].version == 1031
     for first, second in zip(context.parts, context.parts[1:], strict=False):
-        assert second.after == first.version
+        assert second.base_version == first.version
     lengths = [len(encode(part)) for part in context.parts]
     assert max(lengths) <= most * 1000, lengths
     assert sum(len(part.changed) for part in context.parts) == 930
--- a/features/support/daemon_network.py
+++ b/features/support/daemon_network.py
@@ -139,7 +139,7 @@
         """Return the seconds until the next heartbeat."""
         now = asyncio.get_running_loop().time()
         own = Heartbeat(self.member, 0, True, 99, {}, {})
-        is_reporter = self.member.name in self.registry.reporters(own, now)
+        is_reporter = self.member.name in self.registry.reporter_names(own, now)
         return self.registry.heartbeat_interval_s(is_reporter, now)
 
     def starts(self, store):
--- a/features/support/outside.py
+++ b/features/support/outside.py
@@ -151,7 +151,7 @@
 
 
 def _check_changes(message):
-    assert type(message.after) is int and type(message.version) is int
+    assert type(message.base_version) is int and type(message.version) is int
     assert all(isinstance(content, bytes) for content in message.changed.values())
 
 
