--- a/cowslipcourse/peers/messages.py
+++ b/cowslipcourse/peers/messages.py
@@ -4,8 +4,8 @@
 
 import msgspec
 
-from cowslipcourse.decoding import decoded
-from cowslipcourse.exceptions import MalformedAnswer
+from cowslipcourse.decoding import decode_untrusted
+from cowslipcourse.exceptions import MalformedResponse
 from cowslipcourse.peers.packing import pack, unpack
 from cowslipcourse.ports.addresses import Address
 from cowslipcourse.quarantine import CrashReport, Verdict
@@ -196,10 +196,10 @@
 def decode(content):
     """Return the message in a datagram.
 
-    :raises MalformedAnswer: the datagram cannot be decoded.
+    :raises MalformedResponse: the datagram cannot be decoded.
     """
     content = unpack(content)
     decoder = _decoder_by_letter.get(content[:1])
     if decoder is None:
-        raise MalformedAnswer("datagram of unknown type")
-    return decoded(decoder, content[1:], "datagram")
+        raise MalformedResponse("datagram of unknown type")
+    return decode_untrusted(decoder, content[1:], "datagram")
--- a/cowslipcourse/peers/packing.py
+++ b/cowslipcourse/peers/packing.py
@@ -7,7 +7,7 @@
 
 import zlib
 
-from cowslipcourse.exceptions import MalformedAnswer
+from cowslipcourse.exceptions import MalformedResponse
 
 __all__ = ["pack", "unpack"]
 
@@ -31,19 +31,19 @@
 def unpack(content):
     """Return the content of packed bytes.
 
-    :raises MalformedAnswer: the bytes are not packed, truncated or unpack to more
+    :raises MalformedResponse: the bytes are not packed, truncated or unpack to more
         than ``MAX_UNPACKED_BYTES``.
     """
     marker, payload = content[:1], content[1:]
     if marker == _UNCOMPRESSED:
         return payload
     if marker != _COMPRESSED:
-        raise MalformedAnswer("unreadable content: not packed, unknown marker")
+        raise MalformedResponse("unreadable content: not packed, unknown marker")
     decompressor = zlib.decompressobj()
     try:
         unpacked = decompressor.decompress(payload, MAX_UNPACKED_BYTES)
     except zlib.error as error:
-        raise MalformedAnswer(f"unreadable packed content: {error}") from error
+        raise MalformedResponse(f"unreadable packed content: {error}") from error
     if not decompressor.eof:
-        raise MalformedAnswer("unreadable packed content: truncated or too long")
+        raise MalformedResponse("unreadable packed content: truncated or too long")
     return unpacked
