--- a/cowslipcourse/peers/registry.py
+++ b/cowslipcourse/peers/registry.py
@@ -41,7 +41,7 @@
         target: count - own_in_flight.get(target, 0)
         for target, count in in_flight.items()
     }
-    return {target: count for target, count in remaining.items() if count > 0}
+    return {target: left for target, left in remaining.items() if left > 0}
 
 
 def _data_centre_key(data_centre):
