--- a/features/steps/outside_steps.py
+++ b/features/steps/outside_steps.py
@@ -56,12 +56,12 @@
 @when("{input_count:d} inputs are decoded as {input_kind} without type checks")
 def step_decode_lenient(context, input_count, input_kind):
     valid, _, check = DECODERS[input_kind]
-    _decode_all(context, number, valid, lenient_entry, check)
+    _decode_all(context, input_count, valid, lenient_entry, check)
 
 
 @when("{input_count:d} inputs are decoded as {input_kind}")
 def step_decode(context, input_count, input_kind):
-    _decode_all(context, number, *DECODERS[input_kind])
+    _decode_all(context, input_count, *DECODERS[input_kind])
 
 
 @then("each was refused with the typed error or matches its types")
@@ -152,7 +152,7 @@
 
 
 @then("{count_word} line says that {target} is unreadable")
-@then("{number} lines say that {target} is unreadable")
+@then("{count_word} lines say that {target} is unreadable")
 def step_log_lines(context, count_word, target):
     line_count = context.log_recorder.events.count(("entry-unreadable", target))
     assert line_count == {"one": 1, "two": 2}[count_word], context.log_recorder.events
--- a/features/steps/size_steps.py
+++ b/features/steps/size_steps.py
@@ -443,7 +443,7 @@
     state = decode_state(
         source.encoded_state(reader.configuration_version, reader.targets_version)
     )
-    context.whole_list_reads += state.after is None
+    context.whole_list_reads += state.base_version is None
     reader._apply_peer_state(state)
 
 
@@ -477,9 +477,9 @@
 
 @then("they are pushed in consecutive parts of {limit:d} KB at most")
 def step_consecutive_parts(context, limit):
-    assert context.parts[0].after == 100 and context.parts[-1].version == 1031
+    assert context.parts[0].base_version == 100 and context.parts[-1].version == 1031
     for first, second in zip(context.parts, context.parts[1:], strict=False):
-        assert second.after == first.version
+        assert second.base_version == first.version
     sizes_bytes = [len(encode(part)) for part in context.parts]
     assert max(sizes_bytes) <= limit * 1000, sizes_bytes
     assert sum(len(part.changed) for part in context.parts) == 930
