--- a/cowslipcourse/leases/observed.py
+++ b/cowslipcourse/leases/observed.py
@@ -34,5 +34,5 @@
 
     def may_acquire(self, now):
         """Return whether the lease has expired for certain."""
-        waited = now - self.unchanged_since
-        return waited > self.terms.term_s + self.terms.margin_s
+        waited_s = now - self.unchanged_since
+        return waited_s > self.terms.term_s + self.terms.margin_s
--- a/cowslipcourse/quarantine/__init__.py
+++ b/cowslipcourse/quarantine/__init__.py
@@ -1,4 +1,4 @@
-"""Requests that end the targets which run them: how they are told and kept away."""
+"""Detection and quarantine of requests that end the targets which run them."""
 
 from cowslipcourse.quarantine.fingerprints import fingerprint
 from cowslipcourse.quarantine.judging import CrashReport, Suspects, Verdict, Verdicts
--- a/cowslipcourse/quarantine/fingerprints.py
+++ b/cowslipcourse/quarantine/fingerprints.py
@@ -1,19 +1,19 @@
-"""What a request has in common with its repeats."""
+"""Fingerprints of requests, which are equal for repeats of a request."""
 
 import hashlib
 
 __all__ = ["FINGERPRINT_BYTES", "fingerprint"]
 
 FINGERPRINT_BYTES = 16
-"""Long enough that no two requests ever share one, and that none can be made to."""
+"""Long enough that collisions neither happen by chance nor can be constructed."""
 LENGTH_BYTES = 8
 
 
 def fingerprint(workspace, path, body):
     """Return the fingerprint of a request, as bytes.
 
-    The caller's workspace is part of it, so no workspace can have the requests of
-    another one refused.
+    The caller's workspace is part of it, so that no workspace can cause requests of
+    another one to be refused.
 
     :param workspace: name of the caller's workspace, or ``None``.
     :param path: path and query as sent, as bytes.
--- a/cowslipcourse/quarantine/judging.py
+++ b/cowslipcourse/quarantine/judging.py
@@ -1,18 +1,19 @@
-"""Which requests end the targets that run them; pure decisions.
-
-A target runs about ten requests at once, and all of them see it end. What tells the one
-that ended it from those beside it:
-
-* it was there at the end of every target that began to run it;
-* none of its runs came further than an earlier one did, while those beside it have
-  usually passed on events of their streams;
-* no target has ever answered it whole, while most of those beside it are answered by
-  the next target.
-
-So a request is suspected for each life of a target that ended under it, by weights, and
-an answer in full clears it. Three ends at which it had begun and came no further
-convict it. One that was only beside other requests would have to meet three ends in its
-at most four runs, each in the first 0.1 s after it had begun.
+"""Decides which requests end the targets that run them; no input or output.
+
+A target runs about ten requests at once, and all of them see it exit. The request that
+causes the exit differs from those that only run beside it:
+
+* it was running at the exit of every target that began to run it;
+* none of its runs got further than an earlier one did, while those beside it have
+  usually relayed events of their streams;
+* no target has ever answered it completely, while most of those beside it are answered
+  by the next target.
+
+So each incarnation of a target that exited under a request adds a weight to the
+suspicion of the request, and a complete answer clears it. Three exits at which it had
+begun and got no further convict it. A request that only ran beside the cause would have
+to meet three exits in its at most four runs, each in the first 0.1 s after it had
+begun.
 """
 
 from collections import OrderedDict
@@ -25,30 +26,33 @@
 __all__ = ["CrashReport", "Suspects", "Verdict", "Verdicts", "is_incriminating"]
 
 STALLED_WEIGHT = 2
-"""Weight of an end under a run that had begun and came no further."""
+"""Weight of an exit under a run that had begun and got no further."""
 NOT_BEGUN_WEIGHT = 1
-"""Weight of an end under a run whose answer had not begun: it may have waited in a
-queue, or the target may have ended while it read the prompt."""
+"""Weight of an exit under a run whose answer had not begun: it may have waited in a
+queue, or the target may have exited while it read the prompt."""
 QUARANTINE_WEIGHT = 6
-"""Three ends of the greater weight: callers and other requests lose three targets to a
-request for certain, and no more than that."""
+"""Weight at which a request is convicted: three exits of the greater weight. Callers
+and other requests are certain to lose three targets to it, and no more."""
 STORE_WEIGHT = 4
-"""Two such ends: a new start of all daemons must not let it end two more each time."""
+"""Weight from which reports are stored: two such exits. Otherwise a request could end
+two more targets after each restart of all daemons."""
 SUSPICION_S = 600.0
-"""Time for which an end is held against a request: one that comes back hours later
+"""Time for which an exit counts against a request: one that is repeated hours later
 meets other software, and the memory is bounded."""
 MAX_SUSPECTS = 4_096
-"""About 2 MB; the one whose last end is the longest ago is dropped first. On the
-largest site the loss of half of 1,200 engines suspects some 16 requests a daemon."""
+"""About 2 MB; the suspect whose last exit is the longest ago is dropped first. On the
+largest site the loss of half of 1,200 engines makes some 16 requests suspect at each
+daemon."""
 MAX_ANSWERED = 2_048
-"""Requests that are remembered as answered, about 300 KB: those of two minutes."""
+"""Requests remembered as answered, about 300 KB: those of two minutes."""
 MAX_VERDICTS = 512
-"""25 KB as a row of the store; the one that ends first is dropped first. Each has cost
-three targets, so more than that cannot be kept up for long."""
+"""25 KB as a row of the store; the verdict that expires first is dropped first. Each
+has cost three targets, so a site cannot sustain more for long."""
 QUARANTINE_S = 3_600.0
 """Time until a quarantined request is tried again: software is replaced in hours."""
-QUARANTINE_GROWTH = 4
-"""Factor on the time after each trial that ended a target: three trials in a day."""
+QUARANTINE_GROWTH_FACTOR = 4
+"""Factor by which each trial that ended a target prolongs the time to the next one:
+three trials in a day."""
 
 
 _Count = Annotated[int, msgspec.Meta(ge=0)]
@@ -58,14 +62,14 @@
 
 
 class CrashReport(NamedTuple):
-    """A target ended under a request.
+    """A target exited while running a request.
 
-    :param fingerprint: of the request.
+    :param fingerprint: fingerprint of the request.
     :param target: id of the target.
-    :param incarnation: its life that ended.
-    :param has_begun: whether the request had begun to run, as far as can be told.
-    :param relayed_events: events of a stream that this run passed on.
-    :param last_event_id: number of the last event that the caller has; 0 for none.
+    :param incarnation: incarnation of the target that exited.
+    :param has_begun: whether the request had begun to run, as far as is known.
+    :param relayed_events: number of events of a stream that this run relayed.
+    :param last_event_id: id of the last event that the caller has; 0 for none.
     """
 
     fingerprint: _Fingerprint
@@ -77,26 +81,28 @@
 
 
 def is_incriminating(report):
-    """Whether a report is worth sending: a run that came further says little."""
+    """Whether a report is worth sending: a run that relayed events proves little."""
     return not report.relayed_events
 
 
 class _Suspect:
-    """What is held against a request."""
+    """Evidence against a request."""
 
     def __init__(self):
-        self.weights = {}
-        self.reports = {}
+        self.weight_by_incarnation = {}
+        self.report_by_incarnation = {}
         self.highest_event_id = 0
-        self.last_at = 0.0
+        self.last_exit_at = 0.0
 
     def add_report(self, report, now):
         weight = self._weight(report)
-        life = report.target, report.incarnation
-        self.weights[life] = max(weight, self.weights.get(life, 0))
-        self.reports[life] = report
+        target_incarnation = report.target, report.incarnation
+        self.weight_by_incarnation[target_incarnation] = max(
+            weight, self.weight_by_incarnation.get(target_incarnation, 0)
+        )
+        self.report_by_incarnation[target_incarnation] = report
         self.highest_event_id = max(self.highest_event_id, report.last_event_id)
-        self.last_at = now
+        self.last_exit_at = now
 
     def _weight(self, report):
         if report.relayed_events and report.last_event_id > self.highest_event_id:
@@ -105,11 +111,11 @@
 
     @property
     def weight(self):
-        return sum(self.weights.values())
+        return sum(self.weight_by_incarnation.values())
 
 
 class Suspects:
-    """The ends that requests have met, and the requests that were answered."""
+    """Exits of targets that requests have met, and requests that were answered."""
 
     def __init__(self):
         self._suspects = OrderedDict()
@@ -119,7 +125,7 @@
         return len(self._suspects)
 
     def add_report(self, report, now):
-        """Take a report; return whether the request is convicted by now.
+        """Record a report; return whether the request is now convicted.
 
         :param report: :class:`CrashReport`
         :param now: loop time.
@@ -127,7 +133,7 @@
         fingerprint = report.fingerprint
         if self.was_answered(fingerprint, now):
             return False
-        self._expire(now)
+        self._drop_expired(now)
         suspect = self._suspects.setdefault(fingerprint, _Suspect())
         suspect.add_report(report, now)
         self._suspects.move_to_end(fingerprint)
@@ -135,32 +141,35 @@
             self._suspects.popitem(last=False)
         return suspect.weight >= QUARANTINE_WEIGHT
 
-    def _expire(self, now):
+    def _drop_expired(self, now):
         while self._suspects:
             fingerprint, oldest = next(iter(self._suspects.items()))
-            if now - oldest.last_at < SUSPICION_S:
+            if now - oldest.last_exit_at < SUSPICION_S:
                 return
             del self._suspects[fingerprint]
 
     def ended_incarnations(self, fingerprint):
-        """Return the ``(target, incarnation)`` list that ended under a request."""
+        """Return the ``(target, incarnation)`` list that exited under a request."""
         suspect = self._suspects.get(fingerprint)
-        return [] if suspect is None else list(suspect.weights)
+        return [] if suspect is None else list(suspect.weight_by_incarnation)
 
     def reports_to_store(self, fingerprint):
         """Return the reports against a request if it may soon be convicted.
 
-        One end is not kept: most that have met one are answered by the next target.
+        One exit is not stored: most requests that met one are answered by the next
+        target.
         """
         suspect = self._suspects.get(fingerprint)
         if suspect is None or suspect.weight < STORE_WEIGHT:
             return []
-        return list(suspect.reports.values())
+        return list(suspect.report_by_incarnation.values())
 
     def record_answered(self, fingerprint, now, is_local=True):
-        """Clear a request that a target answered whole; return if it was suspected.
+        """Clear a request that a target answered completely.
 
-        :param is_local: whether this daemon passed the answer on, or another one.
+        :param is_local: whether this daemon relayed the complete answer, not another
+            one.
+        :returns: whether the request was suspected.
         """
         self._answered[fingerprint] = now, is_local
         self._answered.move_to_end(fingerprint)
@@ -169,26 +178,27 @@
         return self._suspects.pop(fingerprint, None) is not None
 
     def was_answered(self, fingerprint, now):
-        """Whether a target answered a request whole not long ago."""
+        """Whether a target recently answered a request completely."""
         known = self._answered.get(fingerprint)
         return known is not None and now - known[0] < SUSPICION_S
 
     def was_answered_here(self, fingerprint):
-        """Whether this daemon passed the answer to a request on."""
+        """Whether this daemon relayed the answer to a request."""
         known = self._answered.get(fingerprint)
         return known is not None and known[1]
 
     def drop(self, fingerprint):
-        """Forget what is held against a request."""
+        """Drop the evidence against a request."""
         self._suspects.pop(fingerprint, None)
 
 
 class Verdict(NamedTuple):
-    """A request that is not sent to targets.
+    """A quarantined request, which is not sent to targets.
 
-    :param fingerprint: of the request.
-    :param until: time from which on it may be tried once; of whichever clock is used.
-    :param trials: trials that were begun since it was convicted.
+    :param fingerprint: fingerprint of the request.
+    :param until: time from which on it may be tried once: loop time in a daemon, Unix
+        time in the store, seconds from now in messages.
+    :param trials: number of trials begun since it was convicted.
     """
 
     fingerprint: _Fingerprint
@@ -196,15 +206,17 @@
     trials: _Count = 0
 
     def after_trial_began(self, now):
-        """Return the verdict that holds from the begin of a trial on."""
+        """Return the verdict in force once a trial has begun."""
         trials = self.trials + 1
         return Verdict(
-            self.fingerprint, now + QUARANTINE_S * QUARANTINE_GROWTH**trials, trials
+            self.fingerprint,
+            now + QUARANTINE_S * QUARANTINE_GROWTH_FACTOR**trials,
+            trials,
         )
 
 
 class Verdicts:
-    """The requests that are not sent to targets."""
+    """Verdicts by fingerprint, of a bounded number."""
 
     def __init__(self):
         self._verdicts = {}
@@ -220,9 +232,9 @@
         return self._verdicts.get(fingerprint)
 
     def add(self, verdict):
-        """Take a verdict; return whether it was news.
+        """Add a verdict; return whether it was new.
 
-        What is known already is not prolonged by hearing of it again.
+        A repetition does not prolong a known verdict.
         """
         known = self._verdicts.get(verdict.fingerprint)
         if known is not None and known.trials >= verdict.trials:
--- a/cowslipcourse/quarantine/kept.py
+++ b/cowslipcourse/quarantine/kept.py
@@ -1,4 +1,4 @@
-"""Verdicts on requests in the store, and evidence, for daemons that start anew."""
+"""Storage of verdicts and crash reports, for daemons that restart."""
 
 from typing import Annotated, NamedTuple
 
@@ -18,16 +18,16 @@
 
 __all__ = ["StoredQuarantine", "Trial", "VerdictStore"]
 
-TABLE = "quarantine"
-KEY = "verdicts"
+QUARANTINE_TABLE = "quarantine"
+VERDICTS_KEY = "verdicts"
 REPORTS_KEY = "reports"
 MAX_STORED_REPORTS = 256
 """Reports that are stored, 30 KB; the oldest are dropped first."""
 MAX_WRITE_ATTEMPTS = 5
-"""Writes under a condition: a few daemons may write at the same moment."""
+"""Attempts at a conditional write: a few daemons may write at the same moment."""
 VERDICT_RETENTION_S = 86_400.0
-"""Time for which a verdict stays in the row after its time is over: a request that is
-not repeated for a day is forgotten."""
+"""Time for which a verdict stays in the row after its ``until``: a request that has not
+been repeated for a day is forgotten."""
 
 _Fingerprint = Annotated[
     str, msgspec.Meta(pattern=rf"^[0-9a-f]{{{2 * FINGERPRINT_BYTES}}}$")
@@ -52,20 +52,20 @@
     relayed_events: _Count
     last_event_id: _Count
     # Unix time in seconds at which it was stored.
-    at: float
+    stored_at: float
 
 
 log = get_logger(__name__)
 
-_decoder = msgspec.json.Decoder(tuple[_StoredVerdict, ...])
+_verdicts_decoder = msgspec.json.Decoder(tuple[_StoredVerdict, ...])
 _reports_decoder = msgspec.json.Decoder(tuple[_StoredReport, ...])
 
 
 class StoredQuarantine(NamedTuple):
-    """What the store holds for daemons that start anew.
+    """Stored verdicts and crash reports.
 
-    :param verdicts: :class:`~cowslipcourse.quarantine.Verdict` list, their times in
-        seconds left.
+    :param verdicts: :class:`~cowslipcourse.quarantine.Verdict` list, their ``until`` in
+        seconds from now.
     :param reports: :class:`~cowslipcourse.quarantine.CrashReport` list.
     """
 
@@ -74,11 +74,11 @@
 
 
 class Trial(NamedTuple):
-    """What a daemon found that wanted to try a request.
+    """Result of an attempt to begin the trial of a request.
 
-    :param verdict: the one that holds from now on, its time in seconds left; ``None``
-        if there is none any more.
-    :param is_begun: whether this daemon tries the request.
+    :param verdict: verdict now in force, its ``until`` in seconds from now; ``None`` if
+        there is none any more.
+    :param is_begun: whether this daemon may try the request.
     """
 
     verdict: Verdict | None
@@ -86,7 +86,7 @@
 
 
 class VerdictStore:
-    """Reads and changes the two rows.
+    """Reads and updates the row of verdicts and the row of crash reports.
 
     Their times are Unix times: no other clock outlives all daemons.
 
@@ -102,94 +102,96 @@
         """Return the :class:`StoredQuarantine`.
 
         :raises StoreError: the store did not answer.
-        :raises MalformedResponse: another writer has spoiled the row of verdicts.
+        :raises MalformedResponse: another writer has corrupted the row of verdicts.
         """
-        rows = await self._rows()
+        rows = await self._read_rows()
         now = self._time_of_day()
         verdicts = [
             verdict._replace(until=verdict.until - now)
-            for verdict in _verdicts(rows.get(KEY))
+            for verdict in _decode_verdicts(rows.get(VERDICTS_KEY))
         ]
-        return StoredQuarantine(verdicts, self._fresh_reports(rows.get(REPORTS_KEY)))
+        return StoredQuarantine(verdicts, self._recent_reports(rows.get(REPORTS_KEY)))
 
-    def _fresh_reports(self, row):
-        """Return the reports that still count; a spoiled row has none."""
-        due_at = self._time_of_day() - SUSPICION_S
+    def _recent_reports(self, row):
+        """Return the reports that still count; none if the row is corrupted."""
+        oldest_at = self._time_of_day() - SUSPICION_S
         try:
-            stored = _reports(row)
+            stored = _decode_reports(row)
         except MalformedResponse as error:
-            # They make a verdict come sooner, and no more: verdicts are read anyway.
+            # Reports only speed up a verdict; the verdicts are read all the same.
             log.warning("reports-unreadable", why=error)
             return []
-        return [_report(each) for each in stored if each.at > due_at]
+        return [_decode_report(each) for each in stored if each.stored_at > oldest_at]
 
-    async def _rows(self):
-        """Return the rows by key, from one call."""
-        found = await self._store.read_table(TABLE)
+    async def _read_rows(self):
+        """Return the rows by key, from one read."""
+        found = await self._store.read_table(QUARANTINE_TABLE)
         return {row.key: row for row in found.rows}
 
     async def add_reports(self, reports):
-        """Add reports; those of a life that are there already are replaced.
+        """Add reports; each replaces one of the same request and target incarnation.
 
-        :raises StoreError: they may not have been stored.
+        :raises StoreError: the reports may not have been stored.
         """
         now = self._time_of_day()
         added = {_report_key(each): _stored_report(each, now) for each in reports}
 
-        def add(row):
+        def add_to_row(row):
             try:
-                known = _reports(row)
+                known = _decode_reports(row)
             except MalformedResponse:
-                # Another writer has spoiled the row; what is known now replaces it.
+                # Another writer has corrupted the row; the known reports replace it.
                 known = ()
-            stored = {_report_key(_report(each)): each for each in known}
+            stored = {_report_key(_decode_report(each)): each for each in known}
             newest = list((stored | added).values())[-MAX_STORED_REPORTS:]
             return msgspec.json.encode(newest)
 
-        await self._update_row(REPORTS_KEY, add)
+        await self._update_row(REPORTS_KEY, add_to_row)
 
-    async def add(self, added):
-        """Add verdicts, whose times are in seconds left.
+    async def add_verdicts(self, added):
+        """Add verdicts, whose ``until`` is in seconds from now.
 
-        :raises StoreError: they may not have been stored.
+        :raises StoreError: the verdicts may not have been stored.
         """
         now = self._time_of_day()
         added = [verdict._replace(until=verdict.until + now) for verdict in added]
 
-        def add(verdicts):
-            news = [verdict for verdict in added if verdicts.add(verdict)]
-            return bool(news)
+        def add_to_verdicts(verdicts):
+            new_verdicts = [verdict for verdict in added if verdicts.add(verdict)]
+            return bool(new_verdicts)
 
         try:
-            await self._update_verdicts(add)
+            await self._update_verdicts(add_to_verdicts)
         except MalformedResponse:
-            # Another writer has spoiled the row; all that is known replaces it.
+            # Another writer has corrupted the row; the known verdicts replace it.
             verdicts = Verdicts()
             for verdict in added:
                 verdicts.add(verdict)
-            await self._store.write(RowWrite(TABLE, KEY, _content(verdicts)))
+            await self._store.write(
+                RowWrite(QUARANTINE_TABLE, VERDICTS_KEY, _encode_verdicts(verdicts))
+            )
 
-    async def remove(self, fingerprint):
+    async def remove_verdict(self, fingerprint):
         """Remove the verdict on a request.
 
-        :raises StoreError: it may be there still.
-        :raises MalformedResponse: another writer has spoiled the row.
+        :raises StoreError: the verdict may still be stored.
+        :raises MalformedResponse: another writer has corrupted the row.
         """
         await self._update_verdicts(lambda verdicts: verdicts.drop(fingerprint))
 
     async def begin_trial(self, fingerprint):
-        """Write that a request is tried, if it is time; return the :class:`Trial`.
+        """Store that a request is tried, if it may be; return the :class:`Trial`.
 
-        The write comes before the trial, so there is no second one if this daemon ends
+        The write precedes the trial, so there is no second one if this daemon exits
         meanwhile.
 
         :raises StoreError: the request must not be tried.
-        :raises MalformedResponse: another writer has spoiled the row.
+        :raises MalformedResponse: another writer has corrupted the row.
         """
         now = self._time_of_day()
         trial = Trial(None, False)
 
-        def renew(verdicts):
+        def begin(verdicts):
             nonlocal trial
             trial = Trial(verdicts.get(fingerprint), False)
             if trial.verdict is None or trial.verdict.until > now:
@@ -197,58 +199,66 @@
             trial = Trial(trial.verdict.after_trial_began(now), True)
             return verdicts.add(trial.verdict)
 
-        await self._update_verdicts(renew)
+        await self._update_verdicts(begin)
         if trial.verdict is None:
             return trial
-        left = trial.verdict._replace(until=trial.verdict.until - now)
-        return trial._replace(verdict=left)
+        relative_verdict = trial.verdict._replace(until=trial.verdict.until - now)
+        return trial._replace(verdict=relative_verdict)
 
     async def _update_verdicts(self, change):
-        """Change verdicts; ``change`` takes :class:`Verdicts` and tells if it did."""
+        """Update the row of verdicts.
+
+        :param change: callable that changes :class:`Verdicts` and returns whether it
+            did.
+        """
 
         def update_row(row):
             verdicts = Verdicts()
-            for verdict in _verdicts(row):
+            for verdict in _decode_verdicts(row):
                 if self._time_of_day() < verdict.until + VERDICT_RETENTION_S:
                     verdicts.add(verdict)
-            return _content(verdicts) if change(verdicts) else None
+            return _encode_verdicts(verdicts) if change(verdicts) else None
 
-        await self._update_row(KEY, update_row)
+        await self._update_row(VERDICTS_KEY, update_row)
 
     async def _update_row(self, key, change):
-        """Write a row anew unless it has changed since it was read; then try again.
+        """Rewrite a row; try again if it has changed since it was read.
 
-        :param change: takes the row or ``None``; returns its new content, or ``None``
-            to leave it.
+        :param change: callable that takes the row or ``None`` and returns its new
+            content, or ``None`` to leave it.
         """
         for attempts_left in reversed(range(MAX_WRITE_ATTEMPTS)):
-            row = (await self._rows()).get(key)
+            row = (await self._read_rows()).get(key)
             content = change(row)
             if content is None:
                 return
             version = 0 if row is None else row.version
             try:
-                await self._store.write(RowWrite(TABLE, key, content, version))
+                await self._store.write(
+                    RowWrite(QUARANTINE_TABLE, key, content, version)
+                )
                 return
             except ConditionFailed:
                 if not attempts_left:
                     raise
 
 
-def _verdicts(row):
+def _decode_verdicts(row):
     stored = (
-        () if row is None else decode_untrusted(_decoder, row.value, "row of verdicts")
+        ()
+        if row is None
+        else decode_untrusted(_verdicts_decoder, row.value, "row of verdicts")
     )
     return [Verdict(bytes.fromhex(v.fingerprint), v.until, v.trials) for v in stored]
 
 
-def _reports(row):
+def _decode_reports(row):
     if row is None:
         return ()
     return decode_untrusted(_reports_decoder, row.value, "row of reports")
 
 
-def _content(verdicts):
+def _encode_verdicts(verdicts):
     stored = [_StoredVerdict(v.fingerprint.hex(), v.until, v.trials) for v in verdicts]
     return msgspec.json.encode(stored)
 
@@ -261,5 +271,5 @@
     return _StoredReport(report.fingerprint.hex(), *report[1:], at)
 
 
-def _report(stored):
+def _decode_report(stored):
     return CrashReport(bytes.fromhex(stored.fingerprint), *stored[1:-1])
--- a/cowslipcourse/quarantining/__init__.py
+++ b/cowslipcourse/quarantining/__init__.py
@@ -1,4 +1,4 @@
-"""A daemon's part in keeping requests from targets that they would end."""
+"""Quarantine within a daemon: crash reports, verdicts and refusal of requests."""
 
 from cowslipcourse.quarantining.crash_reporting import CrashReporting, QuarantinePeers
 from cowslipcourse.quarantining.daemon_part import Quarantine
--- a/cowslipcourse/quarantining/daemon_part.py
+++ b/cowslipcourse/quarantining/daemon_part.py
@@ -1,8 +1,8 @@
-"""A daemon's part in keeping requests from targets that they would end.
+"""Quarantine of requests within a daemon.
 
-The judge that convicts a request tells all daemons; one daemon of each data centre
-repeats that every second, for those that missed it, were cut off or have just started.
-A row of the store keeps it for when all daemons start anew.
+The evaluator that convicts a request sends the verdict to all daemons. One daemon of
+each data centre repeats it every second, for those that missed it, were cut off or have
+just started. A row of the store keeps it for a restart of all daemons.
 """
 
 import asyncio
@@ -27,19 +27,19 @@
 __all__ = ["Quarantine"]
 
 UPDATE_RESEND_DELAY_S = 0.3
-"""When news is sent once more: a datagram may be lost."""
+"""Delay after which an update is sent once more: a datagram may be lost."""
 REPEAT_INTERVAL_S = 1.0
-"""Interval at which verdicts are repeated; all daemons are to know within 3 s."""
+"""Interval at which verdicts are repeated; all daemons are to have them within 3 s."""
 MAX_REPEATED_VERDICTS = 32
-"""Verdicts in one repetition, 1 KB; the others follow in the next ones."""
+"""Verdicts in one repetition, 1 KB; the others follow in the next repetitions."""
 READ_RETRY_DELAY_S = 2.0
-"""Pause after the store has not told what is kept; others repeat it meanwhile."""
+"""Pause after a failed read of the store; other daemons repeat verdicts meanwhile."""
 
 log = get_logger(__name__)
 
 
 class Quarantine:
-    """Reports ends of targets, judges requests, and knows which ones to refuse.
+    """Reports exits of targets, evaluates requests, and refuses quarantined ones.
 
     :param peers: :class:`~cowslipcourse.quarantining.crash_reporting.QuarantinePeers`
     :param exit_detector:
@@ -52,7 +52,7 @@
         self._store = store
         self._suspects = Suspects()
         self._reporting = CrashReporting(
-            peers, exit_detector, self._suspects, self._evaluate
+            peers, exit_detector, self._suspects, self._evaluate_report
         )
         self._verdicts = Verdicts()
         self._unsaved = set()
@@ -63,13 +63,13 @@
 
     @property
     def size(self):
-        """Number of requests that are not sent to targets."""
+        """Number of quarantined requests."""
         return len(self._verdicts)
 
     # Requests.
 
     def is_quarantined(self, call):
-        """Whether a request must not be sent to a target.
+        """Whether a request is quarantined and not on trial here.
 
         :param call: :class:`~cowslipcourse.entry.calls.Call`
         """
@@ -78,10 +78,10 @@
         return self._trial_calls.get(call.fingerprint) is not call
 
     async def admit(self, call):
-        """Let a request pass, or refuse it at once.
+        """Admit a request, or refuse it at once.
 
         :param call: :class:`~cowslipcourse.entry.calls.Call`
-        :raises RequestQuarantined: it has not run.
+        :raises RequestQuarantined: the request is quarantined and has not run.
         """
         if not self.is_quarantined(call):
             return
@@ -91,9 +91,9 @@
             raise self.refusal(call)
 
     def refusal(self, call):
-        """Return the error that the caller of a quarantined request gets.
+        """Return the error for the caller of a quarantined request.
 
-        It says when the request may be tried again, as nothing is sent before.
+        It states when the request may be tried again, as it is not sent before.
         """
         left_s = self._verdicts.get(call.fingerprint).until - _now()
         return RequestQuarantined(
@@ -102,7 +102,7 @@
         )
 
     async def _begin_trial(self, call):
-        """Put a request on trial unless another daemon does; it may run well by now."""
+        """Begin a trial, which may succeed by now, unless another daemon does."""
         fingerprint = call.fingerprint
         try:
             trial = await self._store.begin_trial(fingerprint)
@@ -111,7 +111,7 @@
             return
         if trial.verdict is None:
             if fingerprint not in self._unsaved:
-                # Another daemon's trial went well, and its news did not arrive.
+                # Another daemon's trial succeeded, and its update was lost.
                 self._verdicts.drop(fingerprint)
             return
         self._apply_verdict(trial.verdict._replace(until=_now() + trial.verdict.until))
@@ -121,16 +121,16 @@
             log.warning("trial-begun", request=call.id, fingerprint=fingerprint.hex())
 
     def record_finished(self, call):
-        """Note that a request is over, whatever became of it."""
+        """Record that a request has finished, with any outcome."""
         if self._trial_calls.get(call.fingerprint) is call:
             del self._trial_calls[call.fingerprint]
 
     @contextlib.contextmanager
     def tracking(self, call, run):
-        """Break a run off if its request is quarantined meanwhile.
+        """Abort a run if its request is quarantined while it lasts.
 
-        Repeats come at several daemons at once. Those that wait at targets when the
-        first ones have ended three would each end another one.
+        Repeats arrive at several daemons at once. Those that wait at targets when the
+        first ones have ended three targets would each end another one.
 
         :param call: :class:`~cowslipcourse.entry.calls.Call`
         :param run: :class:`~cowslipcourse.entry.attempts.TargetRun`
@@ -144,41 +144,41 @@
             if not runs:
                 self._active_runs.pop(call.fingerprint, None)
 
-    def _stop_runs(self, fingerprint):
+    def _abort_runs(self, fingerprint):
         for run in list(self._active_runs.get(fingerprint, ())):
             log.info("run-stopped", target=run.entry.id, fingerprint=fingerprint.hex())
             run.abort(IncompleteResponse("the request is quarantined"))
 
     def record_answered(self, call):
-        """Note that a target has answered a request whole: it does not end targets."""
+        """Record that a target has answered a request completely, which clears it."""
         fingerprint = call.fingerprint
         was_suspected = self._suspects.record_answered(fingerprint, _now())
         if self._verdicts.get(fingerprint) is not None:
-            self._lift(fingerprint)
+            self._lift_quarantine(fingerprint)
         elif was_suspected:
             log.info("suspect-cleared", fingerprint=fingerprint.hex())
 
-    def _lift(self, fingerprint):
-        """Tell all daemons that a quarantined request was answered whole."""
+    def _lift_quarantine(self, fingerprint):
+        """Lift a quarantine at all daemons, after a complete answer to the request."""
         log.warning("quarantine-lifted", fingerprint=fingerprint.hex())
         self._verdicts.drop(fingerprint)
-        self._spawn(self._remove_stored(fingerprint))
+        self._spawn(self._remove_stored_verdict(fingerprint))
         self._broadcast(RequestCleared(fingerprint))
 
     def record_failed(self, call, run):
-        """Take note of a run that failed; look into it if the target broke it off.
+        """Record a failed run; report it if the target broke it off and has exited.
 
         :param call: :class:`~cowslipcourse.entry.calls.Call`
         :param run: :class:`~cowslipcourse.entry.attempts.TargetRun`
         """
-        # A trial is one run.
+        # A trial lasts for one run.
         self.record_finished(call)
         if run.ended_by_target:
             self._reporting.report_if_exited(call, run)
 
     # Verdicts.
 
-    def _evaluate(self, report):
+    def _evaluate_report(self, report):
         fingerprint = report.fingerprint
         if self._verdicts.get(fingerprint) is not None:
             return
@@ -194,13 +194,13 @@
         )
         self._apply_verdict(Verdict(fingerprint, _now() + QUARANTINE_S))
         self._broadcast(QuarantineUpdate((Verdict(fingerprint, QUARANTINE_S),)))
-        self._save_due()
+        self._save_unsaved_verdicts()
 
     def _save_reports(self, fingerprint):
-        """Keep what is known of a request that may soon be convicted.
+        """Store the reports on a request that may soon be convicted.
 
-        All daemons may start anew between two ends of targets. When that came every
-        6 s, a request that ended two each time was never convicted and ended nine.
+        All daemons may restart between two exits of targets. When they did every 6 s, a
+        request that ended two targets each time was never convicted and ended nine.
         """
         reports = self._suspects.reports_to_store(fingerprint)
         if reports and is_first_evaluator(self._peers, fingerprint):
@@ -210,27 +210,28 @@
         try:
             await self._store.add_reports(reports)
         except StoreError as error:
-            # The judges know them; they are lost only if all of these end now.
+            # The evaluators hold them; they are lost only if all evaluators exit now.
             log.warning("reports-not-kept", error=error.code, why=error)
 
     def _apply_verdict(self, verdict):
-        """Take a verdict in loop time; return whether it was news."""
+        """Apply a verdict with ``until`` in loop time; return whether it was new."""
         fingerprint = verdict.fingerprint
         if self._suspects.was_answered(fingerprint, _now()):
-            # Of judges that did not know, or of one that has missed that it was lifted.
+            # It is from evaluators that did not know of the answer, or from a daemon
+            # that has missed that the quarantine was lifted.
             if self._suspects.was_answered_here(fingerprint):
-                self._lift(fingerprint)
+                self._lift_quarantine(fingerprint)
             return False
         self._suspects.drop(fingerprint)
         if not self._verdicts.add(verdict):
             return False
-        # The judge that convicts it need not be the one that keeps it.
+        # The evaluator that convicts a request need not be the one that stores it.
         self._unsaved.add(fingerprint)
-        self._stop_runs(fingerprint)
+        self._abort_runs(fingerprint)
         return True
 
     def handle_message(self, message):
-        """Take in what another daemon tells.
+        """Apply a message of another daemon.
 
         :param message: :class:`~cowslipcourse.peers.CrashReports`,
             :class:`~cowslipcourse.peers.QuarantineUpdate` or
@@ -238,34 +239,38 @@
         """
         if isinstance(message, CrashReports):
             for report in message.reports:
-                self._evaluate(report)
+                self._evaluate_report(report)
         elif isinstance(message, QuarantineUpdate):
-            if self._learn_verdicts(message.verdicts, "peer"):
-                self._save_due()
+            if self._apply_relative_verdicts(message.verdicts, "peer"):
+                self._save_unsaved_verdicts()
         else:
             self._suspects.record_answered(message.fingerprint, _now(), is_local=False)
             if self._verdicts.drop(message.fingerprint):
                 log.info("quarantine-lifted", fingerprint=message.fingerprint.hex())
 
-    def _learn_verdicts(self, verdicts, source):
-        """Take in verdicts, in seconds left; return the fingerprints that were news."""
+    def _apply_relative_verdicts(self, verdicts, source):
+        """Apply verdicts with ``until`` in seconds from now.
+
+        :param source: origin of the verdicts, for the log.
+        :returns: fingerprints of those that were new.
+        """
         now = _now()
-        news = set()
+        new_fingerprints = set()
         for verdict in verdicts:
             if self._apply_verdict(verdict._replace(until=now + verdict.until)):
-                news.add(verdict.fingerprint)
+                new_fingerprints.add(verdict.fingerprint)
                 log.info(
                     "quarantine-learnt",
                     fingerprint=verdict.fingerprint.hex(),
                     source=source,
                     left_s=round(verdict.until, 1),
                 )
-        return news
+        return new_fingerprints
 
-    # What is sent again, and what is kept.
+    # Repetition and storage.
 
     async def run(self):
-        """Read what is kept, and repeat what others may have missed, for ever."""
+        """Read the stored verdicts and reports, then repeat verdicts forever."""
         self._spawn(self._read_stored())
         while True:
             await asyncio.sleep(REPEAT_INTERVAL_S)
@@ -275,16 +280,18 @@
         for verdict in self._verdicts:
             if now > verdict.until + VERDICT_RETENTION_S:
                 self._verdicts.drop(verdict.fingerprint)
-        self._save_due()
+        self._save_unsaved_verdicts()
         addresses = self._peers.repeat_addresses() if len(self._verdicts) else ()
         if not addresses:
             return
-        known = sorted(self._verdicts)
-        first = self._repeat_offset % len(known)
-        part = (known[first:] + known[:first])[:MAX_REPEATED_VERDICTS]
-        self._repeat_offset = first + len(part)
-        told = tuple(verdict._replace(until=verdict.until - now) for verdict in part)
-        self._peers.send(QuarantineUpdate(told), addresses)
+        verdicts = sorted(self._verdicts)
+        start = self._repeat_offset % len(verdicts)
+        repeated = (verdicts[start:] + verdicts[:start])[:MAX_REPEATED_VERDICTS]
+        self._repeat_offset = start + len(repeated)
+        relative_verdicts = tuple(
+            verdict._replace(until=verdict.until - now) for verdict in repeated
+        )
+        self._peers.send(QuarantineUpdate(relative_verdicts), addresses)
 
     def _broadcast(self, message):
         addresses = self._peers.all_addresses()
@@ -292,42 +299,46 @@
         loop = asyncio.get_running_loop()
         loop.call_later(UPDATE_RESEND_DELAY_S, self._peers.send, message, addresses)
 
-    def _save_due(self):
-        """Write what is not kept yet, if this daemon is the first judge of it."""
-        known = {each for each in self._unsaved if self._verdicts.get(each)}
-        due = {each for each in known if is_first_evaluator(self._peers, each)}
-        self._unsaved = known - due
-        if due:
-            self._spawn(self._write_verdicts(due))
+    def _save_unsaved_verdicts(self):
+        """Store unsaved verdicts of which this daemon is the first evaluator."""
+        unsaved = {each for each in self._unsaved if self._verdicts.get(each)}
+        due_fingerprints = {
+            each for each in unsaved if is_first_evaluator(self._peers, each)
+        }
+        self._unsaved = unsaved - due_fingerprints
+        if due_fingerprints:
+            self._spawn(self._write_verdicts(due_fingerprints))
 
     def mark_all_unsaved(self):
-        """Write all verdicts again: the store may have lost some."""
+        """Mark all verdicts to be stored again, as the store may have lost some."""
         self._unsaved |= {verdict.fingerprint for verdict in self._verdicts}
 
-    async def _write_verdicts(self, due):
+    async def _write_verdicts(self, due_fingerprints):
         now = _now()
-        # All of them: the row may have been spoiled by another writer.
-        known = [each._replace(until=each.until - now) for each in self._verdicts]
+        # All verdicts, as another writer may have corrupted the row.
+        relative_verdicts = [
+            each._replace(until=each.until - now) for each in self._verdicts
+        ]
         try:
-            await self._store.add(known)
+            await self._store.add_verdicts(relative_verdicts)
         except StoreError as error:
             log.warning("verdict-not-kept", error=error.code, why=error)
-            self._unsaved |= due
+            self._unsaved |= due_fingerprints
 
-    async def _remove_stored(self, fingerprint):
+    async def _remove_stored_verdict(self, fingerprint):
         try:
-            await self._store.remove(fingerprint)
+            await self._store.remove_verdict(fingerprint)
         except (StoreError, MalformedResponse) as error:
-            # Its next trial is later than without this one; it is tried then.
+            # It is tried again at its next trial, which this one has postponed.
             log.warning("verdict-not-removed", error=error.code, why=error)
 
     async def _read_stored(self):
         while True:
             try:
-                kept = await self._store.read()
-                self._unsaved -= self._learn_verdicts(kept.verdicts, "store")
-                for report in kept.reports:
-                    self._evaluate(report)
+                stored = await self._store.read()
+                self._unsaved -= self._apply_relative_verdicts(stored.verdicts, "store")
+                for report in stored.reports:
+                    self._evaluate_report(report)
                 return
             except StoreError as error:
                 log.info("verdicts-not-read", error=error.code, why=error)
--- a/cowslipcourse/quarantining/target_ends.py
+++ b/cowslipcourse/quarantining/target_ends.py
@@ -47,7 +47,7 @@
 class TargetExitDetector:
     """Checks targets after broken connections, once for all affected requests.
 
-    :param is_expected: callable that tells whether a target is listed with this
+    :param is_expected: callable that returns whether a target is listed with this
         incarnation and is not about to leave.
     :param check_refusal: coroutine function like :func:`refuses_connections`.
     """
@@ -56,7 +56,7 @@
         self._is_expected = is_expected
         self._refuses_connections = check_refusal
         self._checks = {}
-        self._ended = OrderedDict()
+        self._exited = OrderedDict()
 
     def detect_exit(self, entry):
         """Return a task whose result is whether this incarnation has exited by itself.
@@ -66,21 +66,21 @@
         target_key = entry.id, entry.incarnation
         check = self._checks.get(target_key)
         if check is None:
-            check = asyncio.create_task(self._has_ended(entry))
+            check = asyncio.create_task(self._has_exited(entry))
             self._checks[target_key] = check
             check.add_done_callback(lambda done: self._checks.pop(target_key, None))
         return check
 
-    async def _has_ended(self, entry):
+    async def _has_exited(self, entry):
         target_key = entry.id, entry.incarnation
-        if target_key in self._ended:
+        if target_key in self._exited:
             return True
         if not self._is_expected(entry):
             return False
         if not await self._refuses_connections(entry.address):
             return False
-        self._ended[target_key] = None
-        if len(self._ended) > MAX_REMEMBERED_EXITS:
-            self._ended.popitem(last=False)
+        self._exited[target_key] = None
+        if len(self._exited) > MAX_REMEMBERED_EXITS:
+            self._exited.popitem(last=False)
         log.warning("target-ended", target=entry.id, incarnation=entry.incarnation)
         return True
--- a/cowslipcourse/streams/position.py
+++ b/cowslipcourse/streams/position.py
@@ -33,8 +33,8 @@
                 self.last_event_id is not None
                 and event.event_id != self.last_event_id + 1
             ):
-                fault = MalformedResponse(f"event {self.last_event_id + 1} is missing")
-                return b"".join(relayed), fault
+                error = MalformedResponse(f"event {self.last_event_id + 1} is missing")
+                return b"".join(relayed), error
             self.last_event_id = event.event_id
             self.relayed_events += 1
             relayed.append(event.raw)
--- a/features/steps/judging_steps.py
+++ b/features/steps/judging_steps.py
@@ -31,7 +31,12 @@
     VerdictStore,
 )
 from cowslipcourse.quarantine.judging import QUARANTINE_S
-from cowslipcourse.quarantine.kept import KEY, REPORTS_KEY, TABLE, _content
+from cowslipcourse.quarantine.kept import (
+    QUARANTINE_TABLE,
+    REPORTS_KEY,
+    VERDICTS_KEY,
+    _encode_verdicts,
+)
 from cowslipcourse.quarantining import Quarantine, TargetExitDetector
 from cowslipcourse.routes import RequestKind, Route
 
@@ -141,7 +146,7 @@
 
 @then("the row of the store has no more than {kilobytes:d} KB")
 def step_row(context, kilobytes):
-    length = len(_content(context.verdicts))
+    length = len(_encode_verdicts(context.verdicts))
     assert length <= kilobytes * 1024, length
 
 
@@ -355,7 +360,9 @@
 @given("a row of verdicts that another writer has spoiled")
 def step_spoiled(context):
     async def story(daemons):
-        await daemons.store.write(RowWrite(TABLE, KEY, b'[["zz", 1, 2]]'))
+        await daemons.store.write(
+            RowWrite(QUARANTINE_TABLE, VERDICTS_KEY, b'[["zz", 1, 2]]')
+        )
         daemons.quarantines[0] = daemons.start("a0")
         await asyncio.sleep(0.5)
         context.read = daemons.quarantines[0].size
@@ -384,8 +391,8 @@
 def step_spoiled_evidence(context):
     async def story(daemons):
         kept = VerdictStore(daemons.store, daemons.clock)
-        await kept.add([Verdict(b"o" * 16, QUARANTINE_S)])
-        await daemons.store.write(RowWrite(TABLE, REPORTS_KEY, b'[["zz"]]'))
+        await kept.add_verdicts([Verdict(b"o" * 16, QUARANTINE_S)])
+        await daemons.store.write(RowWrite(QUARANTINE_TABLE, REPORTS_KEY, b'[["zz"]]'))
         daemons.quarantines[0] = daemons.start("a0")
         await asyncio.sleep(0.5)
         context.read = daemons.quarantines[0].size
