--- a/features/quarantine/ends.feature
+++ b/features/quarantine/ends.feature
@@ -1,29 +1,28 @@
-Feature: A target that has ended is told from a connection that broke
-  On-call engineers could not tell from the logs whether a target ended under a request or only the
-  connection broke: both read "the connection ended".
+Feature: The exit of a target is distinguished from a lost connection
+  Both used to be logged as "the connection ended", so operators could not tell which it was.
 
-  Scenario Outline: What is found out after a connection broke under a request
-    Given a listed target that <ends>
+  Scenario Outline: Only an unexpected exit is detected when a connection is lost under a request
+    Given a listed target that <behaviour>
     Then the connection was closed by the target: <closed>
-    And the target has ended by itself: <ended>
+    And the target is found to have exited: <exited>
 
     Examples:
-      | ends                                             | closed | ended |
-      | answers in part, and its process ends            | yes    | yes   |
-      | reads the request, and its process ends          | yes    | yes   |
-      | resets the connection and goes on                | yes    | no    |
-      | was about to leave, and its process ends         | yes    | no    |
-      | left the list, and its process ends              | yes    | no    |
-      | started again meanwhile, and its process ends    | yes    | no    |
-      | is silent, so that this side closes              | no     | no    |
+      | behaviour                                             | closed | exited |
+      | answers in part, and its process exits                | yes    | yes    |
+      | reads the request, and its process exits              | yes    | yes    |
+      | resets the connection and keeps running               | yes    | no     |
+      | is marked as leaving, and its process exits           | yes    | no     |
+      | was removed from the list, and its process exits      | yes    | no     |
+      | was restarted meanwhile, and its process exits        | yes    | no     |
+      | is silent, so that the daemon closes the connection   | no     | no     |
 
-  Scenario: A host that answers nothing says nothing of its target
-    Given a listed target whose host is cut off
-    Then the target has ended by itself: no
+  Scenario: An unreachable host is no evidence that its target has exited
+    Given a listed target whose host is unreachable
+    Then the target is found to have exited: no
 
-  Scenario: Ten requests that see one end look into it once
-    Given a listed target that ends under 10 requests
-    Then its host is asked once, and all 10 learn that it has ended
+  Scenario: Ten requests that lose the same target probe its host only once
+    Given a listed target that exits under 10 requests
+    Then its host is probed once, and all 10 requests learn of the exit
 
-  Scenario: The same request has the same fingerprint, and no other has it
-    Then fingerprints differ by workspace, path and body, and not by the caller's attempt
+  Scenario: All attempts of a request share a fingerprint that no other request has
+    Then fingerprints differ by workspace, path and body, but not by the caller's attempt
--- a/features/quarantine/processes.feature
+++ b/features/quarantine/processes.feature
@@ -5,7 +5,7 @@
   Scenario: It comes at all daemons again and again, and others are served
     Given a platform with three daemons, whose groups serve
     When a stream that ends its targets comes at all daemons every 0.5 s for 9 s, beside other callers
-    Then it reaches no more than 3 targets later than 3 s after the third end
+    Then no more than 3 targets get it later than 3 s after the third crash
     And its last callers are told within 0.5 s that it has not run, and when it is tried again
     And in the last 3 s all others got whole streams
     When all daemons are killed and start again
@@ -14,5 +14,5 @@
   Scenario: A plain target is ended by a booking
     Given a platform with three daemons, whose groups serve
     When a booking that ends its targets comes at all daemons every 0.5 s for 9 s, beside other callers
-    Then it reaches no more than 3 targets later than 3 s after the third end
+    Then no more than 3 targets get it later than 3 s after the third crash
     And its last callers are told within 0.5 s that it has not run, and when it is tried again
--- a/features/quarantine/quarantine.feature
+++ b/features/quarantine/quarantine.feature
@@ -1,16 +1,14 @@
-Feature: A request that ends the targets which run it is not sent on and on
-  Callers of one model were hardly served for seconds, five times within 80 s. Heads of its groups ended one after
-  the other, 0.2 s to 0.3 s apart, and were back after 3 s to 4 s. One request (the same path, caller and body)
-  ended each of them 0.1 s after it had begun to run. Each daemon sent it to two targets and forgot it; its
-  caller came back at other daemons, which knew nothing of it. Two such requests ended 17 and 23 targets.
-
-  Evidence: up to 21 requests broke off within 4 ms at each end, always of heads of one model, and the fingerprint
-  in `attempt-failed` is the same at all of them.
-
-  Scenario Outline: It reaches three more targets at most once it has ended three
-    Given an emulated site at which one request that ends its targets comes at 3 daemons every 2 s
-    When it is played for 16 s with seed <seed>, with daemons that tell each other
-    Then it reaches no more than 3 targets later than 3 s after the third end
+Feature: A request that crashes the targets that run it is quarantined
+  Guards against two requests (each with the same path, caller and body) that crashed 17 and 23 heads of the groups of
+  one model, each 0.1 s after it had begun to run. The heads crashed 0.2 s to 0.3 s apart and were back after 3 s to
+  4 s, and the model's callers were hardly served for seconds, five times within 80 s. Each daemon sent the request to
+  two targets and forgot it, and its caller came back at daemons that knew nothing of it. Up to 21 requests failed
+  within 4 ms at each crash; the fingerprint in `attempt-failed` that is the same at all crashes tells which it was.
+
+  Scenario Outline: After three crashes at most three more targets get the request
+    Given an emulated site where one request that crashes targets is sent to 3 daemons every 2 s
+    When it is played for 16 s with seed <seed>, with daemons that exchange reports
+    Then no more than 3 targets get it later than 3 s after the third crash
 
     Examples:
       | seed |
@@ -18,22 +16,21 @@
       | 2    |
       | 3    |
 
-  Scenario: Without verdicts the same request is seen going on and on
-    Given an emulated site at which one request that ends its targets comes at 3 daemons every 2 s
-    When it is played for 16 s with seed 1, with daemons that never convict
-    Then it reaches more than 3 targets later than 3 s after the third end
+  Scenario: Without quarantines the request keeps reaching targets
+    Given an emulated site where one request that crashes targets is sent to 3 daemons every 2 s
+    When it is played for 16 s with seed 1, with daemons that never quarantine
+    Then more than 3 targets get it later than 3 s after the third crash
 
-  Scenario: Daemons that judge each for itself let it end too many
-    What each daemon alone has seen is not enough: its share of the ends grows with their number.
-    Given an emulated site at which one request that ends its targets comes at 3 daemons every 2 s
-    When it is played for 16 s with seed 1, with daemons that tell each other nothing
-    Then it reaches more than 3 targets later than 3 s after the third end
+  Scenario: Daemons that exchange nothing exceed the bound
+    What each daemon has seen alone is not enough: its share of the crashes grows with their number.
+    Given an emulated site where one request that crashes targets is sent to 3 daemons every 2 s
+    When it is played for 16 s with seed 1, with daemons that exchange nothing
+    Then more than 3 targets get it later than 3 s after the third crash
 
-  # Seed 47: all daemons start anew every 6 s, and the request ends two targets in between. What two ends had
-  # shown was lost each time: 9 targets ended, and 18 later arrivals.
-  Scenario Outline: The bound holds under lost, late and cut messages, daemons that start anew, and engines that are lost
-    When a random run with seed <seed> is played
-    Then the bound holds, and no other request is refused for it
+  # Seed 47: restarts of all daemons every 6 s used to lose two crashes each: 9 crashes, 18 late arrivals.
+  Scenario Outline: The bound holds under lost, late and cut messages, daemon restarts and engine losses
+    When a random crash run is made with seed <seed>
+    Then the bound holds, and no other request is quarantined
 
     Examples:
       | seed |
@@ -43,13 +40,13 @@
       | 14   |
       | 47   |
 
-  Scenario: All daemons start anew and still refuse it
-    Given an emulated site at which one request that ends its targets comes at 3 daemons every 2 s
-    And all 8 daemons start anew after 6 s
-    When it is played for 16 s with seed 2, with daemons that tell each other
-    Then no target ends later than 3 s after the third end
+  Scenario: Restarted daemons still refuse the request
+    Given an emulated site where one request that crashes targets is sent to 3 daemons every 2 s
+    And all 8 daemons restart after 6 s
+    When it is played for 16 s with seed 2, with daemons that exchange reports
+    Then no target crashes later than 3 s after the third crash
 
-  Scenario: Half of all engines are lost at once, and nobody is refused for it
-    Given an emulated site that loses 16 engines every 5 s, which start again
-    When it is played for 16 s with seed 3, with daemons that tell each other
-    Then no request is refused as one that ends its targets
+  Scenario: The loss of half of all engines at once quarantines no request
+    Given an emulated site that loses 16 engines every 5 s, which restart
+    When it is played for 16 s with seed 3, with daemons that exchange reports
+    Then no request is quarantined
--- a/features/steps/quarantine_steps.py
+++ b/features/steps/quarantine_steps.py
@@ -1,4 +1,4 @@
-"""Steps over requests that end the targets which run them."""
+"""Steps for requests that crash the targets that run them."""
 
 import contextlib
 import logging
@@ -10,16 +10,16 @@
 from cowslipcourse.emulator.messages import MessageNetwork
 from cowslipcourse.quarantine import Suspects
 from features.support.crash_runs import (
-    LATER_ALLOWED,
-    UNTIL_S,
+    FAULTS_END_S,
+    MAX_LATE_ARRIVALS,
     crash_settings,
     crash_violations,
-    play_crashes,
+    simulate_crashes,
 )
 
 
 @contextlib.contextmanager
-def _quiet():
+def _logging_disabled():
     logging.disable(logging.CRITICAL)
     try:
         yield
@@ -27,96 +27,99 @@
         logging.disable(logging.NOTSET)
 
 
-def _series(kind, at_s, every_s, count, **more):
-    times = {"at_s": at_s, "every_s": every_s, "until_s": UNTIL_S}
-    return {"kind": kind, "count": count} | times | more
+def _fault_series(kind, at_s, interval_s, count, **extra):
+    times = {"at_s": at_s, "every_s": interval_s, "until_s": FAULTS_END_S}
+    return {"kind": kind, "count": count} | times | extra
 
 
-def _play(context, seconds, seed):
-    with _quiet():
-        context.result = play_crashes(crash_settings(seconds, context.faults), seed)
+def _simulate(context, seconds, seed):
+    with _logging_disabled():
+        context.result = simulate_crashes(crash_settings(seconds, context.faults), seed)
 
 
 @given(
-    "an emulated site at which one request that ends its targets comes at {count:d} "
-    "daemons every {every:d} s"
+    "an emulated site where one request that crashes targets is sent to {count:d} "
+    "daemons every {interval_s:d} s"
 )
-def step_site(context, count, every):
-    context.faults = [_series("crash", 1, every, count, request="query")]
+def step_crashing_request(context, count, interval_s):
+    context.faults = [_fault_series("crash", 1, interval_s, count, request="query")]
 
 
-@given("all {count:d} daemons start anew after {at:d} s")
-def step_start_anew(context, count, at):
+@given("all {count:d} daemons restart after {at:d} s")
+def step_restart(context, count, at):
     context.faults.append({"kind": "forget", "at_s": at, "count": count})
 
 
-@given("an emulated site that loses {count:d} engines every {every:d} s, {rest}")
-def step_losses(context, count, every, rest):
-    context.faults = [_series("end", 2, every, count)]
+@given("an emulated site that loses {count:d} engines every {interval_s:d} s, {rest}")
+def step_engine_losses(context, count, interval_s, rest):
+    context.faults = [_fault_series("end", 2, interval_s, count)]
 
 
-@when("it is played for {seconds:d} s with seed {seed:d}, with daemons that {do}")
-def step_play(context, seconds, seed, do):
+@when("it is played for {seconds:d} s with seed {seed:d}, with daemons that {mode}")
+def step_simulate(context, seconds, seed, mode):
     with contextlib.ExitStack() as stack:
-        if do == "never convict":
+        if mode == "never quarantine":
             stack.enter_context(
                 mock.patch.object(Suspects, "add_report", lambda *args: 0)
             )
-        elif do == "tell each other nothing":
-            silent = mock.patch.object(MessageNetwork, "carry", lambda *args: None)
-            stack.enter_context(silent)
-        _play(context, seconds, seed)
+        elif mode == "exchange nothing":
+            no_exchange = mock.patch.object(MessageNetwork, "carry", lambda *args: None)
+            stack.enter_context(no_exchange)
+        _simulate(context, seconds, seed)
 
 
-@when("a random run with seed {seed:d} is played")
-def step_random(context, seed):
-    with _quiet():
-        context.found = crash_violations(seed)
+@when("a random crash run is made with seed {seed:d}")
+def step_random_run(context, seed):
+    with _logging_disabled():
+        context.violations = crash_violations(seed)
 
 
-@then("the bound holds, and no other request is refused for it")
-def step_nothing_found(context):
-    assert not context.found, context.found
+@then("the bound holds, and no other request is quarantined")
+def step_no_violation(context):
+    assert not context.violations, context.violations
 
 
 @then(
-    "it reaches no more than {most:d} targets later than {seconds:d} s after the third "
-    "end"
+    "no more than {max_arrivals:d} targets get it later than {seconds:d} s after the "
+    "third crash"
 )
-def step_bound(context, most, seconds):
+def step_bound(context, max_arrivals, seconds):
     if "platform" in context:
-        _check_arrivals(context.platform, most, seconds)
+        _check_arrivals(context.platform, max_arrivals, seconds)
         return
     crashes = context.result.crashes
-    assert crashes and all(each.ended >= COUNTED_ENDS for each in crashes), crashes
-    assert all(each.later <= most for each in crashes), crashes
+    assert crashes and all(crash.ended >= COUNTED_ENDS for crash in crashes), crashes
+    assert all(crash.later <= max_arrivals for crash in crashes), crashes
     assert not context.result.violations, context.result.violations
 
 
-def _check_arrivals(platform, most, seconds):
-    """Check what real targets have seen of a request that ends them."""
+def _check_arrivals(platform, max_arrivals, seconds):
+    """Check the arrivals of a request at the real targets that it crashes."""
     ends = sorted(end.at for end in platform.ends)
     assert len(ends) >= COUNTED_ENDS, ends
     due_at = ends[COUNTED_ENDS - 1] + seconds
-    later = [arrival for arrival in platform.arrivals if arrival.at > due_at]
-    assert len(later) <= most, (len(ends), len(later))
+    late_arrivals = [arrival for arrival in platform.arrivals if arrival.at > due_at]
+    assert len(late_arrivals) <= max_arrivals, (len(ends), len(late_arrivals))
 
 
 @then(
-    "it reaches more than {most:d} targets later than {seconds:d} s after the third end"
+    "more than {max_arrivals:d} targets get it later than {seconds:d} s after the "
+    "third crash"
 )
-def step_beyond(context, most, seconds):
+def step_bound_exceeded(context, max_arrivals, seconds):
     crashes = context.result.crashes
-    assert max(each.later for each in crashes) > most == LATER_ALLOWED, crashes
+    assert max(crash.later for crash in crashes) > max_arrivals == MAX_LATE_ARRIVALS, (
+        crashes
+    )
 
 
-@then("no target ends later than {seconds:d} s after the third end")
-def step_none_later(context, seconds):
+@then("no target crashes later than {seconds:d} s after the third crash")
+def step_no_late_crash(context, seconds):
     crashes = context.result.crashes
-    assert crashes and all(not each.later for each in crashes), crashes
+    assert crashes and all(not crash.later for crash in crashes), crashes
 
 
-@then("no request is refused as one that ends its targets")
-def step_none_refused(context):
+@then("no request is quarantined")
+def step_none_quarantined(context):
     assert context.result.records
     assert context.result.wrongly_quarantined == 0, context.result.wrongly_quarantined
--- a/features/steps/spread_steps.py
+++ b/features/steps/spread_steps.py
@@ -1,4 +1,4 @@
-"""Steps over how verdicts spread between daemons."""
+"""Steps for the spread of verdicts between daemons."""
 
 from unittest import mock
 
@@ -10,62 +10,65 @@
 
 
 @given(
-    "{places:d} data centres of {daemons:d} daemons, losing {lost:d} in 100 datagrams"
+    "{data_centres:d} data centres of {daemons:d} daemons with {loss_percent:d} % "
+    "datagram loss"
 )
-def step_network(context, places, daemons, lost):
-    context.scenario = SpreadScenario(
-        NetworkShape(places, daemons, loss_rate=lost / 100)
+def step_network(context, data_centres, daemons, loss_percent):
+    context.spread_scenario = SpreadScenario(
+        NetworkShape(data_centres, daemons, loss_rate=loss_percent / 100)
     )
-    context.repeat = Quarantine._repeat_verdicts
+    context.repeat_verdicts = Quarantine._repeat_verdicts
 
 
-@when("nobody repeats what it has told")
+@when("no daemon repeats its verdicts")
 def step_no_repeats(context):
-    context.repeat = lambda self, now: None
+    context.repeat_verdicts = lambda self, now: None
 
 
-@when("three of them see one target end each under the same request")
-def step_ends(context):
-    context.scenario = context.scenario._replace(target_exits=3)
+@when("three of them each see one target crash under the same request")
+def step_three_crashes(context):
+    context.spread_scenario = context.spread_scenario._replace(target_exits=3)
 
 
-@when("no target ends under a request")
-def step_no_end(context):
-    context.scenario = context.scenario._replace(target_exits=0)
+@when("no target crashes under a request")
+def step_no_crash(context):
+    context.spread_scenario = context.spread_scenario._replace(target_exits=0)
 
 
-@when("{number:d} daemons were cut off until {seconds:d} s after that")
-def step_cut(context, number, seconds):
-    context.scenario = context.scenario._replace(
-        isolated_daemons=number, isolation_s=float(seconds)
+@when("{isolated_count:d} daemons are isolated until {seconds:d} s after that")
+def step_isolated(context, isolated_count, seconds):
+    context.spread_scenario = context.spread_scenario._replace(
+        isolated_daemons=isolated_count, isolation_s=float(seconds)
     )
 
 
-def _play(context):
-    with mock.patch.object(Quarantine, "_repeat_verdicts", context.repeat):
-        context.spread = simulate_spread(context.scenario)
+def _simulate(context):
+    with mock.patch.object(Quarantine, "_repeat_verdicts", context.repeat_verdicts):
+        context.spread = simulate_spread(context.spread_scenario)
 
 
 @then("all daemons refuse it 2.5 s later")
 def step_all_refuse(context):
-    _play(context)
+    _simulate(context)
     assert all(context.spread.refusing), context.spread.refusing.count(False)
 
 
 @then("some daemons do not refuse it 2.5 s later")
 def step_some_do_not(context):
-    _play(context)
+    _simulate(context)
     assert not all(context.spread.refusing)
 
 
-@then("no daemon sends more than {most:d} bytes a second for it from then on")
-def step_bytes(context, most):
-    assert max(context.spread.repeat_bytes_per_s) <= most, (
+@then(
+    "from then on no daemon sends more than {max_bytes_per_s:d} bytes per second for it"
+)
+def step_max_bytes(context, max_bytes_per_s):
+    assert max(context.spread.repeat_bytes_per_s) <= max_bytes_per_s, (
         context.spread.repeat_bytes_per_s
     )
 
 
-@then("nothing is sent for quarantines")
-def step_nothing(context):
-    _play(context)
+@then("no daemon sends anything for quarantines")
+def step_no_bytes(context):
+    _simulate(context)
     assert not any(context.spread.spread_bytes + context.spread.repeat_bytes_per_s)
--- a/features/steps/target_end_steps.py
+++ b/features/steps/target_end_steps.py
@@ -1,4 +1,4 @@
-"""Steps over targets that end under requests."""
+"""Steps for the detection of targets that exit under requests."""
 
 import asyncio
 import contextlib
@@ -17,16 +17,19 @@
 from features.support.scripted_target import RESPONSE_HEAD
 from harness.ports import free_ports
 
-PART = RESPONSE_HEAD + b"Content-Length: 5\r\n\r\nhe"
+PARTIAL_ANSWER = RESPONSE_HEAD + b"Content-Length: 5\r\n\r\nhe"
 REQUEST = TargetRequest("POST", b"/a/b", (), b"body", (b"x-attempt-id", b"a1"))
-SILENT_S = 0.1
+SILENCE_TIMEOUT_S = 0.1
 
 
-class _Target:
-    """A target that plays one way to end, and what a daemon sees of it."""
+class _ExitingTarget:
+    """A target that disconnects in a given way, and a daemon's list of targets.
 
-    def __init__(self, ends):
-        self._ends = ends
+    :param behaviour: words of the step, which select what the target does.
+    """
+
+    def __init__(self, behaviour):
+        self._behaviour = behaviour
         self._server = None
         address = f"127.0.0.1:{free_ports(1)[0]}"
         self.entry = TargetEntry("t1", "s", address, "n", 6, incarnation=5)
@@ -37,104 +40,112 @@
         try:
             await reader.readuntil(b"\r\n\r\n")
         except (asyncio.IncompleteReadError, asyncio.CancelledError):
-            # The check of whether anybody listens, which sends nothing.
+            # The probe of the exit detector connects and sends nothing.
             return
-        if "in part" in self._ends:
-            writer.write(PART)
+        if "in part" in self._behaviour:
+            writer.write(PARTIAL_ANSWER)
             await writer.drain()
-        if "its process ends" in self._ends:
+        if "its process exits" in self._behaviour:
             self._server.close()
-        if "silent" not in self._ends:
+        if "silent" not in self._behaviour:
             writer.transport.abort()
 
-    def _note_change(self):
-        if "about to leave" in self._ends:
+    def _update_fleet(self):
+        if "marked as leaving" in self._behaviour:
             self.fleet.apply([self.entry._replace(is_leaving=True)], ())
-        if "left the list" in self._ends:
+        if "removed from the list" in self._behaviour:
             self.fleet.apply((), ("t1",))
-        if "started again" in self._ends:
+        if "restarted" in self._behaviour:
             self.fleet.apply([self.entry._replace(incarnation=6)], ())
 
-    async def play(self):
-        """Return whether the target closed the connection, and whether it ended."""
+    async def simulate_exit(self):
+        """Return whether the target closed the connection and whether it has exited."""
         host, port = self.entry.address.split(":")
         self._server = await asyncio.start_server(self._serve, host, int(port))
         connection = await TargetConnection.connect(self.entry.address, 1.0)
         connection.send(REQUEST)
         with contextlib.suppress(TargetError, TimeoutError):
-            async with asyncio.timeout(SILENT_S if "silent" in self._ends else 5.0):
+            async with asyncio.timeout(
+                SILENCE_TIMEOUT_S if "silent" in self._behaviour else 5.0
+            ):
                 await connection.head()
                 await connection.read_all()
         connection.abort()
-        self._note_change()
-        ended = False
+        self._update_fleet()
+        has_exited = False
         if connection.ended_by_target:
-            ended = await TargetExitDetector(self.fleet.is_expected).detect_exit(
+            has_exited = await TargetExitDetector(self.fleet.is_expected).detect_exit(
                 self.entry
             )
         self._server.close()
-        return connection.ended_by_target, ended
+        return connection.ended_by_target, has_exited
 
 
-@given("a listed target that {ends}")
-def step_target(context, ends):
-    if ends.startswith("ends under"):
-        context.requests = int(ends.split()[2])
+@given("a listed target that {behaviour}")
+def step_listed_target(context, behaviour):
+    if behaviour.startswith("exits under"):
+        context.request_count = int(behaviour.split()[2])
         return
-    context.closed, context.ended = asyncio.run(_Target(ends).play())
+    context.closed_by_target, context.has_exited = asyncio.run(
+        _ExitingTarget(behaviour).simulate_exit()
+    )
 
 
-@then("the connection was closed by the target: {closed}")
-def step_closed(context, closed):
-    assert context.closed == (closed == "yes"), context.closed
+@then("the connection was closed by the target: {closed_by_target}")
+def step_closed_by_target(context, closed_by_target):
+    assert context.closed_by_target == (closed_by_target == "yes"), (
+        context.closed_by_target
+    )
 
 
-@then("the target has ended by itself: {ended}")
-def step_ended(context, ended):
-    assert context.ended == (ended == "yes"), context.ended
+@then("the target is found to have exited: {has_exited}")
+def step_has_exited(context, has_exited):
+    assert context.has_exited == (has_exited == "yes"), context.has_exited
 
 
-@given("a listed target whose host is cut off")
-def step_cut(context):
-    target = _Target("")
+@given("a listed target whose host is unreachable")
+def step_unreachable_host(context):
+    target = _ExitingTarget("")
 
-    async def run():
-        before = TargetConnection.connect
-        TargetConnection.connect = _no_answer
+    async def detect_exit():
+        original_connect = TargetConnection.connect
+        TargetConnection.connect = _connect_timed_out
         try:
             return await TargetExitDetector(target.fleet.is_expected).detect_exit(
                 target.entry
             )
         finally:
-            TargetConnection.connect = before
+            TargetConnection.connect = original_connect
 
-    context.ended = asyncio.run(run())
+    context.has_exited = asyncio.run(detect_exit())
 
 
-async def _no_answer(address, timeout_s):
+async def _connect_timed_out(address, timeout_s):
     raise TargetUnreachable("timed out", sent=False) from TimeoutError()
 
 
-@then("its host is asked once, and all {number:d} learn that it has ended")
-def step_once(context, number):
-    target = _Target("")
-    asked = []
+@then("its host is probed once, and all {request_count:d} requests learn of the exit")
+def step_probed_once(context, request_count):
+    target = _ExitingTarget("")
+    probed_addresses = []
 
-    async def refuses(address):
-        asked.append(address)
+    async def probe(address):
+        probed_addresses.append(address)
         await asyncio.sleep(0.01)
         return await refuses_connections(address)
 
-    async def run():
-        ends = TargetExitDetector(target.fleet.is_expected, refuses)
-        runs = [TargetRun(target.entry) for _ in range(context.requests)]
-        return await asyncio.gather(*(ends.detect_exit(run.entry) for run in runs))
+    async def detect_exit():
+        exit_detector = TargetExitDetector(target.fleet.is_expected, probe)
+        runs = [TargetRun(target.entry) for _ in range(context.request_count)]
+        return await asyncio.gather(
+            *(exit_detector.detect_exit(run.entry) for run in runs)
+        )
 
-    assert asyncio.run(run()) == [True] * number
-    assert len(asked) == 1, asked
+    assert asyncio.run(detect_exit()) == [True] * request_count
+    assert len(probed_addresses) == 1, probed_addresses
 
 
-def _read(attempt, path=b"/a/b", key="k1", body=b"x"):
+def _fingerprint_of(attempt, path=b"/a/b", key="k1", body=b"x"):
     """Return the fingerprint of a request as a daemon reads it."""
     route = Route("r", "h", "/a/", RequestKind.IDEMPOTENT, (("s", 1.0),), 5.0, 1.0)
     keys = {"k1": Workspace("w1"), "k2": Workspace("w2"), "k3": Workspace("w1")}
@@ -158,17 +169,17 @@
 
 
 @then(
-    "fingerprints differ by workspace, path and body, and not by the caller's attempt"
+    "fingerprints differ by workspace, path and body, but not by the caller's attempt"
 )
 def step_fingerprints(context):
-    first = _read(b"1")
-    assert first == _read(b"2")
-    assert first == _read(b"3", key="k3"), "another key of the same workspace"
-    others = [
-        _read(b"1", path=b"/a/c"),
-        _read(b"1", key="k2"),
-        _read(b"1", body=b"y"),
+    first = _fingerprint_of(b"1")
+    assert first == _fingerprint_of(b"2")
+    assert first == _fingerprint_of(b"3", key="k3"), "another key of the same workspace"
+    different = [
+        _fingerprint_of(b"1", path=b"/a/c"),
+        _fingerprint_of(b"1", key="k2"),
+        _fingerprint_of(b"1", body=b"y"),
         fingerprint("w1", b"/a/bx", b""),
         fingerprint("w1", b"/a/", b"bx"),
     ]
-    assert len({first, *others}) == 6
+    assert len({first, *different}) == 6
--- a/features/support/crash_runs.py
+++ b/features/support/crash_runs.py
@@ -1,4 +1,4 @@
-"""Random runs in which requests end the targets that run them, in virtual time."""
+"""Random runs of requests that crash the targets that run them, in virtual time."""
 
 import random
 import tomllib
@@ -8,74 +8,89 @@
 from cowslipcourse.emulator.site_file import ExperimentSettings
 from features.support.emulated_site import SITE
 
-__all__ = ["LATER_ALLOWED", "crash_settings", "crash_violations", "play_crashes"]
+__all__ = [
+    "MAX_LATE_ARRIVALS",
+    "crash_settings",
+    "crash_violations",
+    "simulate_crashes",
+]
 
-LATER_ALLOWED = 3
-"""Arrivals at targets that are allowed once a request has ended three and the news has
-had its time."""
+MAX_LATE_ARRIVALS = 3
+"""Arrivals at targets allowed once a request has crashed three of them and the limit
+for spreading the verdict has passed."""
 RUN_S = 20
-UNTIL_S = 60
-"""Beyond the end of a run."""
-DAEMONS = 8
+FAULTS_END_S = 60
+"""Later than the end of every run, so that repeated faults never stop."""
+DAEMON_COUNT = 8
 
 
-def crash_settings(seconds, faults, **site):
-    """Return the settings of a run.
+def crash_settings(duration_s, faults, **site_overrides):
+    """Return the :class:`ExperimentSettings` of a run.
 
+    :param duration_s: duration of the run in seconds.
     :param faults: tables of faults.
-    :param site: values in place of those of the site.
+    :param site_overrides: settings that replace those of the site.
     """
     tables = tomllib.loads('name = "crashes"\n' + SITE)
-    tables["site"] |= {"daemons": DAEMONS} | site
-    tables |= {"seconds": seconds, "faults": faults}
+    tables["site"] |= {"daemons": DAEMON_COUNT} | site_overrides
+    tables |= {"seconds": duration_s, "faults": faults}
     return ExperimentSettings.model_validate(tables)
 
 
-def play_crashes(settings, seed):
+def simulate_crashes(settings, seed):
     """Return the :class:`~cowslipcourse.emulator.site.SiteResult` of a run."""
     return run_paused(play(settings, seed))
 
 
-def _series(rng, kind, first_s, every_s, **more):
-    at_s = round(rng.uniform(*first_s), 2)
-    every_s = rng.choice(every_s)
-    return {"kind": kind, "at_s": at_s, "every_s": every_s, "until_s": UNTIL_S} | more
+def _random_series(rng, kind, first_range_s, intervals_s, **extra):
+    at_s = round(rng.uniform(*first_range_s), 2)
+    interval_s = rng.choice(intervals_s)
+    return {
+        "kind": kind,
+        "at_s": at_s,
+        "every_s": interval_s,
+        "until_s": FAULTS_END_S,
+    } | extra
 
 
-def _random_settings(seed):
-    """Draw crashing requests, and what may keep daemons from hearing of them."""
+def _random_crash_settings(seed):
+    """Draw requests that crash targets, and faults that delay reports and verdicts."""
     rng = random.Random(f"crash-faults-{seed}")
     count = rng.randint(1, 4)
     request = rng.choice(["query", "draft"])
     faults = [
-        _series(rng, "crash", (1, 3), [0.5, 1, 2, 3], count=count, request=request)
+        _random_series(
+            rng, "crash", (1, 3), [0.5, 1, 2, 3], count=count, request=request
+        )
     ]
     if rng.random() < 0.5:
         count = rng.randint(1, 3)
-        more = {"count": count, "request": "query"}
-        faults.append(_series(rng, "crash", (2, 6), [1, 2, 4], **more))
+        extra = {"count": count, "request": "query"}
+        faults.append(_random_series(rng, "crash", (2, 6), [1, 2, 4], **extra))
     if rng.random() < 0.6:
-        more = {"count": rng.randint(1, 3), "for_s": round(rng.uniform(0.3, 3), 2)}
-        faults.append(_series(rng, "silence", (1, 12), [3, 5], **more))
+        extra = {"count": rng.randint(1, 3), "for_s": round(rng.uniform(0.3, 3), 2)}
+        faults.append(_random_series(rng, "silence", (1, 12), [3, 5], **extra))
     if rng.random() < 0.6:
-        more = {"count": rng.choice([1, 2, 8])}
-        faults.append(_series(rng, "forget", (1, 12), [2, 4, 6], **more))
+        extra = {"count": rng.choice([1, 2, 8])}
+        faults.append(_random_series(rng, "forget", (1, 12), [2, 4, 6], **extra))
     for kind in ("lose", "restart"):
         if rng.random() < 0.4:
             count = rng.randint(1, 3)
-            faults.append(_series(rng, kind, (2, 2), [3], count=count))
-    loss = rng.choice([0, 0.02, 0.1, 0.3])
-    late_s = rng.choice([0.003, 0.05, 0.3])
-    return crash_settings(RUN_S, faults, message_loss=loss, message_late_s=late_s)
+            faults.append(_random_series(rng, kind, (2, 2), [3], count=count))
+    message_loss = rng.choice([0, 0.02, 0.1, 0.3])
+    message_late_s = rng.choice([0.003, 0.05, 0.3])
+    return crash_settings(
+        RUN_S, faults, message_loss=message_loss, message_late_s=message_late_s
+    )
 
 
 def crash_violations(seed):
-    """Play a random run and return what was wrong, as texts."""
-    result = play_crashes(_random_settings(seed), seed)
-    found = list(result.violations)
-    for each in result.crashes:
-        if each.later > LATER_ALLOWED:
-            found.append(f"{each.later} later arrivals, {each.ended} ended")
+    """Make a random run and return its violations as texts."""
+    result = simulate_crashes(_random_crash_settings(seed), seed)
+    violations = list(result.violations)
+    for crash in result.crashes:
+        if crash.later > MAX_LATE_ARRIVALS:
+            violations.append(f"{crash.later} late arrivals, {crash.ended} crashed")
     if result.wrongly_quarantined:
-        found.append(f"{result.wrongly_quarantined} other requests refused")
-    return found
+        violations.append(f"{result.wrongly_quarantined} other requests quarantined")
+    return violations
