--- a/features/quarantine/spread.feature
+++ b/features/quarantine/spread.feature
@@ -16,19 +16,19 @@
       | 3            | 12      | 10   | 2000  |
 
   Scenario: A daemon that was isolated or has just started learns of a verdict within 2.5 s
-    Given 3 data centres of 12 daemons, with 10 % datagram loss
+    Given 3 data centres of 12 daemons with 10 % datagram loss
     When three of them each see one target crash under the same request
     And 12 daemons are isolated until 3 s after that
     Then all daemons refuse it 2.5 s later
 
   Scenario: Without repetition isolated daemons do not learn of a verdict
-    Given 3 data centres of 12 daemons, with 10 % datagram loss
+    Given 3 data centres of 12 daemons with 10 % datagram loss
     When no daemon repeats its verdicts
     And three of them each see one target crash under the same request
     And 12 daemons are isolated until 3 s after that
     Then some daemons do not refuse it 2.5 s later
 
   Scenario: Without crashes no datagram is sent for quarantines
-    Given 1 data centres of 8 daemons, with 0 % datagram loss
+    Given 1 data centres of 8 daemons with 0 % datagram loss
     When no target crashes under a request
     Then no daemon sends anything for quarantines
