--- a/cowslipcourse/config/documents.py
+++ b/cowslipcourse/config/documents.py
@@ -16,7 +16,7 @@
 from cowslipcourse.config.edits import Change
 from cowslipcourse.config.objects import KINDS, ObjectRef
 from cowslipcourse.exceptions import ConfigurationError, Problem
-from cowslipcourse.validation import describe_errors, suggest
+from cowslipcourse.validation import describe_errors
 
 __all__ = ["parse_documents"]
 
@@ -79,7 +79,7 @@
     changes, problems = [], []
     for kind, tables in tables_by_kind.items():
         if kind not in KINDS:
-            message = f"unknown kind{suggest(kind, KINDS)}"
+            message = f"unknown kind{suggest_key(kind, KINDS)}"
             problems.append(Problem(f"{source} [[{kind}]]", message))
             continue
         if not isinstance(tables, list):
--- a/cowslipcourse/exceptions.py
+++ b/cowslipcourse/exceptions.py
@@ -1,7 +1,7 @@
-"""Every failure of the project has a type in this module.
+"""Exceptions of the project.
 
-Failures that a caller can see derive from :class:`RequestError` and carry the
-HTTP status and the outcome that the answer reports.
+Errors that are reported to callers derive from :class:`RequestError` and define the
+HTTP status and the outcome of the problem response.
 """
 
 from typing import ClassVar, NamedTuple
@@ -59,9 +59,9 @@
 
 
 class Problem(NamedTuple):
-    """One fault found in an operator's file.
+    """One problem found in an operator's file.
 
-    :param where: file, line and key at fault, as far as they are known.
+    :param where: file, line and key of the problem, as far as they are known.
     :param message: what is wrong and what was expected.
     """
 
@@ -73,9 +73,10 @@
 
 
 class CowslipError(Exception):
-    """Base of all failures.
+    """Base class of all exceptions of the project.
 
-    :param detail: sentence for people.
+    :param detail: human-readable description; the code by default.
+    :cvar code: identifier of the error, used in responses, logs and metrics.
     """
 
     code: ClassVar[str] = "error"
@@ -89,7 +90,7 @@
     """A server cannot listen on its address.
 
     :param address: ``ip:port``
-    :param reason: what the system says.
+    :param reason: error message of the operating system.
     """
 
     code = "address-taken"
@@ -100,31 +101,31 @@
 
 
 class SelectorError(CowslipError):
-    """A selector cannot be parsed or selects everything."""
+    """A selector cannot be parsed, or it selects everything."""
 
     code = "bad-selector"
 
 
-class _ProblemsError(CowslipError):
+class _MultipleProblemsError(CowslipError):
     def __init__(self, problems):
         super().__init__("; ".join(str(problem) for problem in problems))
         self.problems = tuple(problems)
 
 
-class SettingsError(_ProblemsError):
-    """A settings file is wrong; ``problems`` lists everything found."""
+class SettingsError(_MultipleProblemsError):
+    """A settings file is invalid; ``problems`` lists all problems found."""
 
     code = "bad-settings"
 
 
-class ConfigurationError(_ProblemsError):
-    """Declared objects are wrong; ``problems`` lists everything found."""
+class ConfigurationError(_MultipleProblemsError):
+    """Declared objects are invalid; ``problems`` lists all problems found."""
 
     code = "bad-configuration"
 
 
 class EditError(CowslipError):
-    """An edit was refused; nothing was changed."""
+    """An edit was rejected; nothing was changed."""
 
     code = "edit-refused"
 
@@ -132,8 +133,8 @@
 class EditConflict(EditError):
     """Another edit changed the same objects first.
 
-    :param other_edit: id of the edit that came first.
-    :param names: objects that both edits touch.
+    :param other_edit: id of the other edit.
+    :param names: objects that both edits change.
     """
 
     code = "edit-conflict"
@@ -145,9 +146,9 @@
 
 
 class ConfirmationRequired(EditError):
-    """The edit is destructive and was not confirmed with its plan's digest.
+    """A destructive edit was not confirmed with its plan's digest.
 
-    :param plan: the :class:`~cowslipcourse.config.Plan` to be confirmed.
+    :param plan: :class:`~cowslipcourse.config.Plan` to confirm.
     """
 
     code = "confirmation-required"
@@ -158,25 +159,25 @@
 
 
 class UnknownObject(EditError):
-    """The edit names an object or revision that does not exist."""
+    """An edit refers to an object or revision that does not exist."""
 
     code = "unknown-object"
 
 
 class StoreError(CowslipError):
-    """The platform's table service or object store failed."""
+    """A call of the platform's table service or object store failed."""
 
     code = "store-error"
 
 
 class StoreUnavailable(StoreError):
-    """The store refused the call; it had no effect."""
+    """The store did not execute the call; it had no effect."""
 
     code = "store-unavailable"
 
 
 class ReplyLost(StoreError):
-    """The store's reply was lost; the call may have taken effect."""
+    """The store did not reply; the call may have taken effect."""
 
     code = "reply-lost"
 
@@ -195,33 +196,33 @@
 
 
 class HistoryDropped(StoreError):
-    """The changes since a version are not kept any more; read everything again."""
+    """The changes since a version are gone; the table must be read again."""
 
     code = "history-dropped"
 
 
 class LeaseLost(CowslipError):
-    """The caller no longer holds the lease that it acts under."""
+    """The lease under which an operation was to run is no longer held."""
 
     code = "lease-lost"
 
 
 class PeerUnreachable(CowslipError):
-    """A daemon of the system did not answer."""
+    """Another daemon did not reply."""
 
     code = "peer-unreachable"
 
 
 class TargetError(CowslipError):
-    """An engine or service failed."""
+    """A request to an engine or service failed."""
 
     code = "target-error"
 
 
 class TargetUnreachable(TargetError):
-    """No answer from the target.
+    """The target did not respond.
 
-    :param sent: whether any byte of the request may have left.
+    :param sent: whether any byte of the request may have been sent.
     """
 
     code = "target-unreachable"
@@ -232,7 +233,7 @@
 
 
 class TargetRefused(TargetError):
-    """The target refused before it started anything.
+    """The target refused the request before starting it.
 
     :param reason: the target's code for the refusal.
     """
@@ -245,29 +246,31 @@
 
 
 class MalformedResponse(TargetError):
-    """The target's answer is not the answer to the request that was sent."""
+    """A response cannot be decoded, or it belongs to another request."""
 
     code = "malformed-answer"
 
 
 class IncompleteResponse(TargetError):
-    """An answer ended before it was complete."""
+    """A response ended before it was complete."""
 
     code = "answer-broken"
 
 
 class TargetSilent(TargetError):
-    """A target sent nothing for longer than a sound one does."""
+    """A target sent nothing for longer than a healthy one would."""
 
     code = "target-silent"
 
 
 class RequestError(CowslipError):
-    """A caller's request ends without its answer.
+    """A caller's request failed.
 
-    :param detail: sentence for people.
-    :param retry_after_s: seconds after which a retry makes sense, if any.
-    :param cause: what it is counted under; the code if left out.
+    :param detail: human-readable description; the code by default.
+    :param retry_after_s: seconds after which a retry is useful, or ``None``.
+    :param cause: cause under which the failure is counted; the code by default.
+    :cvar status: HTTP status of the response.
+    :cvar outcome: ``not_run``, ``failed``, or ``unknown`` if the request may have run.
     """
 
     status: ClassVar[int] = 500
@@ -287,21 +290,21 @@
 
 
 class MalformedBody(RequestError):
-    """The body is not what the path expects."""
+    """The body is not valid for the path."""
 
     code = "malformed-body"
     status = 400
 
 
 class BodyTooLarge(RequestError):
-    """The body is longer than the configured bound."""
+    """The body exceeds the configured limit."""
 
     code = "body-too-large"
     status = 413
 
 
 class NotAuthorised(RequestError):
-    """The key is missing or belongs to no workspace or operator."""
+    """The API key or token is missing or belongs to no workspace or operator."""
 
     code = "not-authorised"
     status = 401
@@ -315,21 +318,21 @@
 
 
 class UnknownRoute(RequestError):
-    """No route of the configuration matches."""
+    """No route of the configuration matches the request."""
 
     code = "unknown-route"
     status = 404
 
 
 class HeadTooLarge(RequestError):
-    """The head of the request is longer than the configuration allows."""
+    """The request head exceeds the configured limit."""
 
     code = "head-too-large"
     status = 431
 
 
 class TargetFailed(RequestError):
-    """The request was sent and no complete answer came; it may have run."""
+    """The request was sent but got no complete response; it may have run."""
 
     code = "target-failed"
     status = 502
@@ -344,7 +347,7 @@
 
 
 class DeadlinePassed(RequestError):
-    """The deadline passed, or will pass, before the request can start."""
+    """The deadline has passed, or would pass before the request can start."""
 
     code = "deadline-passed"
     status = 504
@@ -358,44 +361,44 @@
 
 
 class NoConfiguration(AdmissionError):
-    """This daemon does not know the configuration yet."""
+    """This daemon has not received the configuration yet."""
 
     code = "no-configuration"
 
 
 class NoTargetAvailable(AdmissionError):
-    """Nothing that may serve the request can take it now."""
+    """No target that may serve the request can take it now."""
 
     code = "no-target-available"
 
 
 class RequestQuarantined(AdmissionError):
-    """The same request has ended each target that began to run it."""
+    """The request has crashed each target that started it."""
 
     code = "request-quarantined"
 
 
 class WorkspaceOverShare(AdmissionError):
-    """The workspace uses more than its share while others wait."""
+    """The workspace exceeds its share while the targets are full."""
 
     code = "workspace-over-share"
     status = 429
 
 
 class DaemonStopped(AdmissionError):
-    """The daemon cannot tell whether its configuration is still in force."""
+    """The daemon cannot tell whether its configuration is still valid."""
 
     code = "daemon-stopped"
 
 
 class GatewayDraining(AdmissionError):
-    """The gateway is stopping; use another address."""
+    """The gateway is stopping; the caller should use another address."""
 
     code = "gateway-draining"
 
 
 class KeyExpired(RequestError):
-    """The idempotency key is older than what is remembered; nothing was run now."""
+    """The outcome of the key is no longer remembered; nothing was run now."""
 
     code = "key-expired"
     status = 409
@@ -403,14 +406,14 @@
 
 
 class KeyHomeStopped(RequestError):
-    """The key's home stopped as planned and never ran the request."""
+    """The key's home gateway made a planned stop and did not run the request."""
 
     code = "key-home-stopped"
     status = 409
 
 
 class KeyReused(RequestError):
-    """The idempotency key was used before with another request."""
+    """The idempotency key was used for another request."""
 
     code = "key-reused"
     status = 422
@@ -425,7 +428,7 @@
 
 
 class RequestFailed(RequestError):
-    """The request started and did not end well."""
+    """The request started and failed."""
 
     code = "request-failed"
     status = 502
@@ -433,7 +436,7 @@
 
 
 class DeadlineWhileRunning(RequestFailed):
-    """The deadline passed after the request had started."""
+    """The deadline passed while the request was running."""
 
     code = "deadline-while-running"
     status = 504
--- a/cowslipcourse/settings.py
+++ b/cowslipcourse/settings.py
@@ -1,4 +1,4 @@
-"""Settings of the processes: one checked TOML file each."""
+"""Schemas of the settings files: one TOML file for each process."""
 
 from pathlib import Path
 from typing import Literal
@@ -22,7 +22,12 @@
 
 
 class TlsSettings(Section):
-    """Files for mutual TLS between daemons; all three or none."""
+    """PEM files for mutual TLS between daemons.
+
+    :param certificate: certificate of this daemon.
+    :param key: private key of this daemon.
+    :param authority: certificate of the authority that signs all daemons.
+    """
 
     certificate: Path
     key: Path
@@ -30,12 +35,12 @@
 
 
 class DaemonSettings(Section):
-    """Who this daemon is and where it listens.
+    """Identity and addresses of a daemon.
 
-    :param name: unique name of the daemon, stable over restarts.
-    :param data_centre: data centre it runs in.
-    :param peer_address: ``ip:port`` for other daemons.
-    :param public_address: ``ip:port`` for callers or operators.
+    :param name: unique name, stable across restarts.
+    :param data_centre: data centre in which it runs.
+    :param peer_address: ``ip:port`` to listen on for other daemons.
+    :param public_address: ``ip:port`` to listen on for callers or operators.
     """
 
     name: str = Field(pattern=r"^[a-z0-9][a-z0-9\-]{0,62}$")
@@ -45,14 +50,18 @@
 
 
 class PlatformSettings(Section):
-    """Where the platform's services are."""
+    """Access to the platform's services.
+
+    :param url: base URL.
+    :param timeout_s: timeout of each request, in seconds.
+    """
 
     url: Url
     timeout_s: Seconds = 2.0
 
 
 class StatsdSettings(Section):
-    """Where metrics go; none are sent without a host."""
+    """Statsd server to which metrics are sent; an empty host disables them."""
 
     host: str = ""
     port: int = Field(default=8125, gt=0, lt=65536)
@@ -60,7 +69,7 @@
 
 
 class TimeSettings(Section):
-    """Times of the rules between daemons; the same at every daemon of a site."""
+    """Intervals and timeouts between daemons; equal at all daemons of a site."""
 
     heartbeat_s: Seconds = 0.5
     isolation_s: Seconds = 4.0
@@ -75,21 +84,21 @@
 
     def problems(self):
         """See :class:`~cowslipcourse.settings_file.Section`."""
-        found = []
+        problems_found = []
         if self.eviction_s <= self.isolation_s + 2 * self.heartbeat_s:
             message = "must exceed isolation_s by more than two heartbeats"
-            found.append(("time.eviction_s", message))
+            problems_found.append(("time.eviction_s", message))
         if self.lease_term_s <= 2 * self.lease_margin_s:
             message = "must exceed twice lease_margin_s"
-            found.append(("time.lease_term_s", message))
+            problems_found.append(("time.lease_term_s", message))
         if self.heartbeat_s * 2 > self.grant_s:
             message = "must be at least two heartbeats"
-            found.append(("time.grant_s", message))
-        return found
+            problems_found.append(("time.grant_s", message))
+        return problems_found
 
 
 class TargetSettings(Section):
-    """How long to wait for targets."""
+    """Timeouts of requests to targets."""
 
     probe_timeout_s: Seconds = 0.8
     order_timeout_s: Seconds = 2.0
@@ -99,7 +108,7 @@
 
 
 class LimitSettings(Section):
-    """Bounds on what one gateway takes in."""
+    """Resource limits of one gateway."""
 
     body_bytes: int = Field(default=1_048_576, ge=1024)
     connections: int = Field(default=4096, ge=8)
@@ -113,18 +122,22 @@
 
 
 class OperatorSettings(Section):
-    """File with one ``name token-sha256`` pair a line."""
+    """Authentication of operators.
+
+    :param tokens_file: file with one ``name token-sha256`` pair per line.
+    """
 
     tokens_file: Path
 
 
 class RepairSettings(Section):
-    """How groups are formed and repaired.
+    """Formation and repair of groups.
 
-    :param suspect_s: seconds without an answer after which a member is absent.
-    :param loads_at_once: loads that may run at the weight store together.
-    :param weights_bytes_per_s: rate of the weight store.
-    :param order_in_flight_s: longest time an order may be under way to a target
+    :param probe_s: seconds between probes of a target.
+    :param suspect_s: seconds without a response after which a member counts as absent.
+    :param loads_at_once: maximum number of concurrent loads from the weight store.
+    :param weights_bytes_per_s: throughput of the weight store.
+    :param order_in_flight_s: maximum seconds that an order may be in flight to a target
         that does not check fencing tokens.
     """
 
@@ -136,7 +149,7 @@
 
 
 class BaseDaemonSettings(Section):
-    """What the files of both daemons share."""
+    """Sections that the settings files of gateways and controllers share."""
 
     daemon: DaemonSettings
     platform: PlatformSettings
@@ -165,7 +178,7 @@
 
 
 class VmGroupSettings(Section):
-    """VMs that a stand-in emulates: ``count`` of them in one domain."""
+    """VMs that the stand-in emulates: ``count`` of them in one domain."""
 
     prefix: str
     count: int = Field(ge=1, le=2000)
@@ -178,7 +191,7 @@
 
 
 class EngineSettings(Section):
-    """How the emulated engines behave."""
+    """Behaviour of the emulated engines."""
 
     token_s: float = Field(default=0.02, ge=0)
     prefill_tokens_per_s: float = Field(default=8000.0, gt=0)
--- a/cowslipcourse/settings_file.py
+++ b/cowslipcourse/settings_file.py
@@ -1,4 +1,4 @@
-"""Settings files: how they are read and checked, and the parts that all have."""
+"""Reading and validation of settings files, and the sections that all of them have."""
 
 import tomllib
 from pathlib import Path
@@ -18,53 +18,57 @@
 
 
 class Section(BaseModel):
-    """Base of all sections; unknown keys are refused."""
+    """Base class of all sections; unknown keys are rejected."""
 
     model_config = ConfigDict(extra="forbid", frozen=True)
 
     def problems(self):
-        """Return ``(key, message)`` for values that do not fit together."""
+        """Return ``(key, message)`` for each value that contradicts another one."""
         return ()
 
 
 class LogSettings(Section):
-    """How much is logged."""
+    """Logging.
+
+    :param level: lowest level that is logged.
+    """
 
     level: Literal["debug", "info", "warning", "error"] = "info"
 
 
-def _schema_keys(schema):
+def _collect_keys(schema):
     keys = set(schema.model_fields)
     for field in schema.model_fields.values():
         if isinstance(field.annotation, type) and issubclass(field.annotation, Section):
-            keys |= _schema_keys(field.annotation)
+            keys |= _collect_keys(field.annotation)
     return keys
 
 
 def load_settings(path, schema):
-    """Read and check a settings file.
+    """Read and validate a settings file.
 
     :param path: TOML file.
-    :param schema: for example :class:`GatewaySettings`.
+    :param schema: subclass of :class:`Section`, for example
+        :class:`~cowslipcourse.settings.GatewaySettings`.
     :returns: instance of the schema.
-    :raises SettingsError: with every problem found.
+    :raises SettingsError: the file is invalid; lists all problems found.
     """
     try:
-        tables = tomllib.loads(Path(path).read_text())
+        values = tomllib.loads(Path(path).read_text())
     except OSError as error:
         raise SettingsError([Problem(str(path), error.strerror)]) from error
     except (tomllib.TOMLDecodeError, UnicodeDecodeError) as error:
         raise SettingsError([Problem(str(path), str(error))]) from error
     try:
-        settings = schema.model_validate(tables)
+        settings = schema.model_validate(values)
     except ValidationError as error:
-        described = describe_errors(error, _schema_keys(schema))
-        raise SettingsError(_problems(path, described)) from error
-    described = settings.problems()
-    if described:
-        raise SettingsError(_problems(path, described))
+        described_problems = describe_errors(error, _collect_keys(schema))
+        raise SettingsError(_problems(path, described_problems)) from error
+    described_problems = settings.problems()
+    if described_problems:
+        raise SettingsError(_problems(path, described_problems))
     return settings
 
 
-def _problems(path, described):
-    return [Problem(f"{path} {key}", message) for key, message in described]
+def _problems(path, described_problems):
+    return [Problem(f"{path} {key}", message) for key, message in described_problems]
