--- a/cowslipcourse/adapters/answers.py
+++ b/cowslipcourse/adapters/answers.py
@@ -1,7 +1,7 @@
-"""Whole HTTP answers as ASGI applications.
+"""Buffered HTTP responses as ASGI applications.
 
-The framework's own classes do the same, but importing them takes a tenth of a daemon's
-start, and the daemons before the users' platform need nothing else of the framework.
+Starlette has such classes, but importing it takes a tenth of a daemon's start-up time,
+and the entry daemons need nothing else of it.
 """
 
 from urllib.parse import parse_qsl
@@ -10,14 +10,14 @@
 
 __all__ = ["BufferedResponse", "json_response", "problem_response", "single_path_app"]
 
-NOT_FOUND = 404
-METHOD_NOT_ALLOWED = 405
+HTTP_NOT_FOUND = 404
+HTTP_METHOD_NOT_ALLOWED = 405
 
 
 class BufferedResponse:
-    """An answer in one piece.
+    """A response that is sent in one piece.
 
-    :param body: bytes.
+    :param body: bytes of the body.
     :param status: HTTP status.
     :param headers: additional headers by name.
     :param media_type: value of ``Content-Type``; empty for none.
@@ -26,10 +26,12 @@
     def __init__(self, body=b"", status=200, headers=None, media_type=""):
         self.status = status
         self._body = body
-        fields = {**(headers or {}), "content-length": str(len(body))}
+        headers_by_name = {**(headers or {}), "content-length": str(len(body))}
         if media_type:
-            fields["content-type"] = media_type
-        self._headers = [(k.lower().encode(), v.encode()) for k, v in fields.items()]
+            headers_by_name["content-type"] = media_type
+        self._headers = [
+            (k.lower().encode(), v.encode()) for k, v in headers_by_name.items()
+        ]
 
     async def __call__(self, scope, receive, send):
         """See the ASGI specification."""
@@ -46,9 +48,11 @@
 
 
 def json_response(value, status=200, headers=None):
-    """Return a JSON answer.
+    """Return a JSON response.
 
-    :param value: anything that msgspec encodes.
+    :param value: any value that msgspec can encode.
+    :param status: HTTP status.
+    :param headers: additional headers by name.
     """
     return BufferedResponse(
         msgspec.json.encode(value), status, headers, "application/json"
@@ -56,10 +60,11 @@
 
 
 def problem_response(error, headers=None):
-    """Return a problem+json answer for a failed request.
+    """Return a problem+json response for a failed request.
 
     :param error: :class:`~cowslipcourse.exceptions.RequestError`
-    :param headers: additional headers; ``Retry-After`` goes before whole seconds.
+    :param headers: additional headers by name; a ``Retry-After`` among them is kept,
+        otherwise it is set to ``error.retry_after_s`` in whole seconds, at least 1.
     """
     content = {
         "type": f"urn:cowslipcourse:{error.code}",
@@ -71,29 +76,31 @@
     headers = dict(headers or {})
     if error.retry_after_s is not None:
         content["retry_after_s"] = round(error.retry_after_s, 3)
-        whole_s = max(1, round(error.retry_after_s + 0.49))
-        headers.setdefault("Retry-After", str(whole_s))
+        retry_after_whole_s = max(1, round(error.retry_after_s + 0.49))
+        headers.setdefault("Retry-After", str(retry_after_whole_s))
     body = msgspec.json.encode(content)
     return BufferedResponse(body, error.status, headers, "application/problem+json")
 
 
-def single_path_app(path, respond):
-    """Return an application that answers GET on one path.
+def single_path_app(path, create_response):
+    """Return an ASGI application that serves GET requests of one path.
 
-    :param path: the path.
-    :param respond: callable that takes the query's last values by name and returns a
-        :class:`BufferedResponse`.
+    :param path: path that is served; others get status 404.
+    :param create_response: called with the query parameters by name, the last value
+        of each; returns a :class:`BufferedResponse`.
     """
 
     async def app(scope, receive, send):
         if scope["type"] != "http":
             return
         if scope["path"] != path:
-            answer = BufferedResponse(status=NOT_FOUND)
+            response = BufferedResponse(status=HTTP_NOT_FOUND)
         elif scope["method"] not in ("GET", "HEAD"):
-            answer = BufferedResponse(status=METHOD_NOT_ALLOWED)
+            response = BufferedResponse(status=HTTP_METHOD_NOT_ALLOWED)
         else:
-            answer = respond(dict(parse_qsl(scope["query_string"].decode("latin-1"))))
-        await answer(scope, receive, send)
+            response = create_response(
+                dict(parse_qsl(scope["query_string"].decode("latin-1")))
+            )
+        await response(scope, receive, send)
 
     return app
--- a/cowslipcourse/adapters/log.py
+++ b/cowslipcourse/adapters/log.py
@@ -1,4 +1,4 @@
-"""Logs: one line of key=value pairs for each event."""
+"""Logging of events, each as a line of ``key=value`` pairs."""
 
 import logging
 import queue
@@ -13,11 +13,11 @@
     "set_up_queued_logging",
 ]
 
-MOST_QUEUED = 5000
-"""Lines that wait for a slow reader of standard output; about 1 MB."""
+MAX_QUEUED_LINES = 5000
+"""Maximum number of lines queued for a slow reader of standard output; about 1 MB."""
 
 
-def _quoted(value):
+def _quote(value):
     text = str(value)
     if text and not any(char in text for char in ' "=\n'):
         return text
@@ -39,11 +39,11 @@
         }
         if record.exc_info:
             pairs["exception"] = self.formatException(record.exc_info)
-        return " ".join(f"{key}={_quoted(value)}" for key, value in pairs.items())
+        return " ".join(f"{key}={_quote(value)}" for key, value in pairs.items())
 
 
 class EventLogger:
-    """Writes events with fields.
+    """Logs events with fields.
 
     :param name: logger name.
     """
@@ -56,7 +56,7 @@
         self._logger.info(event, extra={"fields": fields})
 
     def warning(self, event, **fields):
-        """Log an event that an operator may want to look into."""
+        """Log an event that an operator may have to investigate."""
         self._logger.warning(event, extra={"fields": fields})
 
     def exception(self, event, **fields):
@@ -73,55 +73,56 @@
 
 
 def set_up_logging(settings):
-    """Send logs to standard error.
+    """Write log lines to standard error.
 
     :param settings: :class:`~cowslipcourse.settings.LogSettings`
     """
     handler = logging.StreamHandler(sys.stderr)
     handler.setFormatter(KeyValueFormatter())
-    _use(handler, settings)
+    _install_handler(handler, settings)
 
 
 def set_up_queued_logging(settings):
-    """Send logs to standard output from a thread of their own.
+    """Write log lines to standard output in a separate thread.
 
-    Whoever logs never waits: if the reader is slow, lines are dropped and counted.
+    Logging never blocks: if the reader is too slow, lines are dropped and counted.
 
     :param settings: :class:`~cowslipcourse.settings.LogSettings`
-    :returns: listener, to be stopped at the end so that all lines are written.
+    :returns: :class:`logging.handlers.QueueListener`; stopping it writes all queued
+        lines.
     """
     output = logging.StreamHandler(sys.stdout)
     output.setFormatter(KeyValueFormatter())
-    handler = BoundedQueueHandler(queue.Queue(MOST_QUEUED))
+    handler = BoundedQueueHandler(queue.Queue(MAX_QUEUED_LINES))
     listener = QueueListener(handler.queue, output)
     listener.start()
-    _use(handler, settings)
+    _install_handler(handler, settings)
     return listener
 
 
 class BoundedQueueHandler(QueueHandler):
-    """Hands records on without waiting.
+    """Puts records into a bounded queue without blocking.
 
-    :ivar dropped: records dropped because the queue was full.
+    :ivar dropped: number of records dropped because the queue was full.
     """
 
     dropped = 0
-    _told = 0
+    _logged_dropped = 0
 
     def prepare(self, record):
-        """Return the record as it is: the reader is in the same process."""
+        """Return the record unchanged: the queue's reader is in the same process."""
         return record
 
     def enqueue(self, record):
-        """Put a record into the queue, or count it if there is no room."""
+        """Put a record into the queue, or count it as dropped if the queue is full."""
         try:
             self.queue.put_nowait(record)
-            self._tell_dropped()
+            self._log_dropped()
         except queue.Full:
             self.dropped += 1
 
-    def _tell_dropped(self):
-        if self.dropped == self._told:
+    def _log_dropped(self):
+        if self.dropped == self._logged_dropped:
             return
         record = logging.makeLogRecord(
             {
@@ -129,17 +130,17 @@
                 "levelno": logging.WARNING,
                 "levelname": "WARNING",
                 "msg": "lines-dropped",
-                "fields": {"number": self.dropped - self._told},
+                "fields": {"number": self.dropped - self._logged_dropped},
             }
         )
         self.queue.put_nowait(record)
-        self._told = self.dropped
+        self._logged_dropped = self.dropped
 
 
-def _use(handler, settings):
+def _install_handler(handler, settings):
     root = logging.getLogger()
     root.handlers[:] = [handler]
     root.setLevel(settings.level.upper())
     logging.getLogger("uvicorn.access").disabled = True
-    # The applications log what they raise; raising is how they cut an answer off.
+    # The applications log the errors that they raise to abort a response.
     logging.getLogger("uvicorn.error").setLevel(logging.CRITICAL)
--- a/cowslipcourse/adapters/metrics.py
+++ b/cowslipcourse/adapters/metrics.py
@@ -1,36 +1,36 @@
-"""Metrics by statsd; ``docs/metrics.md`` lists them with their units."""
+"""Metrics sent by statsd; ``docs/metrics.md`` lists them with their units."""
 
 import statsd
 
-__all__ = ["Metrics", "NoMetrics", "open_metrics"]
+__all__ = ["NullMetrics", "StatsdMetrics", "create_metrics"]
 
 
-class Metrics:
-    """Sends metrics.
+class StatsdMetrics:
+    """Sends metrics to a statsd server.
 
     :param settings: :class:`~cowslipcourse.settings.StatsdSettings`
     """
 
     def __init__(self, settings):
-        self._client = statsd.StatsClient(
+        self._statsd_client = statsd.StatsClient(
             settings.host, settings.port, prefix=settings.prefix
         )
 
     def count(self, name, value=1):
         """Add to a counter."""
-        self._client.incr(name, value)
+        self._statsd_client.incr(name, value)
 
     def gauge(self, name, value):
         """Set a gauge."""
-        self._client.gauge(name, value)
+        self._statsd_client.gauge(name, value)
 
-    def timing(self, name, seconds):
-        """Record a duration given in seconds, sent in milliseconds."""
-        self._client.timing(name, seconds * 1000)
+    def timing(self, name, duration_s):
+        """Record a duration given in seconds; it is sent in milliseconds."""
+        self._statsd_client.timing(name, duration_s * 1000)
 
 
-class NoMetrics:
-    """Drops metrics, where no statsd is configured."""
+class NullMetrics:
+    """Discards metrics if no statsd server is configured."""
 
     def count(self, name, value=1):
         """Do nothing."""
@@ -38,13 +38,13 @@
     def gauge(self, name, value):
         """Do nothing."""
 
-    def timing(self, name, seconds):
+    def timing(self, name, duration_s):
         """Do nothing."""
 
 
-def open_metrics(settings):
-    """Return :class:`Metrics`, or :class:`NoMetrics` without a host.
+def create_metrics(settings):
+    """Return :class:`StatsdMetrics`, or :class:`NullMetrics` if no host is configured.
 
     :param settings: :class:`~cowslipcourse.settings.StatsdSettings`
     """
-    return Metrics(settings) if settings.host else NoMetrics()
+    return StatsdMetrics(settings) if settings.host else NullMetrics()
--- a/cowslipcourse/adapters/peer/__init__.py
+++ b/cowslipcourse/adapters/peer/__init__.py
@@ -1,4 +1,4 @@
-"""gRPC between the daemons of the system."""
+"""gRPC calls between the daemons of the system."""
 
 from cowslipcourse.adapters.peer.network import GrpcPeerNetwork
 from cowslipcourse.adapters.peer.tls import TlsFiles
--- a/cowslipcourse/adapters/peer/codec.py
+++ b/cowslipcourse/adapters/peer/codec.py
@@ -1,4 +1,4 @@
-"""Messages between members as protocol buffers."""
+"""Conversion of membership messages to and from protocol buffers."""
 
 import msgspec
 
@@ -25,18 +25,18 @@
 
 
 def members_to_rows(members):
-    """Return members by name as plain lists, for JSON."""
+    """Return members by name, converted to plain lists for JSON."""
     return {name: list(member) for name, member in members.items()}
 
 
 def members_from_rows(rows):
-    """Return members by name from plain lists."""
+    """Return members by name, converted from plain lists."""
     members = (Member(*values) for values in rows.values())
     return {m.name: m._replace(role=Role(m.role)) for m in members}
 
 
 def member_lists_from_rows(rows):
-    """Return member lists from plain lists."""
+    """Return member lists, converted from plain lists."""
     return tuple(msgspec.convert(row, MemberList) for row in rows)
 
 
@@ -71,18 +71,18 @@
     )
 
 
-def encode_heartbeat_answer(answer):
+def encode_heartbeat_answer(heartbeat_answer):
     """Return a ``HeartbeatReply``."""
     reply = peer_pb2.HeartbeatReply(
-        incarnation=answer.incarnation,
-        revision=answer.revision,
-        stopped=answer.stopped,
-        position=answer.position,
-        silent=answer.silent,
+        incarnation=heartbeat_answer.incarnation,
+        revision=heartbeat_answer.revision,
+        stopped=heartbeat_answer.stopped,
+        position=heartbeat_answer.position,
+        silent=heartbeat_answer.silent,
     )
-    if answer.newer_revision is not None:
-        reply.revision_content = _encode_revision(answer.newer_revision)
-    for record in answer.records:
+    if heartbeat_answer.newer_revision is not None:
+        reply.revision_content = _encode_revision(heartbeat_answer.newer_revision)
+    for record in heartbeat_answer.records:
         reply.records.add(
             key=record.key,
             fence=record.fence,
--- a/cowslipcourse/adapters/peer/network.py
+++ b/cowslipcourse/adapters/peer/network.py
@@ -1,4 +1,4 @@
-"""Peers over gRPC; meets :class:`~cowslipcourse.ports.PeerNetwork`."""
+"""gRPC calls to and from peers; see :class:`~cowslipcourse.ports.PeerNetwork`."""
 
 import grpc
 
@@ -26,17 +26,17 @@
         self._handler = handler
 
     async def Heartbeat(self, request, context):  # noqa: N802
-        answer = await self._handler.heartbeat(codec.decode_heartbeat(request))
-        return codec.encode_heartbeat_answer(answer)
+        response = await self._handler.heartbeat(codec.decode_heartbeat(request))
+        return codec.encode_heartbeat_answer(response)
 
     async def Forward(self, request, context):  # noqa: N802
         fields = {name: getattr(request, name) for name in ForwardedCall._fields}
-        answer = await self._handler.forward(ForwardedCall(**fields))
-        return peer_pb2.ForwardReply(**answer._asdict())
+        response = await self._handler.forward(ForwardedCall(**fields))
+        return peer_pb2.ForwardReply(**response._asdict())
 
 
 class GrpcPeerNetwork:
-    """One server for peers, and one channel for each peer, opened on first use.
+    """A gRPC server for peers, and a channel to each peer, opened on first use.
 
     :param address: ``ip:port`` to listen on.
     :param tls: :class:`~cowslipcourse.adapters.peer.TlsFiles`, or ``None`` for plain
@@ -90,21 +90,21 @@
         await self.close_connections_except(())
 
     async def _stub(self, address):
-        await self._reread_tls()
+        await self._reload_tls()
         if address not in self._channels:
-            channel = self._open(address)
+            channel = self._open_channel(address)
             self._channels[address] = channel, peer_pb2_grpc.PeerStub(channel)
         return self._channels[address][1]
 
-    async def _reread_tls(self):
+    async def _reload_tls(self):
         if self._tls is None:
             return
-        contents = self._tls.read()
-        if contents != self._tls_contents:
+        tls_contents = self._tls.read()
+        if tls_contents != self._tls_contents:
             await self.close_connections_except(())
-            self._tls_contents = contents
+            self._tls_contents = tls_contents
 
-    def _open(self, address):
+    def _open_channel(self, address):
         if self._tls is None:
             return grpc.aio.insecure_channel(address, options=_CHANNEL_OPTIONS)
         credentials = client_credentials(self._tls)
--- a/cowslipcourse/adapters/peer/tls.py
+++ b/cowslipcourse/adapters/peer/tls.py
@@ -1,4 +1,4 @@
-"""Mutual TLS between daemons, from files that may be replaced at any time."""
+"""Mutual TLS between daemons, with files that may be replaced at any time."""
 
 from pathlib import Path
 from typing import NamedTuple
@@ -9,11 +9,11 @@
 
 
 class TlsFiles(NamedTuple):
-    """Files of one daemon's identity.
+    """PEM files of a daemon's certificate.
 
-    :param certificate: PEM certificate of this daemon.
-    :param key: PEM private key.
-    :param authority: PEM certificate of the authority that signs all daemons.
+    :param certificate: certificate of this daemon.
+    :param key: private key of this daemon.
+    :param authority: certificate of the authority that signs all daemons.
     """
 
     certificate: Path
@@ -29,33 +29,35 @@
 
 
 def server_credentials(files):
-    """Return server credentials that reread the files when they change.
+    """Return server credentials that reload the files when they change.
 
     :param files: :class:`TlsFiles`
     """
-    last = files.read()
+    last_contents = files.read()
 
-    def configuration(contents):
+    def certificate_configuration(contents):
         key, certificate, authority = contents
         return grpc.ssl_server_certificate_configuration(
             [(key, certificate)], root_certificates=authority
         )
 
-    def fetch():
-        nonlocal last
-        current = files.read()
-        if current == last:
+    def fetch_changed_configuration():
+        nonlocal last_contents
+        current_contents = files.read()
+        if current_contents == last_contents:
             return None
-        last = current
-        return configuration(current)
+        last_contents = current_contents
+        return certificate_configuration(current_contents)
 
     return grpc.dynamic_ssl_server_credentials(
-        configuration(last), fetch, require_client_authentication=True
+        certificate_configuration(last_contents),
+        fetch_changed_configuration,
+        require_client_authentication=True,
     )
 
 
 def client_credentials(files):
-    """Return channel credentials from the files as they are now.
+    """Return channel credentials from the current contents of the files.
 
     :param files: :class:`TlsFiles`
     """
--- a/cowslipcourse/adapters/platform.py
+++ b/cowslipcourse/adapters/platform.py
@@ -1,6 +1,6 @@
-"""The platform's services over HTTP.
+"""HTTP client of the platform's services.
 
-``docs/wire-formats.md`` documents the requests and answers.
+``docs/wire-formats.md`` documents the requests and responses.
 """
 
 import asyncio
@@ -16,19 +16,19 @@
 __all__ = ["HttpPlatformClient"]
 
 HTTP_CONFLICT = 409
-_NOT_SENT = (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError)
-_NETWORK = (aiohttp.ClientError, asyncio.TimeoutError, OSError)
+_CONNECT_ERRORS = (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError)
+_NETWORK_ERRORS = (aiohttp.ClientError, asyncio.TimeoutError, OSError)
 
 
 class HttpPlatformClient:
-    """Table service, object store and VM list of the platform.
+    """Client of the platform's table service, object store and VM list.
 
-    Meets :class:`~cowslipcourse.ports.TableService`,
+    Implements :class:`~cowslipcourse.ports.TableService`,
     :class:`~cowslipcourse.ports.ObjectStore` and
     :class:`~cowslipcourse.ports.VmList`.
 
     :param settings: :class:`~cowslipcourse.settings.PlatformSettings`
-    :param daemon: name of this daemon, which the platform logs.
+    :param daemon: name of this daemon, sent to the platform for its logs.
     """
 
     def __init__(self, settings, daemon=""):
@@ -38,8 +38,8 @@
 
     async def read(self, key):
         """See :class:`~cowslipcourse.ports.TableService`."""
-        found = await self._get("/table/row", {"key": key})
-        return None if found is None else _row(found)
+        row_content = await self._get("/table/row", {"key": key})
+        return None if row_content is None else _row(row_content)
 
     async def scan(self, prefix):
         """See :class:`~cowslipcourse.ports.TableService`."""
@@ -51,57 +51,61 @@
             {"conditions": transaction.conditions, "writes": transaction.writes}
         )
         try:
-            async with self._client().post("/table/commit", data=content) as response:
-                answer = await response.read()
+            async with self._get_session().post(
+                "/table/commit", data=content
+            ) as response:
+                response_body = await response.read()
                 status = response.status
-        except _NOT_SENT as error:
+        except _CONNECT_ERRORS as error:
             raise StoreUnavailable(repr(error)) from error
-        except _NETWORK as error:
+        except _NETWORK_ERRORS as error:
             raise ReplyLost(repr(error)) from error
         if status == HTTP_CONFLICT:
-            raise ConditionFailed(msgspec.json.decode(answer)["conflicts"])
+            raise ConditionFailed(msgspec.json.decode(response_body)["conflicts"])
         if status != 200:
-            raise StoreUnavailable(f"table service answered {status}")
-        return msgspec.json.decode(answer)["version"]
+            raise StoreUnavailable(f"table service responded with status {status}")
+        return msgspec.json.decode(response_body)["version"]
 
     async def put(self, name, content):
         """See :class:`~cowslipcourse.ports.ObjectStore`."""
         try:
-            async with self._client().put(f"/objects/{name}", data=content) as response:
+            async with self._get_session().put(
+                f"/objects/{name}", data=content
+            ) as response:
                 status = response.status
-        except _NETWORK as error:
+        except _NETWORK_ERRORS as error:
             raise ReplyLost(repr(error)) from error
         if status != 200:
-            raise StoreUnavailable(f"object store answered {status}")
+            raise StoreUnavailable(f"object store responded with status {status}")
 
     async def get(self, name):
         """See :class:`~cowslipcourse.ports.ObjectStore`."""
         try:
-            async with self._client().get(f"/objects/{name}") as response:
+            async with self._get_session().get(f"/objects/{name}") as response:
                 content = await response.read()
                 status = response.status
-        except _NETWORK as error:
+        except _NETWORK_ERRORS as error:
             raise StoreUnavailable(repr(error)) from error
         if status == 404:
             return None
         if status != 200:
-            raise StoreUnavailable(f"object store answered {status}")
+            raise StoreUnavailable(f"object store responded with status {status}")
         return content
 
     async def list_vms(self):
         """See :class:`~cowslipcourse.ports.VmList`."""
-        entries = await self._get("/vms", {})
+        vm_entries = await self._get("/vms", {})
         try:
-            return [_vm(entry) for entry in entries]
+            return [_vm(vm_entry) for vm_entry in vm_entries]
         except (KeyError, TypeError, ValueError) as error:
-            raise StoreUnavailable(f"unreadable VM list: {error!r}") from error
+            raise StoreUnavailable(f"cannot decode the VM list: {error!r}") from error
 
     async def close(self):
         """Close the connections."""
         if self._session is not None:
             await self._session.close()
 
-    def _client(self):
+    def _get_session(self):
         if self._session is None:
             timeout = aiohttp.ClientTimeout(total=self._settings.timeout_s)
             self._session = aiohttp.ClientSession(
@@ -109,39 +113,39 @@
             )
         return self._session
 
-    async def _get(self, path, parameters) -> Any:
+    async def _get(self, path, query) -> Any:
         try:
-            async with self._client().get(path, params=parameters) as response:
-                answer = await response.read()
+            async with self._get_session().get(path, params=query) as response:
+                response_body = await response.read()
                 status = response.status
-        except _NETWORK as error:
+        except _NETWORK_ERRORS as error:
             raise StoreUnavailable(repr(error)) from error
         if status != 200:
-            raise StoreUnavailable(f"{path} answered {status}")
+            raise StoreUnavailable(f"{path} responded with status {status}")
         try:
-            return msgspec.json.decode(answer)
+            return msgspec.json.decode(response_body)
         except msgspec.DecodeError as error:
-            raise StoreUnavailable(f"{path}: unreadable answer") from error
+            raise StoreUnavailable(f"{path}: response cannot be decoded") from error
 
 
-def _row(found):
-    return Row(found["key"], found["value"], found["version"])
+def _row(row_content):
+    return Row(row_content["key"], row_content["value"], row_content["version"])
 
 
-def _vm(entry):
+def _vm(vm_entry):
     labels = {
-        **entry.get("labels", {}),
-        "domain": entry["domain"],
-        "data-centre": entry["data_centre"],
+        **vm_entry.get("labels", {}),
+        "domain": vm_entry["domain"],
+        "data-centre": vm_entry["data_centre"],
     }
     return VM(
-        name=entry["name"],
-        domain=entry["domain"],
-        data_centre=entry["data_centre"],
-        address=entry["address"],
-        incarnation=entry["incarnation"],
-        accelerators=int(entry["accelerators"]),
-        kind=TargetKind(entry["kind"]),
-        state=VmState(entry["state"]),
+        name=vm_entry["name"],
+        domain=vm_entry["domain"],
+        data_centre=vm_entry["data_centre"],
+        address=vm_entry["address"],
+        incarnation=vm_entry["incarnation"],
+        accelerators=int(vm_entry["accelerators"]),
+        kind=TargetKind(vm_entry["kind"]),
+        state=VmState(vm_entry["state"]),
         labels=labels,
     )
--- a/cowslipcourse/adapters/targets.py
+++ b/cowslipcourse/adapters/targets.py
@@ -1,7 +1,7 @@
-"""Engines and plain services over HTTP.
+"""HTTP client of engines and plain services.
 
-``docs/wire-formats.md`` documents the requests and answers. The events of a
-streamed answer are checked but not decoded: each starts with a line that holds
+``docs/wire-formats.md`` documents the requests and responses. The events of a
+streamed response are checked but not decoded: each starts with a line that holds
 the attempt id and the offset of its token.
 """
 
@@ -22,16 +22,16 @@
 __all__ = ["END_EVENT", "HttpTargetClient"]
 
 END_EVENT = b"[DONE]"
-EVENT_END = b"\n\n"
+EVENT_SEPARATOR = b"\n\n"
 MAX_EVENT_BYTES = 1 << 20
-HTTP_REFUSED = 409
+HTTP_CONFLICT = 409
 
-_NOT_SENT = (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError)
-_NETWORK = (aiohttp.ClientError, asyncio.TimeoutError, OSError)
+_CONNECT_ERRORS = (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError)
+_NETWORK_ERRORS = (aiohttp.ClientError, asyncio.TimeoutError, OSError)
 
 
 class HttpTargetClient:
-    """Calls to targets; meets :class:`~cowslipcourse.ports.TargetClient`.
+    """Client of targets; implements :class:`~cowslipcourse.ports.TargetClient`.
 
     :param settings: :class:`~cowslipcourse.settings.TargetSettings`
     """
@@ -45,13 +45,15 @@
         timeout = aiohttp.ClientTimeout(total=self._settings.probe_timeout_s)
         try:
             url = f"{address}/status"
-            async with self._client().get(url, timeout=timeout) as response:
+            async with self._get_session().get(url, timeout=timeout) as response:
                 content = await response.read()
                 status = response.status
-        except _NETWORK as error:
+        except _NETWORK_ERRORS as error:
             raise TargetUnreachable(repr(error), sent=False) from error
         if status != 200:
-            raise TargetUnreachable(f"status answered {status}", sent=False)
+            raise TargetUnreachable(
+                f"status request got HTTP status {status}", sent=False
+            )
         return _decode_status(content)
 
     async def order(self, address, order):
@@ -59,17 +61,17 @@
         timeout = aiohttp.ClientTimeout(total=self._settings.order_timeout_s)
         content = msgspec.json.encode(order._asdict())
         try:
-            async with self._client().post(
+            async with self._get_session().post(
                 f"{address}/orders", data=content, timeout=timeout
             ) as response:
-                answer = await response.read()
+                response_body = await response.read()
                 status = response.status
-        except _NETWORK as error:
+        except _NETWORK_ERRORS as error:
             raise TargetUnreachable(repr(error)) from error
-        if status == HTTP_REFUSED:
-            raise TargetRefused(_reason(answer))
+        if status == HTTP_CONFLICT:
+            raise TargetRefused(_refusal_reason(response_body))
         if status != 200:
-            raise TargetUnreachable(f"order answered {status}")
+            raise TargetUnreachable(f"order got HTTP status {status}")
 
     async def generate(self, address, request):
         """See :class:`~cowslipcourse.ports.TargetClient`."""
@@ -85,35 +87,35 @@
         timeout = aiohttp.ClientTimeout(
             total=None, sock_connect=self._settings.connect_timeout_s
         )
-        silence = _Silence(self._settings.token_timeout_s)
+        silence_timeout = _SilenceTimeout(self._settings.token_timeout_s)
         try:
-            async with self._client().post(
+            async with self._get_session().post(
                 f"{address}/generate",
                 data=request.body,
                 headers=headers,
                 timeout=timeout,
             ) as response:
-                await _check_started(response, request)
-                silence.watch(response)
+                await _check_response_start(response, request)
+                silence_timeout.start(response)
                 yield []
-                async for batch in _event_batches(response, silence):
+                async for batch in _event_batches(response, silence_timeout):
                     yield batch
-        except _NOT_SENT as error:
+        except _CONNECT_ERRORS as error:
             raise TargetUnreachable(repr(error), sent=False) from error
-        except _NETWORK as error:
+        except _NETWORK_ERRORS as error:
             raise TargetUnreachable(repr(error)) from error
         finally:
-            silence.stop()
+            silence_timeout.stop()
 
     async def cancel(self, address, attempt_id):
         """See :class:`~cowslipcourse.ports.TargetClient`."""
         timeout = aiohttp.ClientTimeout(total=self._settings.order_timeout_s)
         try:
-            async with self._client().post(
+            async with self._get_session().post(
                 f"{address}/cancel", params={"attempt": attempt_id}, timeout=timeout
             ):
                 return
-        except _NETWORK:
+        except _NETWORK_ERRORS:
             return
 
     async def refuses_connections(self, address):
@@ -128,31 +130,31 @@
         )
         headers = {"x-attempt": attempt_id, "content-type": "application/json"}
         try:
-            async with self._client().post(
+            async with self._get_session().post(
                 f"{address}/call/{operation}",
                 data=body,
                 headers=headers,
                 timeout=timeout,
             ) as response:
-                answer = await response.read()
-        except _NOT_SENT as error:
+                response_body = await response.read()
+        except _CONNECT_ERRORS as error:
             raise TargetUnreachable(repr(error), sent=False) from error
-        except _NETWORK as error:
+        except _NETWORK_ERRORS as error:
             raise TargetUnreachable(repr(error)) from error
         if response.headers.get("x-attempt") != attempt_id:
-            raise MalformedResponse("answer to another call")
-        if response.status == HTTP_REFUSED and "x-not-started" in response.headers:
-            raise TargetRefused(_reason(answer))
-        return ServiceResponse(response.status, response.content_type, answer)
+            raise MalformedResponse("response to another call")
+        if response.status == HTTP_CONFLICT and "x-not-started" in response.headers:
+            raise TargetRefused(_refusal_reason(response_body))
+        return ServiceResponse(response.status, response.content_type, response_body)
 
     async def close(self):
         """Close the connections."""
         if self._session is not None:
             await self._session.close()
 
-    def _client(self):
+    def _get_session(self):
         if self._session is None:
-            # Retried by the client itself, a request could run twice.
+            # A request that the HTTP client retried by itself could run twice.
             connector = aiohttp.TCPConnector(limit=0, keepalive_timeout=15)
             self._session = aiohttp.ClientSession(connector=connector)
         return self._session
@@ -165,69 +167,75 @@
         prefixes = tuple(found.pop("prefixes", ()))
         return EngineStatus(**found, load=load, prefixes=prefixes)
     except (msgspec.DecodeError, TypeError, AttributeError) as error:
-        raise MalformedResponse(f"unreadable status: {error!r}") from error
+        raise MalformedResponse(f"cannot decode status: {error!r}") from error
 
 
-def _reason(answer):
+def _refusal_reason(response_body):
     try:
-        return str(msgspec.json.decode(answer)["reason"])
+        return str(msgspec.json.decode(response_body)["reason"])
     except (msgspec.DecodeError, KeyError, TypeError):
         return "unreadable"
 
 
-async def _check_started(response, request):
-    if response.status == HTTP_REFUSED:
-        raise TargetRefused(_reason(await response.read()))
+async def _check_response_start(response, request):
+    if response.status == HTTP_CONFLICT:
+        raise TargetRefused(_refusal_reason(await response.read()))
     if response.status != 200:
-        raise TargetUnreachable(f"generate answered {response.status}")
+        raise TargetUnreachable(f"generate request got HTTP status {response.status}")
     expected = (request.attempt_id, request.group, str(request.epoch))
     found = tuple(response.headers.get(n) for n in ("x-attempt", "x-group", "x-epoch"))
     if found != expected:
-        raise MalformedResponse(f"answer of {found}, expected {expected}")
+        raise MalformedResponse(
+            f"response has attempt, group and epoch {found}, expected {expected}"
+        )
 
 
-class _Silence:
-    """Closes a response that stays silent too long.
+class _SilenceTimeout:
+    """Closes a response on which no bytes arrive.
 
-    It looks at intervals instead of setting a timer for each token, which would cost
-    more than everything else that is done for a token.
+    Checks at intervals: a timer for each token would cost more than everything else
+    that is done for a token. The response is closed after one to two intervals without
+    bytes.
 
-    :param limit_s: seconds without a byte.
+    :param timeout_s: seconds between checks.
+    :ivar has_received: whether bytes have arrived since the last check.
     """
 
-    def __init__(self, limit_s):
-        self._limit_s = limit_s
+    def __init__(self, timeout_s):
+        self._timeout_s = timeout_s
         self._response = None
-        self._handle = None
-        self.heard = False
+        self._timer = None
+        self.has_received = False
 
-    def watch(self, response):
-        """Start to watch."""
+    def start(self, response):
+        """Start to check a response."""
         self._response = response
-        self._handle = asyncio.get_running_loop().call_later(self._limit_s, self._look)
+        self._timer = asyncio.get_running_loop().call_later(
+            self._timeout_s, self._check
+        )
 
     def stop(self):
-        """Stop to watch."""
-        if self._handle is not None:
-            self._handle.cancel()
+        """Stop to check."""
+        if self._timer is not None:
+            self._timer.cancel()
 
-    def _look(self):
-        if not self.heard:
+    def _check(self):
+        if not self.has_received:
             self._response.close()
             return
-        self.heard = False
-        self.watch(self._response)
-
-
-async def _event_batches(response, silence):
-    """Yield the whole events of each piece read from the connection."""
-    rest = b""
-    async for piece in response.content.iter_any():
-        silence.heard = True
-        *events, rest = (rest + piece).split(EVENT_END)
-        if len(rest) > MAX_EVENT_BYTES:
-            raise MalformedResponse("an event is too long")
+        self.has_received = False
+        self.start(self._response)
+
+
+async def _event_batches(response, silence_timeout):
+    """Yield the complete events of each chunk read from the connection."""
+    incomplete_event = b""
+    async for chunk in response.content.iter_any():
+        silence_timeout.has_received = True
+        *events, incomplete_event = (incomplete_event + chunk).split(EVENT_SEPARATOR)
+        if len(incomplete_event) > MAX_EVENT_BYTES:
+            raise MalformedResponse("an event exceeds the maximum length")
         if events:
             yield events
-    if rest:
+    if incomplete_event:
         raise TargetUnreachable("the stream ended inside an event")
--- a/cowslipcourse/adapters/web.py
+++ b/cowslipcourse/adapters/web.py
@@ -1,4 +1,4 @@
-"""HTTP servers that run inside a daemon's own event loop."""
+"""HTTP server and streamed responses in a daemon's event loop."""
 
 import asyncio
 import socket
@@ -12,12 +12,13 @@
 
 
 class WebServer:
-    """A uvicorn server that leaves signals to the daemon.
+    """A uvicorn server that leaves signal handling to the daemon.
 
     :param app: ASGI application.
     :param address: ``ip:port`` to listen on.
-    :param backlog: connections that may wait to be accepted.
-    :param limit_concurrency: connections and tasks beyond which 503 is answered.
+    :param backlog: maximum number of connections that wait to be accepted.
+    :param limit_concurrency: number of connections or tasks above which requests get
+        status 503; ``None`` for no limit.
     """
 
     def __init__(self, app, address, backlog=2048, limit_concurrency=None):
@@ -46,21 +47,21 @@
         return len(self._server.server_state.connections)
 
     async def start(self):
-        """Start to listen; returns once connections are accepted.
+        """Start to listen; return once connections are accepted.
 
-        The server's own loop is not run: ten times a second it would renew the date
-        header and look for signals, neither of which is used here. With five servers a
-        daemon that is fifty wake-ups a second.
+        uvicorn's main loop is not run: ten times per second it would update the date
+        header and check for signals, neither of which is used here. With five servers
+        per daemon that is fifty wake-ups per second.
 
-        :raises AddressTaken: if the address cannot be listened on.
+        :raises AddressTaken: the server cannot listen on the address.
         """
-        # Left to bind by itself, the server ends the process without a word.
-        listening = self._listen()
+        # If uvicorn fails to bind a socket itself, it exits the process silently.
+        listening_socket = self._create_socket()
         self._server.config.load()
         self._server.lifespan = self._server.config.lifespan_class(self._server.config)
-        await self._server.startup(sockets=[listening])
+        await self._server.startup(sockets=[listening_socket])
 
-    def _listen(self):
+    def _create_socket(self):
         host, port = self._address.rsplit(":", 1)
         try:
             return socket.create_server((host, int(port)), backlog=self._backlog)
@@ -70,7 +71,7 @@
     async def stop(self, grace_s=1.0):
         """Stop listening and close connections that are idle.
 
-        :param grace_s: seconds that responses in progress get.
+        :param grace_s: seconds that responses in progress have to complete.
         """
         try:
             await asyncio.wait_for(self._server.shutdown(), grace_s)
@@ -79,42 +80,46 @@
 
 
 class StreamedResponse:
-    """An answer sent in pieces, with as little as possible done for each piece.
+    """A response sent in chunks, with minimal work for each chunk.
 
-    If the caller leaves, the pieces are closed at once.
+    If the caller disconnects, the generator of the chunks is closed immediately.
 
-    :param pieces: asynchronous generator of bytes.
-    :param headers: additional headers.
+    :param chunks: asynchronous generator of bytes.
+    :param headers: additional headers by name.
     :param media_type: value of ``Content-Type``.
     """
 
-    def __init__(self, pieces, headers, media_type):
-        self._pieces = pieces
-        fields = {"content-type": media_type, **headers}
-        self._headers = [(k.lower().encode(), v.encode()) for k, v in fields.items()]
+    def __init__(self, chunks, headers, media_type):
+        self._chunks = chunks
+        headers_by_name = {"content-type": media_type, **headers}
+        self._headers = [
+            (k.lower().encode(), v.encode()) for k, v in headers_by_name.items()
+        ]
 
     async def __call__(self, scope, receive, send):
         """See the ASGI specification."""
-        sending = asyncio.create_task(self._send(send))
-        leaving = asyncio.create_task(_wait_disconnect(receive))
+        send_task = asyncio.create_task(self._send(send))
+        disconnect_task = asyncio.create_task(_wait_until_disconnected(receive))
         try:
-            await asyncio.wait((sending, leaving), return_when=asyncio.FIRST_COMPLETED)
+            await asyncio.wait(
+                (send_task, disconnect_task), return_when=asyncio.FIRST_COMPLETED
+            )
         finally:
-            leaving.cancel()
-            sending.cancel()
-            await asyncio.gather(sending, return_exceptions=True)
+            disconnect_task.cancel()
+            send_task.cancel()
+            await asyncio.gather(send_task, return_exceptions=True)
 
     async def _send(self, send):
         start = {"type": "http.response.start", "status": 200, "headers": self._headers}
-        piece_message = {"type": "http.response.body", "body": b"", "more_body": True}
-        async with aclosing(self._pieces) as pieces:
+        chunk_message = {"type": "http.response.body", "body": b"", "more_body": True}
+        async with aclosing(self._chunks) as chunks:
             await send(start)
-            async for piece in pieces:
-                piece_message["body"] = piece
-                await send(piece_message)
+            async for chunk in chunks:
+                chunk_message["body"] = chunk
+                await send(chunk_message)
         await send({"type": "http.response.body", "body": b"", "more_body": False})
 
 
-async def _wait_disconnect(receive):
+async def _wait_until_disconnected(receive):
     while (await receive())["type"] != "http.disconnect":
         continue
--- a/cowslipcourse/config/documents.py
+++ b/cowslipcourse/config/documents.py
@@ -16,7 +16,7 @@
 from cowslipcourse.config.edits import Change
 from cowslipcourse.config.objects import KINDS, ObjectRef
 from cowslipcourse.exceptions import ConfigurationError, Problem
-from cowslipcourse.validation import describe_errors
+from cowslipcourse.validation import describe_errors, suggest_key
 
 __all__ = ["parse_documents"]
 
--- a/cowslipcourse/gateway/main.py
+++ b/cowslipcourse/gateway/main.py
@@ -5,7 +5,7 @@
 import sys
 
 from cowslipcourse.adapters.log import get_logger
-from cowslipcourse.adapters.metrics import open_metrics
+from cowslipcourse.adapters.metrics import create_metrics
 from cowslipcourse.adapters.platform import HttpPlatformClient
 from cowslipcourse.adapters.targets import HttpTargetClient
 from cowslipcourse.adapters.web import WebServer
@@ -103,7 +103,7 @@
             ),
             quarantine=make_quarantine(agent, fleet_view, targets, platform),
             outcomes=OutcomeStore(settings.limits, now()),
-            metrics=open_metrics(settings.statsd),
+            metrics=create_metrics(settings.statsd),
             rng=rng,
             spawn=BackgroundTasks(),
         )
