--- a/features/support/membership_variants.py
+++ b/features/support/membership_variants.py
@@ -16,22 +16,22 @@
 
     def accepted(number, revision, last_accepted, now):
         newest = revision._replace(lists=revision.lists[-1:])
-        return AcceptanceRule._accepted(rule, number, newest, last_accepted, now)
+        return AcceptanceRule._is_accepted(rule, number, newest, last_accepted, now)
 
-    rule._accepted = accepted
+    rule._is_accepted = accepted
 
 
 def _accept_half_as_majority(node):
     """Accept half of a member list where more than half is needed."""
     rule = node._acceptance
 
-    def cannot_be_served(runs, number, revision, now):
+    def cannot_be_served(identities, number, revision, now):
         moved_before = now - node.times.eviction_s
         gone = sum(
-            rule._has_moved_past(run, number, revision, moved_before)
-            for run in runs.values()
+            rule._has_moved_past(identity, number, revision, moved_before)
+            for identity in identities.values()
         )
-        return 2 * gone >= len(runs)
+        return 2 * gone >= len(identities)
 
     rule._cannot_be_served = cannot_be_served
 
@@ -45,8 +45,8 @@
     """Count members that have a newer revision without learning it from them."""
     contacts = node._contacts
     confirms_revision = contacts.confirms_revision
-    contacts.confirms_revision = lambda member, revision, now, within_s: (
-        confirms_revision(member, 10**9, now, within_s)
+    contacts.confirms_revision = lambda member, revision, now, max_age_s: (
+        confirms_revision(member, 10**9, now, max_age_s)
     )
     node._with_configuration = lambda revision: None
 
