--- a/features/steps/accounting_steps.py
+++ b/features/steps/accounting_steps.py
@@ -61,10 +61,10 @@
 
 
 @given(
-    "a route with an objective of {objective:f} s and a pause limit of "
-    "{pause_limit:f} s"
+    "a route with an objective of {objective_s:f} s and a pause limit of "
+    "{pause_limit_s:f} s"
 )
-def step_route(context, objective, pause_limit):
+def step_route(context, objective_s, pause_limit_s):
     context.route = Route(
         "r",
         "h",
@@ -72,17 +72,17 @@
         RequestKind.STREAMING,
         (("llm", 1.0),),
         6.0,
-        objective,
-        pause_limit_s=pause_limit,
+        objective_s,
+        pause_limit_s=pause_limit_s,
     )
 
 
 @when(
-    "a stream waits {slot:f} s for a slot and takes {first_event:f} s to its first "
-    "event with pauses of {pause:f} s and {attempts:d} attempts"
+    "a stream waits {slot_wait_s:f} s for a slot and takes {first_event_s:f} s to its "
+    "first event with pauses of {pause_s:f} s and {attempts:d} attempts"
 )
-def step_stream_times(context, slot, first_event, pause, attempts):
-    times = StreamTimes(slot, first_event, pause, attempts)
+def step_stream_times(context, slot_wait_s, first_event_s, pause_s, attempts):
+    times = StreamTimes(slot_wait_s, first_event_s, pause_s, attempts)
     context.cause = late_cause(context.route, times)
 
 
--- a/features/steps/exchange_steps.py
+++ b/features/steps/exchange_steps.py
@@ -57,14 +57,17 @@
     assert not context.is_kept
 
 
-@then("the pool reuses the connection after {reused:f} s and not after {expired:f} s")
-def step_pool_reuses(context, reused, expired):
+@then(
+    "the pool reuses the connection after {reused_age_s:f} s and not after "
+    "{expired_age_s:f} s"
+)
+def step_pool_reuses(context, reused_age_s, expired_age_s):
     async def try_ages():
         target = ScriptedTarget(*context.script)
         server = await asyncio.start_server(target.serve, "127.0.0.1", context.port)
         is_reused = []
         async with server:
-            for age_s in (reused, expired):
+            for age_s in (reused_age_s, expired_age_s):
                 pool = ConnectionPool(1.0)
                 connection = await pool.acquire("key", context.address)
                 await send_request(connection)
--- a/features/steps/forwarding_steps.py
+++ b/features/steps/forwarding_steps.py
@@ -217,11 +217,11 @@
 
 
 @given(
-    "{daemons:d} daemons that see each other's counts {delay:f} s late, and "
+    "{daemons:d} daemons that see each other's counts {delay_s:f} s late, and "
     "{groups:d} groups"
 )
-def step_burst_fleet(context, daemons, delay, groups):
-    context.burst_fleet = daemons, delay, groups
+def step_burst_fleet(context, daemons, delay_s, groups):
+    context.burst_fleet = daemons, delay_s, groups
 
 
 def _simulate_burst(burst_fleet, rate, duration_s, answer_s, sample_size):
@@ -264,16 +264,14 @@
     return max_load_ratio
 
 
-@when(
-    "{rate:d} requests a second arrive for {duration:d} s, each for {answer_time:f} s"
-)
-def step_burst(context, rate, duration, answer_time):
+@when("{rate:d} requests a second arrive for {duration_s:d} s, each for {answer_s:f} s")
+def step_burst(context, rate, duration_s, answer_s):
     burst_fleet = context.burst_fleet
     context.sampled = _simulate_burst(
-        burst_fleet, rate, duration, answer_time, choosing.SAMPLE_SIZE
+        burst_fleet, rate, duration_s, answer_s, choosing.SAMPLE_SIZE
     )
     context.greedy = _simulate_burst(
-        burst_fleet, rate, duration, answer_time, burst_fleet[2]
+        burst_fleet, rate, duration_s, answer_s, burst_fleet[2]
     )
 
 
--- a/features/steps/head_steps.py
+++ b/features/steps/head_steps.py
@@ -91,17 +91,17 @@
 
 
 @given(
-    "a load of {rate:d} requests a second for {duration:f} s while g1 ends at "
+    "a load of {rate:d} requests a second for {duration_s:f} s while g1 ends at "
     "{ended_at:f} s and g2 opens at {opened_at:f} s"
 )
-def step_request_load(context, rate, duration, ended_at, opened_at):
-    context.request_times = [number / rate for number in range(int(rate * duration))]
+def step_request_load(context, rate, duration_s, ended_at, opened_at):
+    context.request_times = [number / rate for number in range(int(rate * duration_s))]
     context.ended_at, context.opened_at = ended_at, opened_at
 
 
-@given("a list that is {delay:f} s late")
-def step_list_delay(context, delay):
-    context.list_delay_s = delay
+@given("a list that is {delay_s:f} s late")
+def step_list_delay(context, delay_s):
+    context.list_delay_s = delay_s
 
 
 def _simulate(context, with_updates):
--- a/features/steps/peer_steps.py
+++ b/features/steps/peer_steps.py
@@ -109,7 +109,7 @@
 
 
 @when("b1 has been silent for longer than the liveness time-out")
-def step_b1_silent(context):
+def step_b1_timed_out(context):
     context.now += PeerSettings().alive_s
     _receive_digest(context, "b2", 50, 3)
 
--- a/features/steps/placing_steps.py
+++ b/features/steps/placing_steps.py
@@ -18,38 +18,40 @@
 DEEP_QUEUE_LENGTH = 13
 
 
-@given("a route with a time-out of {timeout:d} s and an objective of {objective:f} s")
-def step_route(context, timeout, objective):
+@given(
+    "a route with a time-out of {timeout_s:d} s and an objective of {objective_s:f} s"
+)
+def step_route(context, timeout_s, objective_s):
     context.route = Route(
         "query",
         "h",
         "/",
         RequestKind.STREAMING,
         (("llm", 1.0),),
-        float(timeout),
-        objective,
+        float(timeout_s),
+        objective_s,
     )
 
     context.wait_estimator = PriorWaitEstimator()
 
 
-def _evenly_spaced_budgets_s(count, low, high):
-    return [low + (high - low) * index / count for index in range(count)]
+def _evenly_spaced_budgets_s(count, low_s, high_s):
+    return [low_s + (high_s - low_s) * index / count for index in range(count)]
 
 
-@when("{request_count:d} new requests come with budgets from {low:f} to {high:f} s")
-def step_new_requests(context, request_count, low, high):
-    for budget_s in _evenly_spaced_budgets_s(request_count, low, high):
+@when("{request_count:d} new requests come with budgets from {low_s:f} to {high_s:f} s")
+def step_new_requests(context, request_count, low_s, high_s):
+    for budget_s in _evenly_spaced_budgets_s(request_count, low_s, high_s):
         context.wait_estimator.observe(context.route, budget_s)
 
 
 @when(
-    "{request_count:d} retried requests come with budgets from {low:f} to {high:f} s, "
-    "one new one to each three"
+    "{request_count:d} retried requests come with budgets from {low_s:f} to "
+    "{high_s:f} s, one new one to each three"
 )
-def step_retried_requests(context, request_count, low, high):
+def step_retried_requests(context, request_count, low_s, high_s):
     for index, budget_s in enumerate(
-        _evenly_spaced_budgets_s(request_count, low, high)
+        _evenly_spaced_budgets_s(request_count, low_s, high_s)
     ):
         context.wait_estimator.observe(context.route, budget_s)
         if index % 3 == 0:
@@ -61,14 +63,14 @@
     return can_meet_objective(context.route, prior_wait_s)
 
 
-@then("a new request with a budget of {budget:f} s can meet the objective")
-def step_new_can_meet_objective(context, budget):
-    assert _can_meet_objective(context, budget)
+@then("a new request with a budget of {budget_s:f} s can meet the objective")
+def step_new_can_meet_objective(context, budget_s):
+    assert _can_meet_objective(context, budget_s)
 
 
-@then("a retried request with a budget of {budget:f} s cannot")
-def step_retried_cannot_meet_objective(context, budget):
-    assert not _can_meet_objective(context, budget)
+@then("a retried request with a budget of {budget_s:f} s cannot")
+def step_retried_cannot_meet_objective(context, budget_s):
+    assert not _can_meet_objective(context, budget_s)
 
 
 @when("requests of {route_count:d} routes come, one after the other")
@@ -115,12 +117,12 @@
 
 
 @given(
-    "{groups:d} groups that run {slots:d} requests at once, for {run:f} s each, and an "
-    "objective of {objective:f} s"
+    "{groups:d} groups that run {slots:d} requests at once, for {run_s:f} s each, and "
+    "an objective of {objective_s:f} s"
 )
-def step_groups(context, groups, slots, run, objective):
+def step_groups(context, groups, slots, run_s, objective_s):
     context.load = SimpleNamespace(
-        groups=groups, slots=slots, run_s=run, objective_s=objective
+        groups=groups, slots=slots, run_s=run_s, objective_s=objective_s
     )
 
 
@@ -209,14 +211,14 @@
 
 
 @when(
-    "{factor:f} times as many requests come as the groups can run, for {duration:d} s"
+    "{factor:f} times as many requests come as the groups can run, for {duration_s:d} s"
 )
-def step_overload(context, factor, duration):
+def step_overload(context, factor, duration_s):
     load = context.load
     rate = factor * load.groups * load.slots / load.run_s
-    context.waits = _OverloadSimulation(load, _choose_by_rule).run(rate, duration)
+    context.waits = _OverloadSimulation(load, _choose_by_rule).run(rate, duration_s)
     context.deep_queue_waits = _OverloadSimulation(load, _choose_with_deep_queue).run(
-        rate, duration
+        rate, duration_s
     )
 
 
--- a/features/steps/size_steps.py
+++ b/features/steps/size_steps.py
@@ -105,12 +105,12 @@
 
 
 @when(
-    "195 daemons of 5 data centres start within {within:d} s, "
+    "195 daemons of 5 data centres start within {within_s:d} s, "
     "losing {lost:d} in 100 datagrams"
 )
-def step_start_all(context, within, lost):
+def step_start_all(context, within_s, lost):
     network = DaemonNetwork(NetworkShape(5, 39, loss_rate=lost / 100))
-    context.role_samples = run_paused(network.start_all(within, 4))
+    context.role_samples = run_paused(network.start_all(within_s, 4))
 
 
 @when(
@@ -240,16 +240,16 @@
 
 
 @then(
-    "all daemons of its data centre know within {local:f} s, and all others within "
-    "{remote:f} s"
+    "all daemons of its data centre know within {local_s:f} s, and all others within "
+    "{remote_s:f} s"
 )
-def step_burst_known(context, local, remote):
+def step_burst_known(context, local_s, remote_s):
     data_centre_by_name = {
         d.settings.name: d.settings.data_centre for d in context.network.daemons
     }
     assert len(context.delays_s) == len(data_centre_by_name) - 1, len(context.delays_s)
     for name, delay_s in context.delays_s.items():
-        limit_s = local if data_centre_by_name[name] == "hall-0" else remote
+        limit_s = local_s if data_centre_by_name[name] == "hall-0" else remote_s
         assert delay_s <= limit_s + CHECK_INTERVAL_S / 2, (name, delay_s)
 
 
@@ -304,8 +304,8 @@
 @given("two reporters r1 and r2 of a large data centre, registered in this order")
 def step_reporters(context):
     context.now = 50.0
-    context.views = {name: PeerRegistry(PeerSettings(), "north") for name in "12"}
-    for registry in context.views.values():
+    context.registries = {name: PeerRegistry(PeerSettings(), "north") for name in "12"}
+    for registry in context.registries.values():
         for number in range(9):
             peer_heartbeat = heartbeat(f"d{number}", 20 + number)
             registry.record_heartbeat(
@@ -314,7 +314,7 @@
 
 
 def _receive_heartbeats(context, names):
-    for own, registry in context.views.items():
+    for own, registry in context.registries.items():
         for name in names:
             if name != own:
                 peer_heartbeat = heartbeat(
@@ -336,7 +336,7 @@
 
 def _is_active_reporter(context, name):
     own = heartbeat(f"r{name}", int(name))
-    return context.views[name].is_active_reporter(own, context.now)
+    return context.registries[name].is_active_reporter(own, context.now)
 
 
 @then("r1 is the active reporter in the view of both")
--- a/features/steps/stopping_steps.py
+++ b/features/steps/stopping_steps.py
@@ -62,9 +62,9 @@
     return starts[0]
 
 
-@given("a daemon whose streams took up to {longest} s")
-def step_daemon(context, longest):
-    context.longest_s = None if longest == "unknown" else float(longest)
+@given("a daemon whose streams took up to {longest_s} s")
+def step_daemon(context, longest_s):
+    context.longest_s = None if longest_s == "unknown" else float(longest_s)
 
 
 def _run_daemon(context, remaining_s):
@@ -83,9 +83,9 @@
     run_paused(run())
 
 
-@when("it stops, with {remaining:f} s left, and a stream comes")
-def step_stream_while_stopping(context, remaining):
-    _run_daemon(context, remaining)
+@when("it stops, with {remaining_s:f} s left, and a stream comes")
+def step_stream_while_stopping(context, remaining_s):
+    _run_daemon(context, remaining_s)
 
 
 @when("a stream comes to the running daemon")
--- a/features/steps/urgency_steps.py
+++ b/features/steps/urgency_steps.py
@@ -43,9 +43,11 @@
     context.workspace = Workspace("crew", _parse_number(priority, int))
 
 
-@when("a request with a budget of {budget} s has waited {waited:f} s")
-def step_request_waited(context, budget, waited):
-    waited_s = _make_estimator().observe(context.route, _parse_number(budget)) + waited
+@when("a request with a budget of {budget_s} s has waited {local_wait_s:f} s")
+def step_request_waited(context, budget_s, local_wait_s):
+    waited_s = (
+        _make_estimator().observe(context.route, _parse_number(budget_s)) + local_wait_s
+    )
     context.urgency = urgency(context.route, context.workspace, waited_s)
 
 
@@ -54,19 +56,19 @@
     assert context.urgency == expected, context.urgency
 
 
-@given("a group that runs {slots:d} requests at once for {run:f} s each")
-def step_group(context, slots, run):
+@given("a group that runs {slots:d} requests at once for {run_s:f} s each")
+def step_group(context, slots, run_s):
     context.slots = slots
-    context.run_s = run
+    context.run_s = run_s
 
 
 @when(
-    "{retrying:d} callers retry after an outage of {outage:f} s and {new:d} new ones "
+    "{retrying:d} callers retry after an outage of {outage_s:f} s and {new:d} new ones "
     "come in the next second"
 )
-def step_arrivals(context, retrying, outage, new):
+def step_arrivals(context, retrying, outage_s, new):
     # Time of arrival and prior wait, in seconds.
-    retries = [(0.0, outage * (1 - number / retrying)) for number in range(retrying)]
+    retries = [(0.0, outage_s * (1 - number / retrying)) for number in range(retrying)]
     new_requests = [(number / new, 0.0) for number in range(new)]
     context.arrivals = sorted(retries + new_requests)
 
--- a/features/support/outside.py
+++ b/features/support/outside.py
@@ -214,14 +214,14 @@
 }
 
 
-def _packable(value):
+def _limit_ints(value):
     """Return a JSON value without integers that MessagePack cannot hold."""
     if isinstance(value, int) and not isinstance(value, bool):
         return min(value, (1 << 63) - 1)
     if isinstance(value, list):
-        return [_packable(item) for item in value]
+        return [_limit_ints(item) for item in value]
     if isinstance(value, dict):
-        return {key: _packable(item) for key, item in value.items()}
+        return {key: _limit_ints(item) for key, item in value.items()}
     return value
 
 
@@ -262,17 +262,17 @@
     ),
     "heartbeat": (
         _message_to_json(_HEARTBEAT),
-        lambda value: decode(pack(b"H" + msgspec.msgpack.encode(_packable(value)))),
+        lambda value: decode(pack(b"H" + msgspec.msgpack.encode(_limit_ints(value)))),
         _check_heartbeat,
     ),
     "target changes": (
         _message_to_json(_CHANGES._replace(changed={})),
-        lambda value: decode(pack(b"T" + msgspec.msgpack.encode(_packable(value)))),
+        lambda value: decode(pack(b"T" + msgspec.msgpack.encode(_limit_ints(value)))),
         _check_changes,
     ),
     "peer state": (
         _message_to_json(_STATE._replace(configuration=None, targets={})),
-        lambda value: decode_state(pack(msgspec.msgpack.encode(_packable(value)))),
+        lambda value: decode_state(pack(msgspec.msgpack.encode(_limit_ints(value)))),
         _check_state,
     ),
     "store rows": (
