--- a/cowslipcourse/entry/daemon.py
+++ b/cowslipcourse/entry/daemon.py
@@ -292,7 +292,7 @@
             self._update_daemon_count(asyncio.get_running_loop().time())
             self._context.attempt_sender.close_stale_connections()
             self._metrics.set_state("in_flight", self._front.in_flight)
-            self._metrics.set_state("quarantined", self.quarantine.size)
+            self._metrics.set_state("quarantined", self.quarantine.verdict_count)
             self._metrics.set_group_counts(
                 group_counter.count(self._context.table, self._fleet)
             )
--- a/cowslipcourse/entry/peer_link.py
+++ b/cowslipcourse/entry/peer_link.py
@@ -86,7 +86,7 @@
     def _send_heartbeats(self):
         """Send a heartbeat to the reporters, and to all others when it is due."""
         now = asyncio.get_running_loop().time()
-        self._registry.expire(now)
+        self._registry.drop_expired(now)
         own_heartbeat = self._daemon.heartbeat()
         reporters = self._registry.reporter_addresses(own_heartbeat, now)
         frequent_heartbeat = own_heartbeat._replace(
--- a/cowslipcourse/membership/__init__.py
+++ b/cowslipcourse/membership/__init__.py
@@ -1,4 +1,4 @@
-"""Who belongs to the system, who may serve, and what is in force everywhere."""
+"""Members of the system, and the rules for serving and for accepting revisions."""
 
 from cowslipcourse.membership.acceptance import AcceptanceRule
 from cowslipcourse.membership.contacts import Contact, Contacts
--- a/cowslipcourse/membership/contacts.py
+++ b/cowslipcourse/membership/contacts.py
@@ -109,9 +109,9 @@
             is_same_incarnation = (
                 contact is not None and contact.incarnation == member.incarnation
             )
-            since = self._expected_since.get((member.name, member.incarnation), now)
-            heard_at = contact.sent_at if is_same_incarnation else since
-            if now - heard_at > silence_limit_s:
+            listed_at = self._expected_since.get((member.name, member.incarnation), now)
+            last_answer_at = contact.sent_at if is_same_incarnation else listed_at
+            if now - last_answer_at > silence_limit_s:
                 names.add(member.name)
         return frozenset(names)
 
--- a/cowslipcourse/membership/node.py
+++ b/cowslipcourse/membership/node.py
@@ -1,7 +1,7 @@
 """State machine of one daemon's membership, without sockets, tasks or a clock.
 
-:class:`~cowslipcourse.daemon.Agent` runs it over the network; tests run many of
-them over a simulated network.
+:class:`~cowslipcourse.daemon.Agent` runs it over the network; tests run many of them
+over a simulated network.
 """
 
 from cowslipcourse.membership.acceptance import AcceptanceRule
@@ -26,10 +26,10 @@
         self._member = member
         self._times = times
         self._contacts = Contacts(2 * times.eviction_s)
-        self._rule = ServingRule(member, times, self._contacts)
-        self._acceptance = AcceptanceRule(times, self._contacts)
+        self._serving_rule = ServingRule(member, times, self._contacts)
+        self._acceptance_rule = AcceptanceRule(times, self._contacts)
         self._records = RecordStore(record_keep_s)
-        self._positions = {}
+        self._record_positions = {}
 
     @property
     def member(self):
@@ -54,7 +54,7 @@
     @property
     def revision(self):
         """The revision that this daemon runs, or ``None``."""
-        return self._rule.revision
+        return self._serving_rule.revision
 
     @property
     def revision_number(self):
@@ -74,14 +74,14 @@
 
     def may_serve(self, now):
         """Return whether this daemon may accept new work."""
-        return self._rule.update(now)
+        return self._serving_rule.update(now)
 
     def silent_members(self, now):
         """Return the names of members that have not answered for ``eviction_s``."""
         return self._contacts.silent_members(self.peers, now, self._times.eviction_s)
 
     def silent_to_majority(self, now):
-        """Return the silent members that most responsive members cannot reach either.
+        """Return names of silent members that most responsive ones cannot reach either.
 
         This daemon counts as one of the responsive members.
         """
@@ -102,7 +102,9 @@
 
     def members_behind(self):
         """Return the names of members not known to run the newest revision."""
-        return self._acceptance.members_behind(self.revision) if self.revision else []
+        return (
+            self._acceptance_rule.members_behind(self.revision) if self.revision else []
+        )
 
     def newest_accepted(self, last_accepted, now):
         """Return the number of the newest accepted revision.
@@ -111,11 +113,11 @@
         """
         if not self.may_serve(now):
             return last_accepted
-        return self._acceptance.newest_accepted(self.revision, last_accepted, now)
+        return self._acceptance_rule.newest_accepted(self.revision, last_accepted, now)
 
     def build_heartbeat(self, member, now):
         """Return the :class:`Heartbeat` to send to a member."""
-        incarnation, position = self._positions.get(member.name, ("", 0))
+        incarnation, position = self._record_positions.get(member.name, ("", 0))
         revision = self.revision
         return Heartbeat(
             name=self._member.name,
@@ -129,7 +131,7 @@
 
     def answer(self, heartbeat, now):
         """Return the :class:`HeartbeatAnswer`; the sender need not be a member."""
-        serving = self.may_serve(now)
+        may_serve = self.may_serve(now)
         revision = self.revision
         newer_revision = None
         if revision is not None and heartbeat.revision < revision.number:
@@ -147,7 +149,7 @@
         return HeartbeatAnswer(
             incarnation=self._member.incarnation,
             revision=self.revision_number,
-            stopped=not serving,
+            stopped=not may_serve,
             position=self._records.position,
             silent=self.silent_members(now),
             newer_revision=newer_revision,
@@ -175,8 +177,8 @@
         )
         self._contacts.record_answer(member.name, contact, now)
         if not answer.stopped:
-            self._rule.record_peer_confirmation(answer.revision, now)
-        self._positions[member.name] = (answer.incarnation, answer.position)
+            self._serving_rule.record_peer_confirmation(answer.revision, now)
+        self._record_positions[member.name] = (answer.incarnation, answer.position)
         new_records = []
         for record in answer.records:
             # Counting from before the heartbeat was sent never understates the age.
@@ -193,14 +195,14 @@
         """
         self.may_serve(now)
         self.apply(revision, now)
-        self._rule.record_table_confirmation(revision.number, sent_at, now)
+        self._serving_rule.record_table_confirmation(revision.number, sent_at, now)
 
     def apply(self, revision, now):
         """Switch to a revision if it is newer; return whether it was.
 
         :param revision: :class:`~cowslipcourse.membership.Revision` or ``None``.
         """
-        if revision is None or not self._rule.apply(revision, now):
+        if revision is None or not self._serving_rule.apply(revision, now):
             return False
         self._contacts.record_revision(self._member.incarnation, revision.number, now)
         return True
--- a/cowslipcourse/membership/records.py
+++ b/cowslipcourse/membership/records.py
@@ -39,7 +39,7 @@
     def __init__(self, retention_s):
         self._retention_s = retention_s
         self._records = {}
-        self._positions = {}
+        self._position_by_key = {}
         self._position = 0
 
     @property
@@ -61,8 +61,8 @@
             return False
         self._position += 1
         self._records[record.key] = record
-        self._positions.pop(record.key, None)
-        self._positions[record.key] = self._position
+        self._position_by_key.pop(record.key, None)
+        self._position_by_key[record.key] = self._position
         return True
 
     def get(self, key):
@@ -79,8 +79,8 @@
         :param position: a value of :attr:`position`; 0 for all records.
         """
         changed = []
-        for key in reversed(self._positions):
-            if self._positions[key] <= position:
+        for key in reversed(self._position_by_key):
+            if self._position_by_key[key] <= position:
                 break
             changed.append(self._records[key])
         return changed
@@ -90,4 +90,4 @@
         for key, record in list(self._records.items()):
             if now - record.observed_at > self._retention_s:
                 del self._records[key]
-                del self._positions[key]
+                del self._position_by_key[key]
--- a/cowslipcourse/peers/digests.py
+++ b/cowslipcourse/peers/digests.py
@@ -33,33 +33,35 @@
         self._last_content_at = None
         self._reported_suspects = set()
 
-    def build_local_digest(self, own, now):
+    def build_local_digest(self, own_heartbeat, now):
         """Return the digest for the own data centre, or ``None`` if none is needed.
 
-        :param own: this daemon's own :class:`~cowslipcourse.peers.Heartbeat`.
+        :param own_heartbeat: this daemon's own :class:`~cowslipcourse.peers.Heartbeat`.
         :param now: loop time.
         """
         if not self._registry.is_large(now) or not self._registry.is_active_reporter(
-            own, now
+            own_heartbeat, now
         ):
             return None
-        return self._build_content_digest(own, now, self._local_members)
+        return self._build_content_digest(own_heartbeat, now, self._local_members)
 
-    def build_remote_digest(self, own, now):
+    def build_remote_digest(self, own_heartbeat, now):
         """Return the digest for reporters of other data centres.
 
         Without content it only says that this daemon is alive. When both reporters
         sent the whole content, four times a second and uncompressed, a link over which
         it was relayed to 38 daemons carried 1.9 MB/s of it.
         """
-        if self._registry.is_active_reporter(own, now) and self._is_due(own, now):
-            return self._build_content_digest(own, now, self._remote_members)
+        if self._registry.is_active_reporter(own_heartbeat, now) and self._is_due(
+            own_heartbeat, now
+        ):
+            return self._build_content_digest(own_heartbeat, now, self._remote_members)
         self._sequence += 1
-        return Digest(own.member, self._sequence, None, None, {})
+        return Digest(own_heartbeat.member, self._sequence, None, None, {})
 
-    def _is_due(self, own, now):
+    def _is_due(self, own_heartbeat, now):
         """Return whether content is due, or a new suspicion must be sent at once."""
-        suspects = set(own.suspects)
+        suspects = set(own_heartbeat.suspects)
         for heartbeat in self._registry.local_heartbeats(now):
             suspects |= set(heartbeat.suspects)
         has_new_suspects = not suspects <= self._reported_suspects
@@ -75,9 +77,9 @@
         self._last_content_at = now
         return True
 
-    def _build_content_digest(self, own, now, member_tracker):
+    def _build_content_digest(self, own_heartbeat, now, member_tracker):
         self._sequence += 1
-        local = [own, *self._registry.routable_heartbeats(now)]
+        local = [own_heartbeat, *self._registry.routable_heartbeats(now)]
         in_flight, suspects = {}, {}
         for heartbeat in local:
             suspects |= heartbeat.suspects
@@ -85,7 +87,9 @@
                 in_flight[target] = in_flight.get(target, 0) + count
         members = tuple(heartbeat.member for heartbeat in local)
         changed_members = member_tracker.changed_members(members, now)
-        return Digest(own.member, self._sequence, changed_members, in_flight, suspects)
+        return Digest(
+            own_heartbeat.member, self._sequence, changed_members, in_flight, suspects
+        )
 
 
 class _MemberListTracker:
--- a/cowslipcourse/peers/registry.py
+++ b/cowslipcourse/peers/registry.py
@@ -147,23 +147,23 @@
             received is not None and now - received.received_at < self._settings.alive_s
         )
 
-    def expire(self, now):
+    def drop_expired(self, now):
         """Drop the addresses and the load of daemons that are gone."""
-        self._forget_addresses(now)
-        remote = {
+        self._drop_expired_addresses(now)
+        remote_keys = {
             _data_centre_key(digest.reporter.data_centre)
             for digest in self.remote_digests(now)
         }
         if self._has_local_digest(now):
-            self._peer_load.retain(remote | {_data_centre_key(self._data_centre)})
+            self._peer_load.retain(remote_keys | {_data_centre_key(self._data_centre)})
             return
-        local = {
+        local_loads = {
             _daemon_key(h.member.name): h.in_flight for h in self.local_heartbeats(now)
         }
-        for name in local.keys() - self._peer_load.senders:
+        for key in local_loads.keys() - self._peer_load.senders:
             # Until now a digest included its load.
-            self._peer_load.replace(name, local[name])
-        self._peer_load.retain(local.keys() | remote)
+            self._peer_load.replace(key, local_loads[key])
+        self._peer_load.retain(local_loads.keys() | remote_keys)
 
     def heartbeat_interval_s(self, is_reporter, now):
         """Return the seconds until this daemon's next heartbeat."""
@@ -211,16 +211,16 @@
         """Whether the data centre is so large that a reporter sends it digests."""
         return len(self.local_heartbeats(now)) + 1 > SINGLE_REPORTER_DAEMONS
 
-    def reporter_addresses(self, own, now):
+    def reporter_addresses(self, own_heartbeat, now):
         """Return the addresses of the other reporters of the own data centre.
 
-        :param own: this daemon's own :class:`~cowslipcourse.peers.Heartbeat`.
+        :param own_heartbeat: this daemon's own :class:`~cowslipcourse.peers.Heartbeat`.
         """
-        names = self.reporter_names(own, now)
+        names = self.reporter_names(own_heartbeat, now)
         return [
             self._heartbeats[name].message.member.peer_address
             for name in names
-            if name != own.member.name
+            if name != own_heartbeat.member.name
         ]
 
     def remote_digests(self, now):
@@ -242,7 +242,7 @@
 
     def local_addresses(self, now):
         """Return the known addresses of daemons of the own data centre."""
-        self._forget_addresses(now)
+        self._drop_expired_addresses(now)
         return [
             address
             for address, (data_centre, _) in self._addresses.items()
@@ -251,7 +251,7 @@
 
     def all_addresses(self, now):
         """Return the addresses of all known other daemons."""
-        self._forget_addresses(now)
+        self._drop_expired_addresses(now)
         return list(self._addresses)
 
     def alive_addresses(self, now):
@@ -265,7 +265,7 @@
 
         For a data centre without a recent digest, the addresses of all its daemons.
         """
-        self._forget_addresses(now)
+        self._drop_expired_addresses(now)
         reporters = {}
         for digest in self._recent_digests(now):
             reporter = digest.message.reporter
@@ -278,52 +278,54 @@
         ]
         return remote
 
-    def _forget_addresses(self, now):
+    def _drop_expired_addresses(self, now):
         for address, (_, seen_at) in list(self._addresses.items()):
             if now - seen_at > self._settings.forget_s:
                 del self._addresses[address]
 
-    def reporter_names(self, own, now):
+    def reporter_names(self, own_heartbeat, now):
         """Return the names of the daemons that read the store for the data centre.
 
         They are the first to have registered among those alive, registered and
         healthy.
 
-        :param own: this daemon's own :class:`~cowslipcourse.peers.Heartbeat`.
+        :param own_heartbeat: this daemon's own :class:`~cowslipcourse.peers.Heartbeat`.
         """
-        local = [own, *self.local_heartbeats(now)]
+        local_heartbeats = [own_heartbeat, *self.local_heartbeats(now)]
         eligible = [
-            h.member for h in local if h.member.registration_version and h.is_healthy
+            h.member
+            for h in local_heartbeats
+            if h.member.registration_version and h.is_healthy
         ]
         eligible.sort(key=registration_order)
-        reporter_count = 2 if len(local) > SINGLE_REPORTER_DAEMONS else 1
+        reporter_count = 2 if len(local_heartbeats) > SINGLE_REPORTER_DAEMONS else 1
         return [member.name for member in eligible[:reporter_count]]
 
-    def is_active_reporter(self, own, now):
+    def is_active_reporter(self, own_heartbeat, now):
         """Whether a daemon sends the digests of its data centre, and relays others.
 
         It is the first reporter, or the second one once the first is late.
 
-        :param own: this daemon's own :class:`~cowslipcourse.peers.Heartbeat`.
+        :param own_heartbeat: this daemon's own :class:`~cowslipcourse.peers.Heartbeat`.
         """
-        for name in self.reporter_names(own, now):
-            if name == own.member.name:
+        for name in self.reporter_names(own_heartbeat, now):
+            if name == own_heartbeat.member.name:
                 return True
             if now - self._heartbeats[name].received_at < REPORTER_TIMEOUT_S:
                 return False
         return False
 
-    def first_reporter_by_data_centre(self, own, now):
-        """Return the first reporter to have registered of each data centre.
+    def first_reporter_by_data_centre(self, own_heartbeat, now):
+        """Return, for each data centre, the reporter that registered first.
 
-        :param own: this daemon's own :class:`~cowslipcourse.peers.Heartbeat`.
+        :param own_heartbeat: this daemon's own :class:`~cowslipcourse.peers.Heartbeat`.
         :returns: :class:`Member` by data centre, without those that have no known
             reporter.
         """
-        first_names = self.reporter_names(own, now)[:1]
+        first_names = self.reporter_names(own_heartbeat, now)[:1]
         eligible = [
             h.member
-            for h in (own, *self.local_heartbeats(now))
+            for h in (own_heartbeat, *self.local_heartbeats(now))
             if h.member.name in first_names
         ]
         # A large data centre has two reporters, and either may have sent last.
@@ -359,7 +361,7 @@
 
         A daemon that is cut off hears from no other, although they are still alive.
         """
-        self._forget_addresses(now)
+        self._drop_expired_addresses(now)
         return len(self._addresses)
 
     def with_newer_configuration(self, version, now):
--- a/cowslipcourse/quarantine/judging.py
+++ b/cowslipcourse/quarantine/judging.py
@@ -1,4 +1,4 @@
-"""Decides which requests end the targets that run them; no input or output.
+"""Decides which requests end the targets that run them, without I/O.
 
 A target runs about ten requests at once, and all of them see it exit. The request that
 causes the exit differs from those that only run beside it:
@@ -148,7 +148,7 @@
                 return
             del self._suspects[fingerprint]
 
-    def ended_incarnations(self, fingerprint):
+    def exited_incarnations(self, fingerprint):
         """Return the ``(target, incarnation)`` list that exited under a request."""
         suspect = self._suspects.get(fingerprint)
         return [] if suspect is None else list(suspect.weight_by_incarnation)
@@ -179,13 +179,13 @@
 
     def was_answered(self, fingerprint, now):
         """Whether a target recently answered a request completely."""
-        known = self._answered.get(fingerprint)
-        return known is not None and now - known[0] < SUSPICION_S
+        answered = self._answered.get(fingerprint)
+        return answered is not None and now - answered[0] < SUSPICION_S
 
     def was_answered_here(self, fingerprint):
         """Whether this daemon relayed the answer to a request."""
-        known = self._answered.get(fingerprint)
-        return known is not None and known[1]
+        answered = self._answered.get(fingerprint)
+        return answered is not None and answered[1]
 
     def drop(self, fingerprint):
         """Drop the evidence against a request."""
--- a/cowslipcourse/quarantine/kept.py
+++ b/cowslipcourse/quarantine/kept.py
@@ -121,12 +121,12 @@
             # Reports only speed up a verdict; the verdicts are read all the same.
             log.warning("reports-unreadable", why=error)
             return []
-        return [_decode_report(each) for each in stored if each.stored_at > oldest_at]
+        return [_to_crash_report(each) for each in stored if each.stored_at > oldest_at]
 
     async def _read_rows(self):
         """Return the rows by key, from one read."""
-        found = await self._store.read_table(QUARANTINE_TABLE)
-        return {row.key: row for row in found.rows}
+        snapshot = await self._store.read_table(QUARANTINE_TABLE)
+        return {row.key: row for row in snapshot.rows}
 
     async def add_reports(self, reports):
         """Add reports; each replaces one of the same request and target incarnation.
@@ -134,7 +134,7 @@
         :raises StoreError: the reports may not have been stored.
         """
         now = self._time_of_day()
-        added = {_report_key(each): _stored_report(each, now) for each in reports}
+        added = {_report_key(each): _to_stored_report(each, now) for each in reports}
 
         def add_to_row(row):
             try:
@@ -142,7 +142,7 @@
             except MalformedResponse:
                 # Another writer has corrupted the row; the known reports replace it.
                 known = ()
-            stored = {_report_key(_decode_report(each)): each for each in known}
+            stored = {_report_key(_to_crash_report(each)): each for each in known}
             newest = list((stored | added).values())[-MAX_STORED_REPORTS:]
             return msgspec.json.encode(newest)
 
@@ -191,7 +191,7 @@
         now = self._time_of_day()
         trial = Trial(None, False)
 
-        def begin(verdicts):
+        def begin_if_due(verdicts):
             nonlocal trial
             trial = Trial(verdicts.get(fingerprint), False)
             if trial.verdict is None or trial.verdict.until > now:
@@ -199,7 +199,7 @@
             trial = Trial(trial.verdict.after_trial_began(now), True)
             return verdicts.add(trial.verdict)
 
-        await self._update_verdicts(begin)
+        await self._update_verdicts(begin_if_due)
         if trial.verdict is None:
             return trial
         relative_verdict = trial.verdict._replace(until=trial.verdict.until - now)
@@ -267,9 +267,9 @@
     return report.fingerprint, report.target, report.incarnation
 
 
-def _stored_report(report, at):
-    return _StoredReport(report.fingerprint.hex(), *report[1:], at)
+def _to_stored_report(report, stored_at):
+    return _StoredReport(report.fingerprint.hex(), *report[1:], stored_at)
 
 
-def _decode_report(stored):
+def _to_crash_report(stored):
     return CrashReport(bytes.fromhex(stored.fingerprint), *stored[1:-1])
--- a/cowslipcourse/quarantining/crash_reporting.py
+++ b/cowslipcourse/quarantining/crash_reporting.py
@@ -103,7 +103,7 @@
         if is_cleared:
             return
         if not self._reports:
-            # All requests at the target learn of its exit in one turn of the loop.
+            # All requests at the target learn of its exit in one iteration of the loop.
             asyncio.get_running_loop().call_soon(self._send_reports)
         self._reports.append(report)
 
--- a/cowslipcourse/quarantining/daemon_part.py
+++ b/cowslipcourse/quarantining/daemon_part.py
@@ -55,14 +55,14 @@
             peers, exit_detector, self._suspects, self._evaluate_report
         )
         self._verdicts = Verdicts()
-        self._unsaved = set()
+        self._unsaved_fingerprints = set()
         self._trial_calls = {}
         self._active_runs = {}
         self._tasks = set()
         self._repeat_offset = 0
 
     @property
-    def size(self):
+    def verdict_count(self):
         """Number of quarantined requests."""
         return len(self._verdicts)
 
@@ -110,7 +110,7 @@
             log.warning("trial-not-begun", request=call.id, error=error.code)
             return
         if trial.verdict is None:
-            if fingerprint not in self._unsaved:
+            if fingerprint not in self._unsaved_fingerprints:
                 # Another daemon's trial succeeded, and its update was lost.
                 self._verdicts.drop(fingerprint)
             return
@@ -185,7 +185,7 @@
         if not self._suspects.add_report(report, _now()):
             self._save_reports(fingerprint)
             return
-        incarnations = self._suspects.ended_incarnations(fingerprint)
+        incarnations = self._suspects.exited_incarnations(fingerprint)
         log.warning(
             "quarantined",
             fingerprint=fingerprint.hex(),
@@ -226,7 +226,7 @@
         if not self._verdicts.add(verdict):
             return False
         # The evaluator that convicts a request need not be the one that stores it.
-        self._unsaved.add(fingerprint)
+        self._unsaved_fingerprints.add(fingerprint)
         self._abort_runs(fingerprint)
         return True
 
@@ -301,17 +301,21 @@
 
     def _save_unsaved_verdicts(self):
         """Store unsaved verdicts of which this daemon is the first evaluator."""
-        unsaved = {each for each in self._unsaved if self._verdicts.get(each)}
+        unsaved = {
+            each for each in self._unsaved_fingerprints if self._verdicts.get(each)
+        }
         due_fingerprints = {
             each for each in unsaved if is_first_evaluator(self._peers, each)
         }
-        self._unsaved = unsaved - due_fingerprints
+        self._unsaved_fingerprints = unsaved - due_fingerprints
         if due_fingerprints:
             self._spawn(self._write_verdicts(due_fingerprints))
 
     def mark_all_unsaved(self):
         """Mark all verdicts to be stored again, as the store may have lost some."""
-        self._unsaved |= {verdict.fingerprint for verdict in self._verdicts}
+        self._unsaved_fingerprints |= {
+            verdict.fingerprint for verdict in self._verdicts
+        }
 
     async def _write_verdicts(self, due_fingerprints):
         now = _now()
@@ -323,7 +327,7 @@
             await self._store.add_verdicts(relative_verdicts)
         except StoreError as error:
             log.warning("verdict-not-kept", error=error.code, why=error)
-            self._unsaved |= due_fingerprints
+            self._unsaved_fingerprints |= due_fingerprints
 
     async def _remove_stored_verdict(self, fingerprint):
         try:
@@ -336,7 +340,9 @@
         while True:
             try:
                 stored = await self._store.read()
-                self._unsaved -= self._apply_relative_verdicts(stored.verdicts, "store")
+                self._unsaved_fingerprints -= self._apply_relative_verdicts(
+                    stored.verdicts, "store"
+                )
                 for report in stored.reports:
                     self._evaluate_report(report)
                 return
--- a/features/steps/judging_steps.py
+++ b/features/steps/judging_steps.py
@@ -365,7 +365,7 @@
         )
         daemons.quarantines[0] = daemons.start("a0")
         await asyncio.sleep(0.5)
-        context.read = daemons.quarantines[0].size
+        context.read = daemons.quarantines[0].verdict_count
         other = Verdict(b"o" * 16, daemons.clock() + QUARANTINE_S)
         for quarantine in daemons.quarantines:
             quarantine._apply_verdict(other)
@@ -395,7 +395,7 @@
         await daemons.store.write(RowWrite(QUARANTINE_TABLE, REPORTS_KEY, b'[["zz"]]'))
         daemons.quarantines[0] = daemons.start("a0")
         await asyncio.sleep(0.5)
-        context.read = daemons.quarantines[0].size
+        context.read = daemons.quarantines[0].verdict_count
         # Each attempt makes two sends, so two targets end.
         await daemons.request(daemons.quarantines[0])
         await asyncio.sleep(0.5)
@@ -440,7 +440,7 @@
         for _ in range(3):
             await daemons.request(daemons.quarantines[0])
         await asyncio.sleep(3)
-        context.sizes = [quarantine.size for quarantine in daemons.quarantines]
+        context.sizes = [quarantine.verdict_count for quarantine in daemons.quarantines]
         kept = await VerdictStore(daemons.store, daemons.clock).read()
         context.kept = kept.verdicts
 
--- a/features/support/membership_variants.py
+++ b/features/support/membership_variants.py
@@ -7,12 +7,12 @@
 
 def _skip_eviction_wait(node):
     """Count members as past a revision as soon as they have acknowledged."""
-    node._acceptance._times = node.times._replace(eviction_s=0.0)
+    node._acceptance_rule._times = node.times._replace(eviction_s=0.0)
 
 
 def _count_newest_list_only(node):
     """Require a majority of the newest member list only."""
-    rule = node._acceptance
+    rule = node._acceptance_rule
 
     def accepted(number, revision, last_accepted, now):
         newest = revision._replace(lists=revision.lists[-1:])
@@ -23,7 +23,7 @@
 
 def _accept_half_as_majority(node):
     """Accept half of a member list where more than half is needed."""
-    rule = node._acceptance
+    rule = node._acceptance_rule
 
     def cannot_be_served(identities, number, revision, now):
         moved_before = now - node.times.eviction_s
@@ -38,7 +38,7 @@
 
 def _serve_without_contact(node):
     """Serve without contact to the table or a majority."""
-    node._rule._in_contact = lambda now: True
+    node._serving_rule._in_contact = lambda now: True
 
 
 def _count_peers_without_learning(node):
