--- a/cowslipcourse/controller/changes.py
+++ b/cowslipcourse/controller/changes.py
@@ -16,7 +16,7 @@
 DEPARTING_FAULTS = frozenset({"leaving", "drained"})
 ABSENT_FAULTS = frozenset({"no-answer", "not-listed"})
 MAX_REPORT_LAG_S = 1.5
-"""Upper bound on the lag of an engine's load report."""
+"""Longest lag that is assumed of an engine's load report."""
 
 log = get_logger(__name__)
 
