--- a/cowslipcourse/emulator/__init__.py
+++ b/cowslipcourse/emulator/__init__.py
@@ -5,9 +5,16 @@
 what is emulated and what is not.
 """
 
-from cowslipcourse.emulator.clock import PausedLoop, run_paused
-from cowslipcourse.emulator.daemons import WholeSite
+from cowslipcourse.emulator.clock import VirtualTimeLoop, run_in_virtual_time
+from cowslipcourse.emulator.daemons import SingleCoordinatorScope
 from cowslipcourse.emulator.engines import Engine
 from cowslipcourse.emulator.world import Faults, World
 
-__all__ = ["Engine", "Faults", "PausedLoop", "WholeSite", "World", "run_paused"]
+__all__ = [
+    "Engine",
+    "Faults",
+    "SingleCoordinatorScope",
+    "VirtualTimeLoop",
+    "World",
+    "run_in_virtual_time",
+]
--- a/cowslipcourse/emulator/batches.py
+++ b/cowslipcourse/emulator/batches.py
@@ -99,12 +99,12 @@
             if not self._is_serving():
                 self._break_off()
                 return
-            if not self._world.is_whole(self._engine) or self._engine.is_dark:
+            if not self._world.is_complete(self._engine) or self._engine.is_unreachable:
                 await asyncio.sleep(LOOK_S)
                 continue
             self._admit()
             await asyncio.sleep(self._pass_s())
-            if self._is_serving() and self._world.is_whole(self._engine):
+            if self._is_serving() and self._world.is_complete(self._engine):
                 self._write()
 
     def _is_serving(self):
--- a/cowslipcourse/emulator/callers.py
+++ b/cowslipcourse/emulator/callers.py
@@ -71,7 +71,7 @@
 
     def __init__(self):
         self.started = False
-        self.is_whole = False
+        self.is_complete = False
         self.first_at = None
         self.last_at = None
         self.last_event = 0
@@ -90,7 +90,7 @@
         self.last_event += content.count(b"\n\n")
 
     async def finish(self, body=b""):
-        self.is_whole = self.last_event > 0
+        self.is_complete = self.last_event > 0
 
 
 class Callers:
@@ -197,7 +197,7 @@
             refused = error.outcome == "not_run"
             outcome = Outcome.REFUSED if refused else Outcome.FAILED
             return outcome, error.retry_after_s or 0.0
-        return (None, 0.0) if seen.is_whole else (Outcome.FAILED, 0.0)
+        return (None, 0.0) if seen.is_complete else (Outcome.FAILED, 0.0)
 
     def _size(self, kind, luck):
         prompt = _skewed(luck, kind.prompt_tokens, kind.spread)
--- a/cowslipcourse/emulator/clock.py
+++ b/cowslipcourse/emulator/clock.py
@@ -7,7 +7,7 @@
 import asyncio
 import selectors
 
-__all__ = ["PausedLoop", "run_paused"]
+__all__ = ["VirtualTimeLoop", "run_in_virtual_time"]
 
 
 class _JumpingSelector(selectors.SelectSelector):
@@ -23,7 +23,7 @@
         return super().select(0)
 
 
-class PausedLoop(asyncio.SelectorEventLoop):
+class VirtualTimeLoop(asyncio.SelectorEventLoop):
     """Event loop in fake time."""
 
     def __init__(self):
@@ -41,7 +41,7 @@
         self._fake_now += seconds
 
 
-def run_paused(coroutine):
+def run_in_virtual_time(coroutine):
     """Run a coroutine in fake time and return its result."""
-    with asyncio.Runner(loop_factory=PausedLoop) as runner:
+    with asyncio.Runner(loop_factory=VirtualTimeLoop) as runner:
         return runner.run(coroutine)
--- a/cowslipcourse/emulator/connections.py
+++ b/cowslipcourse/emulator/connections.py
@@ -155,7 +155,7 @@
             if engine is None and entry.address in self._heads.world.crashed:
                 await asyncio.sleep(2 * LINK_S)
                 raise TargetUnreachable("refused", sent=False)
-            if engine is None or engine.is_dark:
+            if engine is None or engine.is_unreachable:
                 await asyncio.sleep(CONNECT_TIMEOUT_S)
                 raise TargetUnreachable("dark", sent=False)
             await asyncio.sleep(LINK_S)
--- a/cowslipcourse/emulator/crashes.py
+++ b/cowslipcourse/emulator/crashes.py
@@ -5,22 +5,22 @@
 
 __all__ = ["CrashFigures", "CrashOracle"]
 
-COUNTED_ENDS = 3
+MAX_CRASHES_BEFORE_DETECTION = 3
 """Engines that a request may end before the system must have seen it."""
-CONTACT_S = 3.0
+VERDICT_SPREAD_S = 3.0
 """Time for which a daemon must have been undisturbed, and for the news to reach it."""
 
 
 class CrashFigures(NamedTuple):
     """What became of one request that ends engines.
 
-    :param ended: engines that it ended.
-    :param later: arrivals at engines more than :data:`CONTACT_S` after the third end,
-        sent by daemons that were undisturbed for as long.
+    :param crash_count: number of engines that it crashed.
+    :param late_arrival_count: arrivals at engines more than :data:`VERDICT_SPREAD_S`
+        after the third crash, sent by daemons undisturbed for as long.
     """
 
-    ended: int
-    later: int
+    crash_count: int
+    late_arrival_count: int
 
 
 class CrashOracle:
@@ -49,7 +49,7 @@
 
     def _is_calm(self, daemon):
         until = self._disturbed_until.get(daemon, float("-inf"))
-        return asyncio.get_running_loop().time() > until + CONTACT_S
+        return asyncio.get_running_loop().time() > until + VERDICT_SPREAD_S
 
     def figures(self):
         """Return the :class:`CrashFigures` of each request."""
@@ -57,9 +57,9 @@
 
     def _figures(self, fingerprint):
         ends = sorted(self._ends[fingerprint])
-        if len(ends) < COUNTED_ENDS:
+        if len(ends) < MAX_CRASHES_BEFORE_DETECTION:
             return CrashFigures(len(ends), 0)
-        allowed_until = ends[COUNTED_ENDS - 1] + CONTACT_S
+        allowed_until = ends[MAX_CRASHES_BEFORE_DETECTION - 1] + VERDICT_SPREAD_S
         arrivals = self._arrivals[fingerprint]
         later = sum(calm and at > allowed_until for at, calm in arrivals)
         return CrashFigures(len(ends), later)
--- a/cowslipcourse/emulator/daemons.py
+++ b/cowslipcourse/emulator/daemons.py
@@ -13,7 +13,7 @@
 from cowslipcourse.quarantine import VerdictStore
 from cowslipcourse.quarantining import Quarantine, TargetExitDetector
 
-__all__ = ["DataCentres", "EmulatedDaemon", "WholeSite"]
+__all__ = ["DataCentreScope", "EmulatedDaemon", "SingleCoordinatorScope"]
 
 ADDRESS = "127.0.0.1:1"
 
@@ -25,7 +25,7 @@
     )
 
 
-class WholeSite:
+class SingleCoordinatorScope:
     """Meets :class:`~cowslipcourse.entry.scope.CoordinationScope`.
 
     One daemon keeps all domains.
@@ -43,7 +43,7 @@
         return self._acts()
 
 
-class DataCentres:
+class DataCentreScope:
     """Meets :class:`~cowslipcourse.entry.scope.CoordinationScope`: a part of the site.
 
     :param tended: names of the data centres whose groups this daemon keeps.
@@ -68,7 +68,7 @@
     :param heads: :class:`~cowslipcourse.emulator.connections.Heads`
     :param network: :class:`~cowslipcourse.emulator.messages.MessageNetwork`
     :param tell: called with news for all daemons.
-    :param scope: :class:`DataCentres` that it keeps the groups of.
+    :param scope: :class:`DataCentreScope` that it keeps the groups of.
     :param seed: of its choices.
     """
 
@@ -106,7 +106,7 @@
     def forget(self):
         """Lose what it knows of requests that end engines, as in a new start."""
         heads = self._heads
-        peers = self._network.peers(self.name)
+        peers = self._network.peers_of(self.name)
         ends = TargetExitDetector(self.fleet.is_expected, heads.refuses)
         kept = VerdictStore(heads.world, heads.now)
         self._context.quarantine = Quarantine(peers, ends, kept)
--- a/cowslipcourse/emulator/engines.py
+++ b/cowslipcourse/emulator/engines.py
@@ -13,13 +13,13 @@
     TargetEntry,
 )
 
-__all__ = ["OPEN_S", "SERVICE", "SLOTS", "STALL_S", "Engine"]
+__all__ = ["OPEN_DELAY_S", "SERVICE", "SLOTS", "STALL_S", "Engine"]
 
 STALL_S = 4.0
 """Time for which a head that lacks a member stands still before it breaks."""
 REPORT_LAG_S = 0.2
 """Reports are as old as that; answers to orders and the list are not."""
-OPEN_S = 0.3
+OPEN_DELAY_S = 0.3
 """Time from the order to open until a head serves."""
 REJOIN_S = 0.2
 """Time of a join if the engine served that model last."""
@@ -37,7 +37,7 @@
         self.incarnation = incarnation
         self.domain = domain
         self.staged = staged
-        self.is_dark = False
+        self.is_unreachable = False
         self.order_count = 0
         self.membership = None
         self.members = ()
@@ -65,7 +65,11 @@
         )
 
     def _told_life(self):
-        return self.incarnation if self._world.tells_lives else UNKNOWN_INCARNATION
+        return (
+            self.incarnation
+            if self._world.reports_incarnations
+            else UNKNOWN_INCARNATION
+        )
 
     def report(self):
         """Return what it would report if reports did not lag."""
@@ -87,10 +91,10 @@
         if not self._reports or self._reports[-1][1] != self.report():
             self._reports.append((now, self.report()))
 
-    def take(self, order):
+    def execute(self, order):
         """Carry out an order and return the answer."""
         if (
-            self._world.faults.checks_count
+            self._world.faults.checks_order_count
             and order.expected_order_count != self.order_count
         ):
             return OrderResult.STATE_DIFFERS
@@ -109,7 +113,7 @@
             return self._close()
         if self.membership.state is not GroupState.READY:
             return OrderResult.STATE_DIFFERS
-        self._later(OPEN_S, self._begin_to_serve)
+        self._later(OPEN_DELAY_S, self._begin_to_serve)
         return self._begun()
 
     def _close(self):
@@ -230,7 +234,7 @@
         if not self.is_open_head:
             return
         # Who is cut off from the coordinators still works for its group.
-        whole = self._world.is_whole(self)
+        whole = self._world.is_complete(self)
         if whole:
             self.stands_still_since = None
             self._world.check_whole(self)
--- a/cowslipcourse/emulator/main.py
+++ b/cowslipcourse/emulator/main.py
@@ -11,10 +11,10 @@
 from cleo.helpers import argument, option
 
 from cowslipcourse import __version__
-from cowslipcourse.emulator.clock import run_paused
-from cowslipcourse.emulator.policies import in_force
+from cowslipcourse.emulator.clock import run_in_virtual_time
+from cowslipcourse.emulator.policies import active_policy
 from cowslipcourse.emulator.report import RunFigures, compare, figures, table
-from cowslipcourse.emulator.site import play
+from cowslipcourse.emulator.site import simulate
 from cowslipcourse.emulator.site_file import ExperimentSettings
 from cowslipcourse.exceptions import CowslipError, Problem, SettingsError
 from cowslipcourse.settings_file import load_settings
@@ -34,8 +34,8 @@
     """
     for policy in policies or settings.policies:
         for seed in seeds if seeds is not None else range(settings.seeds):
-            with in_force(policy):
-                result = run_paused(play(settings, seed))
+            with active_policy(policy):
+                result = run_in_virtual_time(simulate(settings, seed))
             yield figures(settings, policy, seed, result)
 
 
@@ -82,7 +82,7 @@
         settings = load_settings(self.argument("file"), ExperimentSettings)
         chosen = self.option("policy")
         for policy in (chosen,) if chosen else settings.policies:
-            in_force(policy)
+            active_policy(policy)
         runs = []
         for run in run_experiment(settings, (chosen,) if chosen else None):
             runs.append(run)
--- a/cowslipcourse/emulator/messages.py
+++ b/cowslipcourse/emulator/messages.py
@@ -30,7 +30,7 @@
         """Send a message."""
         for address in addresses:
             if address != self.address:
-                self._network.carry(message, self.address, address)
+                self._network.send(message, self.address, address)
 
 
 class MessageNetwork:
@@ -53,7 +53,7 @@
         """Names of all daemons."""
         return list(self._quarantines)
 
-    def peers(self, name):
+    def peers_of(self, name):
         """Return how a daemon reaches the others."""
         return _Peers(self, name)
 
@@ -78,7 +78,7 @@
             return []
         return [each for each in self.names if each != name and not self._is_cut(each)]
 
-    def carry(self, message, sender, receiver):
+    def send(self, message, sender, receiver):
         """Bring a message to its receiver, or lose it."""
         self.sent += 1
         if self._is_cut(sender) or self._rng.random() < self._settings.message_loss:
--- a/cowslipcourse/emulator/policies.py
+++ b/cowslipcourse/emulator/policies.py
@@ -7,7 +7,7 @@
 from cowslipcourse.groups import revision
 from cowslipcourse.groups.shape import MIXED_ASSIGNMENT
 
-__all__ = ["POLICIES", "in_force"]
+__all__ = ["POLICIES", "active_policy"]
 
 
 @contextlib.contextmanager
@@ -85,7 +85,7 @@
 }
 
 
-def in_force(name):
+def active_policy(name):
     """Return a context manager in which a policy is in force.
 
     :raises ConfigurationError: there is no such policy.
--- a/cowslipcourse/emulator/site.py
+++ b/cowslipcourse/emulator/site.py
@@ -8,8 +8,8 @@
 from cowslipcourse.emulator.callers import Callers, CallRecord
 from cowslipcourse.emulator.connections import LINK_S, Heads
 from cowslipcourse.emulator.crashes import CrashFigures
-from cowslipcourse.emulator.daemons import DataCentres, EmulatedDaemon
-from cowslipcourse.emulator.engines import OPEN_S, SERVICE
+from cowslipcourse.emulator.daemons import DataCentreScope, EmulatedDaemon
+from cowslipcourse.emulator.engines import OPEN_DELAY_S, SERVICE
 from cowslipcourse.emulator.messages import MessageNetwork
 from cowslipcourse.emulator.world import Faults, World
 from cowslipcourse.routes import (
@@ -20,7 +20,7 @@
     ServiceSpec,
 )
 
-__all__ = ["EmulatedSite", "SiteResult", "play"]
+__all__ = ["EmulatedSite", "SiteResult", "simulate"]
 
 LIST_S = 0.25
 """Interval at which reporters hand on changes of the list."""
@@ -31,7 +31,13 @@
 """Time within which all engines of a domain are listed, if they come late."""
 LOOK_S = 0.5
 """Interval at which idle engines and open groups are counted."""
-NO_FAULTS = Faults(late=0, lost=0, unanswered=0, pause=0, store=0)
+NO_FAULTS = Faults(
+    late_order_fraction=0,
+    lost_order_fraction=0,
+    unanswered_order_fraction=0,
+    pause_fraction=0,
+    store_failure_fraction=0,
+)
 
 
 class SiteResult(NamedTuple):
@@ -129,7 +135,7 @@
                 later = first + self._start_luck.uniform(0.0, SPREAD_S)
                 loop.call_later(later, self._world.add_engine, domain)
 
-    async def play(self):
+    async def simulate(self):
         """Play the run and return its :class:`SiteResult`."""
         if self._settings.site.register_s:
             self._start_engines_later()
@@ -219,12 +225,12 @@
             serving = dict.fromkeys(self._models, 0)
             busy = 0
             for engine in self._world.engines.values():
-                if engine.is_dark:
+                if engine.is_unreachable:
                     continue
-                if engine.is_open_head and self._world.is_whole(engine):
+                if engine.is_open_head and self._world.is_complete(engine):
                     serving[engine.membership.model] += 1
                     busy += len(engine.members)
-            live = sum(not e.is_dark for e in self._world.engines.values())
+            live = sum(not e.is_unreachable for e in self._world.engines.values())
             self._idle_engine_s += max(0, live - busy) * LOOK_S
             for model, number in serving.items():
                 self._open_groups[model].append(number)
@@ -250,7 +256,7 @@
 
     def _lose(self, fault):
         for engine in self._joined(fault.count):
-            engine.is_dark = True
+            engine.is_unreachable = True
             del self._world.engines[engine.id]
 
     def _end(self, fault):
@@ -268,7 +274,7 @@
         struck = self._fault_luck.sample(domains, min(fault.count, len(domains)))
         for engine in list(self._world.engines.values()):
             if engine.domain in struck:
-                engine.is_dark = True
+                engine.is_unreachable = True
                 loop = asyncio.get_running_loop()
                 loop.call_later(fault.for_s, self._come_back, engine)
 
@@ -282,7 +288,7 @@
 
     def _come_back(self, engine):
         if self._world.engines.get(engine.id) is engine:
-            self._world.rename(engine)
+            self._world.restart_under_new_id(engine)
 
     def _add(self, fault):
         domain = self._fault_luck.choice(sorted(self._settings.site.domains))
@@ -318,11 +324,11 @@
 
 
 def _scope(number, places, daemons):
-    """Return the :class:`DataCentres` of a daemon: those whose first one it is."""
+    """Return the :class:`DataCentreScope` of a daemon: those whose first one it is."""
     own = [places[number]] if number < len(places) else []
     if number == 0:
         own += places[daemons:]
-    return DataCentres(own, min(len(places), daemons))
+    return DataCentreScope(own, min(len(places), daemons))
 
 
 def _spec(site, models):
@@ -337,12 +343,12 @@
         SERVICE,
         models=tuple(models),
         slots=site.slots,
-        open_s=OPEN_S,
+        open_s=OPEN_DELAY_S,
         loads_per_s=site.loads_per_s,
         times=times,
     )
 
 
-async def play(settings, seed):
+async def simulate(settings, seed):
     """Play one run of an experiment and return its :class:`SiteResult`."""
-    return await EmulatedSite(settings, seed).play()
+    return await EmulatedSite(settings, seed).simulate()
--- a/cowslipcourse/emulator/world.py
+++ b/cowslipcourse/emulator/world.py
@@ -42,20 +42,24 @@
 class Faults(NamedTuple):
     """How often things go wrong.
 
-    :param late: share of orders carried out 2 to 12 s later, without an answer.
-    :param lost: share of orders that are lost.
-    :param unanswered: share of orders carried out without an answer.
-    :param pause: share of calls in which the caller stands still for up to 15 s.
-    :param store: share of store calls that fail or whose answer is lost.
-    :param checks_count: whether engines check the order count that orders carry.
+    :param late_order_fraction: fraction of orders executed 2 to 12 s late and not
+        acknowledged.
+    :param lost_order_fraction: fraction of orders that are lost.
+    :param unanswered_order_fraction: fraction of orders executed on time but not
+        acknowledged.
+    :param pause_fraction: fraction of calls during which the caller pauses for up to
+        15 s.
+    :param store_failure_fraction: fraction of store calls that fail or whose answer is
+        lost.
+    :param checks_order_count: whether engines check the order count that orders carry.
     """
 
-    late: float = 0.06
-    lost: float = 0.03
-    unanswered: float = 0.03
-    pause: float = 0.01
-    store: float = 0.05
-    checks_count: bool = True
+    late_order_fraction: float = 0.06
+    lost_order_fraction: float = 0.03
+    unanswered_order_fraction: float = 0.03
+    pause_fraction: float = 0.01
+    store_failure_fraction: float = 0.05
+    checks_order_count: bool = True
 
 
 class World:
@@ -70,7 +74,7 @@
     :param loads_take_time: whether weights reach a host some time after the order.
     """
 
-    tells_eras = True
+    reports_eras = True
     """Whether versions are points, as the store client makes them."""
 
     def __init__(
@@ -98,7 +102,7 @@
         self._data_centres = data_centres or {}
         self.remembers_models = remembers_models
         self.loads_take_time = loads_take_time
-        self.tells_lives = True
+        self.reports_incarnations = True
         self._born = 0
         self._lives = 0
         self.past_entries = []
@@ -121,7 +125,7 @@
         self.engines[engine_id] = engine
         return engine
 
-    def rename(self, engine):
+    def restart_under_new_id(self, engine):
         """Start an engine again at its address under another id."""
         self.past_entries.append(engine.entry())
         self.engines.pop(engine.id, None)
@@ -132,7 +136,7 @@
     def _at(self, address):
         """Return the engine that answers at an address, or ``None``."""
         for engine in self.engines.values():
-            if engine.address == address and not engine.is_dark:
+            if engine.address == address and not engine.is_unreachable:
                 return engine
         return None
 
@@ -150,11 +154,11 @@
 
     def _come_back(self, engine):
         self.crashed.discard(engine.address)
-        self.rename(engine)
+        self.restart_under_new_id(engine)
 
     def entries(self):
         """Return the platform's list: engines that are not dark."""
-        return [e.entry() for e in self.engines.values() if not e.is_dark]
+        return [e.entry() for e in self.engines.values() if not e.is_unreachable]
 
     async def run(self):
         """Let requests come to every open group, for ever."""
@@ -178,7 +182,7 @@
         """Return the present lives of engines by id; those that are gone have none."""
         return {m: self.engines[m].incarnation for m in members if m in self.engines}
 
-    def is_whole(self, head):
+    def is_complete(self, head):
         """Whether a head and all members are in their group and live.
 
         A member that has started again since the head opened is lost to the group, even
@@ -228,7 +232,7 @@
     @property
     def era(self):
         """See :class:`~cowslipcourse.ports.RowStore`."""
-        return self._era if self.tells_eras else 0
+        return self._era if self.reports_eras else 0
 
     async def read_table(self, table):
         """See :class:`~cowslipcourse.ports.RowStore`."""
@@ -247,7 +251,7 @@
         if not self._copies or now - self._copies[-1][0] >= COPY_S:
             self._copies.append((now, dict(self._rows), self._version))
 
-    def come_back_older(self, age_s, away_s):
+    def restore_older_copy(self, age_s, away_s):
         """Let the store be away, and come back as it was some seconds before.
 
         :param age_s: age of the copy in seconds; the oldest one kept if that is less.
@@ -272,7 +276,7 @@
         self._version += 1
         self._rows[key] = StoredRow(row_write.key, row_write.value, self._version)
         version = self._point(self._version)
-        if self.rng.random() < self.faults.store:
+        if self.rng.random() < self.faults.store_failure_fraction:
             raise ReplyLost("the answer was lost")
         if expected and era_of(expected) != era_of(version):
             raise ReplyLost("the store has come back older since the row was read")
@@ -283,11 +287,11 @@
         await asyncio.sleep(0.004)
         await self._pause()
         is_away = asyncio.get_running_loop().time() < self._away_until
-        if is_away or self.rng.random() < self.faults.store:
+        if is_away or self.rng.random() < self.faults.store_failure_fraction:
             raise StoreUnavailable("busy")
 
     async def _pause(self):
-        if self.rng.random() < self.faults.pause:
+        if self.rng.random() < self.faults.pause_fraction:
             await asyncio.sleep(self.rng.uniform(0.5, 15.0))
 
     # Control of engines.
@@ -309,14 +313,14 @@
         await self._pause()
         await asyncio.sleep(0.003)
         luck = self.rng.random()
-        if luck < self.faults.late:
+        if luck < self.faults.late_order_fraction:
             loop = asyncio.get_running_loop()
             loop.call_later(self.rng.uniform(2, 12), self._carry_out, entry, order)
             raise TargetUnreachable("no answer")
-        if luck < self.faults.late + self.faults.lost:
+        if luck < self.faults.late_order_fraction + self.faults.lost_order_fraction:
             raise TargetUnreachable("lost")
         answer = self._carry_out(entry, order)
-        unanswered = self.rng.random() < self.faults.unanswered
+        unanswered = self.rng.random() < self.faults.unanswered_order_fraction
         if answer is None or unanswered:
             raise TargetUnreachable("no answer")
         await self._pause()
@@ -328,4 +332,4 @@
             return None
         if engine.id != entry.id:
             return OrderResult.OTHER_ENGINE
-        return engine.take(order)
+        return engine.execute(order)
--- a/cowslipcourse/standin/app.py
+++ b/cowslipcourse/standin/app.py
@@ -78,7 +78,7 @@
             return refusal
         table = self._world.table
         version, conflicts = table.commit(content["conditions"], content["writes"])
-        if table.loses_reply():
+        if table.consume_reply_loss():
             raise _Broken
         if conflicts:
             return json_response({"conflicts": conflicts}, 409)
@@ -141,7 +141,7 @@
             sequence = target.generate(request.headers, body)
         except Refused as error:
             return json_response({"reason": str(error)}, 409)
-        if target.breaks_early():
+        if target.consume_early_break():
             raise _Broken
         headers = {
             "x-attempt": sequence.attempt,
@@ -242,7 +242,7 @@
             {
                 "vms": {name: self._world.find(name).history for name in names},
                 "table": self._world.table.counts,
-                "loads_at_once": self._world.weights.most_at_once,
+                "loads_at_once": self._world.weights.max_concurrent_loads,
             }
         )
 
--- a/cowslipcourse/standin/engine.py
+++ b/cowslipcourse/standin/engine.py
@@ -251,7 +251,7 @@
             int(headers.get("x-priority", "1")),
         )
         now = asyncio.get_running_loop().time()
-        present = self._world.all_present(self.members, self.assignment)
+        present = self._world.all_members_ready(self.members, self.assignment)
         self.history.append(
             {
                 "at": now,
@@ -311,7 +311,7 @@
             fill = len(self._running) / self._settings.batch_limit
             factor = self.faults["slow_factor"] * (1 + 0.5 * fill)
             await asyncio.sleep(self._settings.token_s * factor)
-            if self._world.leaders_notice and not self._world.all_present(
+            if self._world.leaders_detect_loss and not self._world.all_members_ready(
                 self.members, self.assignment
             ):
                 self.drop_all()
@@ -341,7 +341,7 @@
             sequence.attempt = "another-attempt"
             sequence.words = list(reversed(sequence.words))
 
-    def breaks_early(self):
+    def consume_early_break(self):
         """Return whether the answer just started is to break off at once."""
         return self._take("break_early")
 
--- a/cowslipcourse/standin/table.py
+++ b/cowslipcourse/standin/table.py
@@ -63,7 +63,7 @@
             self.counts["throttled"] += 1
             raise StoreDown("throttled")
 
-    def loses_reply(self):
+    def consume_reply_loss(self):
         """Return whether the reply of the present commit is to be lost."""
         if self.faults["lose_replies"] <= 0:
             return False
--- a/cowslipcourse/standin/weights.py
+++ b/cowslipcourse/standin/weights.py
@@ -15,12 +15,12 @@
         self._bytes_per_s = bytes_per_s
         self._active = 0
         self.faults = {"down": False}
-        self.most_at_once = 0
+        self.max_concurrent_loads = 0
 
     async def load(self, size_bytes):
         """Return once the bytes have been read."""
         self._active += 1
-        self.most_at_once = max(self.most_at_once, self._active)
+        self.max_concurrent_loads = max(self.max_concurrent_loads, self._active)
         try:
             left = float(size_bytes)
             while left > 0:
--- a/cowslipcourse/standin/world.py
+++ b/cowslipcourse/standin/world.py
@@ -15,7 +15,7 @@
 class World:
     """VMs, stores and their faults.
 
-    :ivar leaders_notice: whether a leader breaks its streams when a member is lost;
+    :ivar leaders_detect_loss: whether a leader breaks its streams when a member is lost;
         otherwise it goes on alone, and only the system can keep requests away.
     :param settings: :class:`~cowslipcourse.settings.StandinSettings`
     """
@@ -28,7 +28,7 @@
         self.object_faults = {"down": False}
         self.list_faults = {"frozen": False, "down": False}
         self.weights = WeightStore(settings.weights_bytes_per_s)
-        self.leaders_notice = True
+        self.leaders_detect_loss = True
         self.targets = {}
         self._removed = {}
         self._listed = []
@@ -54,7 +54,7 @@
             engine_settings = self.settings.engine
             self.targets[name] = Engine(vm, declared.fenced, engine_settings, self)
 
-    def all_present(self, members, assignment):
+    def all_members_ready(self, members, assignment):
         """Return whether every member of a group holds the same assignment.
 
         The engine of a VM that was removed from the list counts while it answers.
--- a/features/steps/accounting_steps.py
+++ b/features/steps/accounting_steps.py
@@ -7,7 +7,7 @@
 
 from behave import given, then, when
 
-from cowslipcourse.emulator.clock import run_paused
+from cowslipcourse.emulator.clock import run_in_virtual_time
 from cowslipcourse.entry.accounting import StreamTimes, late_cause, no_target_cause
 from cowslipcourse.entry.census import GroupCountMonitor
 from cowslipcourse.entry.fleet import Candidate, FleetView
@@ -159,7 +159,7 @@
     previous_level = logger.level
     logger.setLevel(logging.INFO)
     try:
-        run_paused(observe())
+        run_in_virtual_time(observe())
     finally:
         logger.removeHandler(handler)
         logger.setLevel(previous_level)
--- a/features/steps/answer_steps.py
+++ b/features/steps/answer_steps.py
@@ -5,7 +5,7 @@
 from hypothesis import settings
 from hypothesis import strategies as st
 
-from cowslipcourse.emulator.clock import run_paused
+from cowslipcourse.emulator.clock import run_in_virtual_time
 from cowslipcourse.requests import StreamRelay
 from cowslipcourse.requests.relay import END_DATA
 from features.support.group_runs import AnswerFaultInjector, fixed_secrets, group_run
@@ -18,7 +18,7 @@
 def deterministic_run(seed):
     """Make one run with spoiled answers."""
     with fixed_secrets(seed):
-        return run_paused(group_run(seed, injector_type=AnswerFaultInjector))
+        return run_in_virtual_time(group_run(seed, injector_type=AnswerFaultInjector))
 
 
 @when("{number:d} answer runs are made from seed {first:d}")
--- a/features/steps/balance_steps.py
+++ b/features/steps/balance_steps.py
@@ -5,7 +5,7 @@
 
 from behave import given, then, when
 
-from cowslipcourse.emulator import run_paused
+from cowslipcourse.emulator import run_in_virtual_time
 from cowslipcourse.entry.balancing import GroupBalancer
 from cowslipcourse.entry.domains import DomainTracker
 from cowslipcourse.entry.fleet import FleetView
@@ -285,12 +285,12 @@
 
 @then("after {seconds:d} s it has chosen no reassignment")
 def step_no_reassignment_after(context, seconds):
-    assert not run_paused(_reassignments_after(context, seconds))
+    assert not run_in_virtual_time(_reassignments_after(context, seconds))
 
 
 @then("after {seconds:d} s it has chosen reassignments to small")
 def step_reassignments_after(context, seconds):
-    reassignments = run_paused(_reassignments_after(context, seconds))
+    reassignments = run_in_virtual_time(_reassignments_after(context, seconds))
     assert {reassignment.model for reassignment in reassignments} == {"small"}, (
         reassignments
     )
--- a/features/steps/booking_steps.py
+++ b/features/steps/booking_steps.py
@@ -5,7 +5,7 @@
 from behave import then, when
 
 from cowslipcourse.admission import Priority
-from cowslipcourse.emulator.clock import run_paused
+from cowslipcourse.emulator.clock import run_in_virtual_time
 from cowslipcourse.exceptions import DaemonStopped, RequestError
 from cowslipcourse.gateway.callers import Call
 from features.steps.group_steps import violations_with
@@ -21,7 +21,7 @@
     """Return one run, which depends on the seed alone."""
     run = BookingRun(seed)
     with fixed_secrets(seed):
-        run.violations = run_paused(run.run())
+        run.violations = run_in_virtual_time(run.run())
     return run
 
 
--- a/features/steps/duel_steps.py
+++ b/features/steps/duel_steps.py
@@ -2,7 +2,7 @@
 
 from behave import then, when
 
-from cowslipcourse.emulator.clock import run_paused
+from cowslipcourse.emulator.clock import run_in_virtual_time
 from features.support.coordinator_runs import SITES, VARIANTS, coordinator_run
 
 MAX_SEEDS = 100
@@ -16,7 +16,7 @@
 )
 def step_competing_runs(context, number, first, site):
     context.worlds = [
-        run_paused(coordinator_run(seed, SITES[site]))
+        run_in_virtual_time(coordinator_run(seed, SITES[site]))
         for seed in range(first, first + number)
     ]
 
@@ -28,7 +28,9 @@
     context.worlds = []
     for seed in range(first, first + MAX_SEEDS):
         with VARIANTS[variant]():
-            context.worlds.append(run_paused(coordinator_run(seed, SITES[site])))
+            context.worlds.append(
+                run_in_virtual_time(coordinator_run(seed, SITES[site]))
+            )
         if context.worlds[-1].violations:
             return
 
--- a/features/steps/edit_steps.py
+++ b/features/steps/edit_steps.py
@@ -14,7 +14,7 @@
     resolve,
 )
 from cowslipcourse.daemon import now
-from cowslipcourse.emulator.clock import run_paused
+from cowslipcourse.emulator.clock import run_in_virtual_time
 from cowslipcourse.exceptions import ConfigurationError, ConfirmationRequired
 from cowslipcourse.fleet import VM, TargetKind, VmState
 from features.steps.outage_steps import granted_group_count, run_in_scenario_loop
@@ -116,7 +116,7 @@
     for seed in range(first, first + number):
         with fixed_secrets(seed):
             edit_run = EditRun(seed)
-            context.violations += run_paused(_run_edits(edit_run))
+            context.violations += run_in_virtual_time(_run_edits(edit_run))
         for result in edit_run.outcomes.values():
             outcome = result.split()[0]
             context.outcome_counts[outcome] = context.outcome_counts.get(outcome, 0) + 1
--- a/features/steps/gateway_ending_steps.py
+++ b/features/steps/gateway_ending_steps.py
@@ -8,7 +8,7 @@
 
 from cowslipcourse.admission import Priority
 from cowslipcourse.daemon import now
-from cowslipcourse.emulator.clock import run_paused
+from cowslipcourse.emulator.clock import run_in_virtual_time
 from cowslipcourse.exceptions import RequestError, TargetUnreachable
 from cowslipcourse.gateway.callers import Call
 from cowslipcourse.gateway.generation import Generation
@@ -99,7 +99,7 @@
 
     logging.disable(logging.CRITICAL)
     try:
-        context.ends = run_paused(story())
+        context.ends = run_in_virtual_time(story())
     finally:
         logging.disable(logging.NOTSET)
 
--- a/features/steps/group_steps.py
+++ b/features/steps/group_steps.py
@@ -5,7 +5,7 @@
 from behave import then, when
 
 from cowslipcourse.admission import Priority
-from cowslipcourse.emulator.clock import run_paused
+from cowslipcourse.emulator.clock import run_in_virtual_time
 from cowslipcourse.exceptions import RequestError
 from cowslipcourse.gateway.callers import Call
 from cowslipcourse.gateway.generation import Generation
@@ -19,7 +19,7 @@
 def deterministic_run(seed):
     """Return the result of one run, which depends on the seed alone."""
     with fixed_secrets(seed):
-        return run_paused(group_run(seed))
+        return run_in_virtual_time(group_run(seed))
 
 
 def violations_with(context, *phrases):
@@ -88,7 +88,7 @@
 def step_paused_before_send(context, check):
     async def pause_gateway():
         site, gateway = context.in_process_site, context.in_process_site.gateways["g1"]
-        site.world.leaders_notice = False
+        site.world.leaders_detect_loss = False
         gateway.gate.shut()
         call = Call("r", "crew", Priority.NORMAL, None, "", False)
         generation = Generation(call, chat_body("x", "m", 4), ["grp"], gateway.context)
--- a/features/steps/judging_steps.py
+++ b/features/steps/judging_steps.py
@@ -8,7 +8,7 @@
 from behave import given, then, when
 
 from cowslipcourse.admission import SharedRetryBudget
-from cowslipcourse.emulator.clock import run_paused
+from cowslipcourse.emulator.clock import run_in_virtual_time
 from cowslipcourse.emulator.messages import MessageNetwork
 from cowslipcourse.emulator.site_file import SiteSettings
 from cowslipcourse.emulator.world import Faults, World
@@ -195,7 +195,13 @@
     def __init__(self, number):
         loop = asyncio.get_running_loop()
         self.network = MessageNetwork(SITE, random.Random(1))
-        faults = Faults(late=0, lost=0, unanswered=0, pause=0, store=0)
+        faults = Faults(
+            late_order_fraction=0,
+            lost_order_fraction=0,
+            unanswered_order_fraction=0,
+            pause_fraction=0,
+            store_failure_fraction=0,
+        )
         self.store = World(random.Random(1), faults, ())
         self.clock = loop.time
         self.sent = []
@@ -208,7 +214,7 @@
         fleet.apply([_entry(n) for n in range(50)], ())
         kept = VerdictStore(self.store, self.clock)
         ends = TargetExitDetector(fleet.is_expected, self._refuses)
-        quarantine = Quarantine(self.network.peers(name), ends, kept)
+        quarantine = Quarantine(self.network.peers_of(name), ends, kept)
         self.network.attach(name, quarantine)
         return quarantine
 
@@ -272,7 +278,7 @@
         finally:
             await daemons.stop()
 
-    run_paused(run())
+    run_in_virtual_time(run())
 
 
 async def _convict(daemons):
@@ -340,7 +346,7 @@
 def step_store_away(context):
     async def story(daemons):
         await context.prepare(daemons)
-        daemons.store.faults = daemons.store.faults._replace(store=1.0)
+        daemons.store.faults = daemons.store.faults._replace(store_failure_fraction=1.0)
         context.found = await daemons.at_all()
         context.sent = list(daemons.sent)
 
--- a/features/steps/knowledge_steps.py
+++ b/features/steps/knowledge_steps.py
@@ -4,7 +4,7 @@
 
 from behave import given, then, when
 
-from cowslipcourse.emulator.clock import run_paused
+from cowslipcourse.emulator.clock import run_in_virtual_time
 from cowslipcourse.peers import (
     Heartbeat,
     PeerState,
@@ -42,7 +42,7 @@
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
 
-    run_paused(run())
+    run_in_virtual_time(run())
 
 
 @when("the store is unavailable for 3 s and returns without t2")
@@ -159,7 +159,7 @@
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
 
-    run_paused(run())
+    run_in_virtual_time(run())
 
 
 @then("it is not current 1 s later, nor 4 s later")
--- a/features/steps/life_steps.py
+++ b/features/steps/life_steps.py
@@ -5,8 +5,8 @@
 
 from behave import given, then, when
 
-from cowslipcourse.emulator import Faults, WholeSite, World
-from cowslipcourse.emulator.clock import run_paused
+from cowslipcourse.emulator import Faults, SingleCoordinatorScope, World
+from cowslipcourse.emulator.clock import run_in_virtual_time
 from cowslipcourse.entry.coordinator import Coordinator
 from cowslipcourse.entry.engine_calls import EngineClient
 from cowslipcourse.entry.fleet import FleetView
@@ -225,7 +225,7 @@
         None,
         _UnusedEngineControl(),
         ControlSettings(),
-        WholeSite(lambda: True),
+        SingleCoordinatorScope(lambda: True),
         lambda update: None,
     )
 
@@ -237,7 +237,7 @@
             [_entry(name, service=name) for name in ("llm", "desk", "nobody")]
         )
 
-    run_paused(run())
+    run_in_virtual_time(run())
 
 
 @then("only the entry of llm is an engine of d1")
@@ -256,7 +256,13 @@
 @when("it coordinates for 3 s")
 def step_coordinates(context):
     async def run():
-        faults = Faults(late=0, lost=0, unanswered=0, pause=0, store=0)
+        faults = Faults(
+            late_order_fraction=0,
+            lost_order_fraction=0,
+            unanswered_order_fraction=0,
+            pause_fraction=0,
+            store_failure_fraction=0,
+        )
         world = World(random.Random(context.seed), faults, MODELS)
         for domain in ("d1", "d2"):
             for _ in range(8):
@@ -267,7 +273,7 @@
             world,
             world,
             ControlSettings(),
-            WholeSite(lambda: True),
+            SingleCoordinatorScope(lambda: True),
             lambda update: None,
         )
         coordinator.domains.update_entries(world.entries())
@@ -279,7 +285,7 @@
         rows = await world.read_table(GROUPS_TABLE)
         context.plan_rows = {row.key: row.value for row in rows.rows}
 
-    run_paused(run())
+    run_in_virtual_time(run())
 
 
 @then("it forms groups in d1 and does nothing in d2")
@@ -336,7 +342,7 @@
         )
         await asyncio.sleep(0.1)
 
-    run_paused(run())
+    run_in_virtual_time(run())
 
 
 @then("e2 is not live, and reports from its address change nothing")
--- a/features/steps/older_store_steps.py
+++ b/features/steps/older_store_steps.py
@@ -6,8 +6,8 @@
 
 from behave import given, then, when
 
-from cowslipcourse.emulator import Faults, WholeSite, World
-from cowslipcourse.emulator.clock import run_paused
+from cowslipcourse.emulator import Faults, SingleCoordinatorScope, World
+from cowslipcourse.emulator.clock import run_in_virtual_time
 from cowslipcourse.entry.coordinator import Coordinator
 from cowslipcourse.entry.plan_table import GROUPS_TABLE, PlanTable
 from cowslipcourse.entry.settings import ControlSettings
@@ -20,7 +20,13 @@
 FORMATION_S = 8.0
 COPY_AGE_S = 7.5
 OBSERVATION_S = 10.0
-NO_FAULTS = Faults(late=0, lost=0, unanswered=0, pause=0, store=0)
+NO_FAULTS = Faults(
+    late_order_fraction=0,
+    lost_order_fraction=0,
+    unanswered_order_fraction=0,
+    pause_fraction=0,
+    store_failure_fraction=0,
+)
 
 
 @given("a coordinator with serving groups")
@@ -45,7 +51,7 @@
         world,
         world,
         settings,
-        WholeSite(lambda: True),
+        SingleCoordinatorScope(lambda: True),
         lambda update: None,
     )
     coroutines = [
@@ -56,7 +62,7 @@
     tasks = [asyncio.create_task(coroutine) for coroutine in coroutines]
     await asyncio.sleep(FORMATION_S)
     context.groups_before = _serving_groups(world)
-    world.come_back_older(COPY_AGE_S, 0.3)
+    world.restore_older_copy(COPY_AGE_S, 0.3)
     await asyncio.sleep(OBSERVATION_S)
     context.groups_after = _serving_groups(world)
     context.rows_after = (await _read_plans(world)).rows
@@ -73,7 +79,7 @@
 
 @when("the store is restored from a copy older than their plans")
 def step_restore(context):
-    run_paused(_run_with_restore(context))
+    run_in_virtual_time(_run_with_restore(context))
 
 
 @when(
@@ -84,7 +90,7 @@
     with mock.patch.object(
         PlanTable, "_restore_lost", lambda self, previous_plans: set()
     ):
-        run_paused(_run_with_restore(context))
+        run_in_virtual_time(_run_with_restore(context))
 
 
 @then("the same groups are serving 10 s later")
--- a/features/steps/outage_steps.py
+++ b/features/steps/outage_steps.py
@@ -6,7 +6,7 @@
 from behave import given, then, when
 
 from cowslipcourse.daemon import now
-from cowslipcourse.emulator.clock import PausedLoop
+from cowslipcourse.emulator.clock import VirtualTimeLoop
 from features.support.group_runs import fixed_secrets, vm_specs
 from features.support.small_site import InProcessSite, base_changes
 
@@ -22,7 +22,7 @@
 def step_in_process_site(context, group_count):
     context.resources.enter_context(fixed_secrets(1))
     random.seed(1)
-    runner = asyncio.Runner(loop_factory=PausedLoop)
+    runner = asyncio.Runner(loop_factory=VirtualTimeLoop)
     context.runner = context.resources.enter_context(runner)
 
     async def start():
@@ -105,7 +105,7 @@
         for name in vm_names:
             world.targets[name].faults["dead"] = True
         await asyncio.sleep(seconds)
-        world.weights.most_at_once = 0
+        world.weights.max_concurrent_loads = 0
         for name in vm_names:
             world.change_vm(name, "restart")
 
@@ -124,4 +124,4 @@
 
 @then("no more than {max_loads:d} loads ran concurrently")
 def step_concurrent_loads(context, max_loads):
-    assert context.in_process_site.world.weights.most_at_once <= max_loads
+    assert context.in_process_site.world.weights.max_concurrent_loads <= max_loads
--- a/features/steps/outside_steps.py
+++ b/features/steps/outside_steps.py
@@ -8,7 +8,7 @@
 from hypothesis import HealthCheck, Phase, seed, settings
 from hypothesis import given as given_values
 
-from cowslipcourse.emulator.clock import run_paused
+from cowslipcourse.emulator.clock import run_in_virtual_time
 from cowslipcourse.entry import target_list
 from cowslipcourse.entry.target_list import TargetList
 from cowslipcourse.platform import decode_configuration
@@ -216,7 +216,7 @@
         for task in tasks:
             task.cancel()
 
-    run_paused(run())
+    run_in_virtual_time(run())
 
 
 @then("the configuration in force is the same, and the store counts as available")
--- a/features/steps/platform_steps.py
+++ b/features/steps/platform_steps.py
@@ -50,8 +50,8 @@
         engine.membership.group: engine
         for engine in site.world.engines.values()
         if engine.is_open_head
-        and not engine.is_dark
-        and site.world.is_whole(engine)
+        and not engine.is_unreachable
+        and site.world.is_complete(engine)
         and model in (None, engine.membership.model)
     }
 
--- a/features/steps/practice_steps.py
+++ b/features/steps/practice_steps.py
@@ -5,8 +5,13 @@
 
 from behave import given, then, when
 
-from cowslipcourse.emulator import Faults, WholeSite, World, run_paused
-from cowslipcourse.emulator.policies import in_force
+from cowslipcourse.emulator import (
+    Faults,
+    SingleCoordinatorScope,
+    World,
+    run_in_virtual_time,
+)
+from cowslipcourse.emulator.policies import active_policy
 from cowslipcourse.entry.coordinator import Coordinator
 from cowslipcourse.entry.fleet import FleetView
 from cowslipcourse.entry.settings import ControlSettings
@@ -149,7 +154,13 @@
 
 async def _measure_repair_s():
     """Return the seconds from the loss of a member until its group serves again."""
-    faults = Faults(late=0, lost=0, unanswered=0, pause=0, store=0)
+    faults = Faults(
+        late_order_fraction=0,
+        lost_order_fraction=0,
+        unanswered_order_fraction=0,
+        pause_fraction=0,
+        store_failure_fraction=0,
+    )
     world = World(random.Random(1), faults, (LARGE,), remembers_models=True)
     for _ in range(9):
         world.add_engine("d1", ("large",))
@@ -158,7 +169,7 @@
         world,
         world,
         ControlSettings(),
-        WholeSite(lambda: True),
+        SingleCoordinatorScope(lambda: True),
         lambda update: None,
     )
     coroutines = coordinator.run(), world.run(), _update_target_list(world, coordinator)
@@ -170,7 +181,7 @@
     lost_at = loop.time()
     while loop.time() < lost_at + REPAIR_TIMEOUT_S:
         await asyncio.sleep(CHECK_INTERVAL_S)
-        if any(e.is_open_head and world.is_whole(e) for e in world.engines.values()):
+        if any(e.is_open_head and world.is_complete(e) for e in world.engines.values()):
             break
     for task in tasks:
         task.cancel()
@@ -185,8 +196,8 @@
 @when("a member of the group is lost, with and without warm-ups of the spares")
 def step_lose_member(context):
     for policy in ("as-is", "without-practice"):
-        with in_force(policy):
-            context.repair_s[policy] = run_paused(_measure_repair_s())
+        with active_policy(policy):
+            context.repair_s[policy] = run_in_virtual_time(_measure_repair_s())
 
 
 @then("the group serves again at least {seconds:f} s sooner with warm-ups")
--- a/features/steps/quarantine_steps.py
+++ b/features/steps/quarantine_steps.py
@@ -6,7 +6,7 @@
 
 from behave import given, then, when
 
-from cowslipcourse.emulator.crashes import COUNTED_ENDS
+from cowslipcourse.emulator.crashes import MAX_CRASHES_BEFORE_DETECTION
 from cowslipcourse.emulator.messages import MessageNetwork
 from cowslipcourse.quarantine import Suspects
 from features.support.crash_runs import (
@@ -63,7 +63,7 @@
                 mock.patch.object(Suspects, "add_report", lambda *args: 0)
             )
         elif mode == "exchange nothing":
-            no_exchange = mock.patch.object(MessageNetwork, "carry", lambda *args: None)
+            no_exchange = mock.patch.object(MessageNetwork, "send", lambda *args: None)
             stack.enter_context(no_exchange)
         _simulate(context, seconds, seed)
 
@@ -88,16 +88,18 @@
         _check_arrivals(context.platform, max_arrivals, seconds)
         return
     crashes = context.result.crashes
-    assert crashes and all(crash.ended >= COUNTED_ENDS for crash in crashes), crashes
-    assert all(crash.later <= max_arrivals for crash in crashes), crashes
+    assert crashes and all(
+        crash.crash_count >= MAX_CRASHES_BEFORE_DETECTION for crash in crashes
+    ), crashes
+    assert all(crash.late_arrival_count <= max_arrivals for crash in crashes), crashes
     assert not context.result.violations, context.result.violations
 
 
 def _check_arrivals(platform, max_arrivals, seconds):
     """Check the arrivals of a request at the real targets that it crashes."""
     ends = sorted(end.at for end in platform.ends)
-    assert len(ends) >= COUNTED_ENDS, ends
-    due_at = ends[COUNTED_ENDS - 1] + seconds
+    assert len(ends) >= MAX_CRASHES_BEFORE_DETECTION, ends
+    due_at = ends[MAX_CRASHES_BEFORE_DETECTION - 1] + seconds
     late_arrivals = [arrival for arrival in platform.arrivals if arrival.at > due_at]
     assert len(late_arrivals) <= max_arrivals, (len(ends), len(late_arrivals))
 
@@ -108,15 +110,17 @@
 )
 def step_bound_exceeded(context, max_arrivals, seconds):
     crashes = context.result.crashes
-    assert max(crash.later for crash in crashes) > max_arrivals == MAX_LATE_ARRIVALS, (
-        crashes
-    )
+    assert (
+        max(crash.late_arrival_count for crash in crashes)
+        > max_arrivals
+        == MAX_LATE_ARRIVALS
+    ), crashes
 
 
 @then("no target crashes later than {seconds:d} s after the third crash")
 def step_no_late_crash(context, seconds):
     crashes = context.result.crashes
-    assert crashes and all(not crash.later for crash in crashes), crashes
+    assert crashes and all(not crash.late_arrival_count for crash in crashes), crashes
 
 
 @then("no request is quarantined")
--- a/features/steps/question_steps.py
+++ b/features/steps/question_steps.py
@@ -5,7 +5,7 @@
 
 from behave import given, then, when
 
-from cowslipcourse.emulator.clock import run_paused
+from cowslipcourse.emulator.clock import run_in_virtual_time
 from cowslipcourse.entry import engine_calls
 from cowslipcourse.entry.engine_calls import EngineClient
 from cowslipcourse.entry.own_links import IsolationDetector
@@ -75,7 +75,7 @@
         await asyncio.sleep(seconds)
         context.reported = reported
 
-    run_paused(run())
+    run_in_virtual_time(run())
 
 
 def _silent_ids(context):
@@ -192,7 +192,7 @@
             if context.isolated_at is not None:
                 return
 
-    run_paused(run())
+    run_in_virtual_time(run())
 
 
 @when(
--- a/features/steps/size_steps.py
+++ b/features/steps/size_steps.py
@@ -6,7 +6,7 @@
 
 from behave import given, then, when
 
-from cowslipcourse.emulator.clock import run_paused
+from cowslipcourse.emulator.clock import run_in_virtual_time
 from cowslipcourse.entry import roles
 from cowslipcourse.entry.peer_reading import MAX_BACKOFF_S, PeerReadPolicy
 from cowslipcourse.entry.settings import PeerSettings
@@ -62,7 +62,7 @@
 @when("{data_centres:d} data centres of {daemons:d} daemons run for {seconds:d} s")
 def step_run(context, data_centres, daemons, seconds):
     context.network = DaemonNetwork(NetworkShape(data_centres, daemons))
-    context.sent_bytes_per_s = run_paused(context.network.run(seconds / 2))
+    context.sent_bytes_per_s = run_in_virtual_time(context.network.run(seconds / 2))
 
 
 @when(
@@ -82,7 +82,7 @@
             for daemon in context.network.daemons
         ]
 
-    run_paused(run())
+    run_in_virtual_time(run())
 
 
 @then("no daemon sends more than {limit:d} KB/s")
@@ -110,7 +110,7 @@
 )
 def step_start_all(context, within_s, lost):
     network = DaemonNetwork(NetworkShape(5, 39, loss_rate=lost / 100))
-    context.role_samples = run_paused(network.start_all(within_s, 4))
+    context.role_samples = run_in_virtual_time(network.start_all(within_s, 4))
 
 
 @when(
@@ -129,7 +129,7 @@
         await asyncio.sleep(1.0)
         context.readers.append(network.store_readers())
 
-    run_paused(network.start_all(0.5, seconds, silence))
+    run_in_virtual_time(network.start_all(0.5, seconds, silence))
 
 
 @then(
@@ -153,7 +153,7 @@
         mock.patch.object(roles, "is_settled", lambda at, now: at is not None),
         mock.patch.object(PeerRegistry, "is_unknown", lambda self, member: False),
     ):
-        context.role_samples = run_paused(network.start_all(1, 2))
+        context.role_samples = run_in_virtual_time(network.start_all(1, 2))
 
 
 @then(
@@ -190,7 +190,7 @@
         await asyncio.sleep(1.5)
         context.coordinators.append(network.coordinators())
 
-    run_paused(network.start_all(0.5, seconds, silence))
+    run_in_virtual_time(network.start_all(0.5, seconds, silence))
 
 
 @then(
@@ -235,7 +235,7 @@
                     name = daemon.settings.name
                     context.delays_s.setdefault(name, (step + 1) * CHECK_INTERVAL_S)
 
-    run_paused(network.run(2.0, observe))
+    run_in_virtual_time(network.run(2.0, observe))
     context.network = network
 
 
@@ -273,7 +273,7 @@
                 context.routable[daemon.settings.name] = {m.name for m in routable}
         context.connected = {d.settings.name for d in network.daemons if not d.is_down}
 
-    run_paused(network.run(2.0, observe))
+    run_in_virtual_time(network.run(2.0, observe))
 
 
 @then(
@@ -355,7 +355,7 @@
 def _make_replica_with_targets(contents, version):
     replica, registry, listener = make_replica(FlakyStore())
     rows = tuple(StoredRow(key, value, version) for key, value in contents.items())
-    run_paused(_apply_snapshot(replica, RowChanges(rows, version)))
+    run_in_virtual_time(_apply_snapshot(replica, RowChanges(rows, version)))
     return replica, registry, listener
 
 
@@ -414,7 +414,7 @@
                 _read_from_source(context, source, reader)
             context.differences += _differences(source, reader)
 
-    run_paused(run())
+    run_in_virtual_time(run())
 
 
 def _apply_random_change(rng, source, version):
--- a/features/steps/status_steps.py
+++ b/features/steps/status_steps.py
@@ -7,7 +7,7 @@
 
 from cowslipcourse.controller.status import _group_statuses
 from cowslipcourse.daemon.reports import GatewayReport, GroupReport
-from cowslipcourse.emulator.clock import run_paused
+from cowslipcourse.emulator.clock import run_in_virtual_time
 from cowslipcourse.fleet import GroupMember, GroupSpec
 from cowslipcourse.membership import Member, Record, Role
 from cowslipcourse.membership.records import RecordStore
@@ -74,7 +74,7 @@
     async def look():
         return _group_statuses(context.agent, GRANT_S)
 
-    (group,) = run_paused(look())
+    (group,) = run_in_virtual_time(look())
     return group
 
 
--- a/features/steps/stopping_steps.py
+++ b/features/steps/stopping_steps.py
@@ -4,7 +4,7 @@
 
 from behave import given, then, when
 
-from cowslipcourse.emulator.clock import run_paused
+from cowslipcourse.emulator.clock import run_in_virtual_time
 from cowslipcourse.entry.front import FrontApp
 from cowslipcourse.entry.metrics import EntryMetrics
 from cowslipcourse.routes import CallerLimits, RequestKind, Route, RouteTable
@@ -80,7 +80,7 @@
             app.drain(asyncio.get_running_loop().time() + remaining_s)
         context.response = await _send_request(app)
 
-    run_paused(run())
+    run_in_virtual_time(run())
 
 
 @when("it stops, with {remaining_s:f} s left, and a stream comes")
--- a/features/support/coordinator_runs.py
+++ b/features/support/coordinator_runs.py
@@ -6,7 +6,7 @@
 from typing import NamedTuple
 from unittest import mock
 
-from cowslipcourse.emulator import Engine, Faults, WholeSite, World
+from cowslipcourse.emulator import Engine, Faults, SingleCoordinatorScope, World
 from cowslipcourse.entry.coordinator import Coordinator
 from cowslipcourse.entry.fleet import FleetView
 from cowslipcourse.entry.settings import ControlSettings
@@ -206,11 +206,11 @@
 
 def _restart_engine(world, engine, rng, site):
     """Restart an engine, at once or after a downtime."""
-    restart = world.rename if site.has_renames else world.restart
+    restart = world.restart_under_new_id if site.has_renames else world.restart
     if rng.random() < INSTANT_RESTART_FRACTION:
         restart(engine)
         return
-    engine.is_dark = True
+    engine.is_unreachable = True
     engine.membership = None
     downtime_s = rng.uniform(0.2, MAX_RESTART_DOWNTIME_S)
     asyncio.get_running_loop().call_later(downtime_s, restart, engine)
@@ -227,7 +227,7 @@
             rng.uniform(0.5, MAX_COPY_AGE_S),
             rng.uniform(0, MAX_STORE_DOWNTIME_S),
         )
-        world.come_back_older(age_s, downtime_s)
+        world.restore_older_copy(age_s, downtime_s)
 
 
 async def _inject_engine_faults(world, site, rng):
@@ -238,7 +238,7 @@
     interval_factor = len(MIXED_SITE.domains) / len(site.domains)
     while True:
         await asyncio.sleep(interval_factor * rng.uniform(0.8, 3.0))
-        reachable = [e for e in world.engines.values() if not e.is_dark]
+        reachable = [e for e in world.engines.values() if not e.is_unreachable]
         if len(reachable) <= len(site.domains) * site.engines_per_domain / 2:
             world.add_engine(rng.choice(site.domains))
             continue
@@ -246,13 +246,13 @@
         if site.has_restarts and rng.random() < RESTART_FRACTION:
             _restart_engine(world, engine, rng, site)
             continue
-        engine.is_dark = True
+        engine.is_unreachable = True
         draw = rng.random()
         if draw < 0.4:
             # A partition: the engine returns with its state.
             downtime_s = rng.uniform(0.5, 9.0)
             asyncio.get_running_loop().call_later(
-                downtime_s, setattr, engine, "is_dark", False
+                downtime_s, setattr, engine, "is_unreachable", False
             )
         elif draw < 0.7:
             del world.engines[engine.id]
@@ -269,7 +269,7 @@
     """
     rng = random.Random(seed)
     world = World(rng, Faults(), MODELS)
-    world.tells_lives = not site.has_renames
+    world.reports_incarnations = not site.has_renames
     for domain in site.domains:
         for _ in range(site.engines_per_domain):
             world.add_engine(domain)
@@ -289,7 +289,9 @@
             world,
             control,
             settings,
-            WholeSite(lambda number=number: beliefs.is_coordinator[number]),
+            SingleCoordinatorScope(
+                lambda number=number: beliefs.is_coordinator[number]
+            ),
             lambda update: None,
         )
         list_updates = _update_target_list_late(
@@ -442,7 +444,7 @@
 
 def _ignore_eras():
     """Compare store versions without their eras."""
-    return mock.patch.object(World, "tells_eras", False)
+    return mock.patch.object(World, "reports_eras", False)
 
 
 VARIANTS = {
--- a/features/support/crash_runs.py
+++ b/features/support/crash_runs.py
@@ -3,8 +3,8 @@
 import random
 import tomllib
 
-from cowslipcourse.emulator.clock import run_paused
-from cowslipcourse.emulator.site import play
+from cowslipcourse.emulator.clock import run_in_virtual_time
+from cowslipcourse.emulator.site import simulate
 from cowslipcourse.emulator.site_file import ExperimentSettings
 from features.support.emulated_site import SITE
 
@@ -39,7 +39,7 @@
 
 def simulate_crashes(settings, seed):
     """Return the :class:`~cowslipcourse.emulator.site.SiteResult` of a run."""
-    return run_paused(play(settings, seed))
+    return run_in_virtual_time(simulate(settings, seed))
 
 
 def _random_series(rng, kind, first_range_s, intervals_s, **extra):
@@ -89,8 +89,10 @@
     result = simulate_crashes(_random_crash_settings(seed), seed)
     violations = list(result.violations)
     for crash in result.crashes:
-        if crash.later > MAX_LATE_ARRIVALS:
-            violations.append(f"{crash.later} late arrivals, {crash.ended} crashed")
+        if crash.late_arrival_count > MAX_LATE_ARRIVALS:
+            violations.append(
+                f"{crash.late_arrival_count} late arrivals, {crash.crash_count} crashed"
+            )
     if result.wrongly_quarantined:
         violations.append(f"{result.wrongly_quarantined} other requests quarantined")
     return violations
--- a/features/support/fakes.py
+++ b/features/support/fakes.py
@@ -89,7 +89,7 @@
         table = self._world.table
         conditions, writes = copy.deepcopy(transaction)
         version, conflicts = table.commit(conditions, writes)
-        lost = table.loses_reply()
+        lost = table.consume_reply_loss()
         await self._gate.trip()
         if lost:
             raise ReplyLost("lost")
@@ -175,7 +175,7 @@
             sequence = target.generate(headers, request.body)
         except Refused as error:
             raise TargetRefused(str(error)) from error
-        if target.breaks_early():
+        if target.consume_early_break():
             raise TargetUnreachable("broken")
         try:
             yield []
--- a/features/support/fuzz.py
+++ b/features/support/fuzz.py
@@ -3,7 +3,7 @@
 import logging
 import sys
 
-from cowslipcourse.emulator.clock import run_paused
+from cowslipcourse.emulator.clock import run_in_virtual_time
 from features.support.booking_runs import BookingRun
 from features.support.coordinator_runs import SITES, coordinator_run
 from features.support.crash_runs import crash_violations
@@ -22,16 +22,18 @@
 
 
 def _groups(seed):
-    result = run_paused(group_run(seed))
+    result = run_in_virtual_time(group_run(seed))
     return [*result.violations, *([] if result.has_recovered else ["not settled"])]
 
 
 def _answers(seed):
-    return run_paused(group_run(seed, injector_type=AnswerFaultInjector)).violations
+    return run_in_virtual_time(
+        group_run(seed, injector_type=AnswerFaultInjector)
+    ).violations
 
 
 def _bookings(seed):
-    return run_paused(BookingRun(seed).run())
+    return run_in_virtual_time(BookingRun(seed).run())
 
 
 async def _edit_run(seed):
@@ -39,12 +41,12 @@
 
 
 def _edits(seed):
-    return run_paused(_edit_run(seed))
+    return run_in_virtual_time(_edit_run(seed))
 
 
 def _duels(site):
     def run(seed):
-        return run_paused(coordinator_run(seed, SITES[site])).violations
+        return run_in_virtual_time(coordinator_run(seed, SITES[site])).violations
 
     return run
 
--- a/features/support/group_runs.py
+++ b/features/support/group_runs.py
@@ -66,7 +66,7 @@
         for engine in [*world.targets.values(), *world.removed.values()]:
             if not getattr(engine, "members", ()):
                 continue
-            if world.all_present(engine.members, engine.assignment):
+            if world.all_members_ready(engine.members, engine.assignment):
                 assigned = engine.assignment
                 self._last_complete_at[(assigned["group"], assigned["epoch"])] = now()
 
--- a/features/support/platform_site.py
+++ b/features/support/platform_site.py
@@ -268,7 +268,7 @@
             return
         self._lapsing[target] = asyncio.get_running_loop().time() + LAPSE_S
         await asyncio.sleep(BACK_S)
-        await self._serve_engine(self.world.rename(engine))
+        await self._serve_engine(self.world.restart_under_new_id(engine))
 
     async def _add_plain(self, name):
         address = f"127.0.0.1:{free_ports(1)[0]}"
@@ -327,7 +327,7 @@
             live = {
                 engine.id: engine
                 for engine in self.world.engines.values()
-                if engine.id in self._addresses and not engine.is_dark
+                if engine.id in self._addresses and not engine.is_unreachable
             }
             for engine_id, engine in live.items():
                 entry = entry_fields(
@@ -347,7 +347,7 @@
         """Return the present life of an engine; nothing answers without one."""
         while True:
             engine = self.world.engines.get(engine_id)
-            if engine is not None and not engine.is_dark:
+            if engine is not None and not engine.is_unreachable:
                 return engine
             await asyncio.sleep(0.1)
 
@@ -366,7 +366,7 @@
             body.get("model", ""),
             tuple(body.get("members", ())),
         )
-        return Response(status_code=STATUS[engine.take(order)])
+        return Response(status_code=STATUS[engine.execute(order)])
 
     async def _stream(self, engine_id, request):
         engine = await self._present(engine_id)
@@ -396,10 +396,11 @@
 
     def _serves(self, engine):
         alive = all(
-            member in self.world.engines and not self.world.engines[member].is_dark
+            member in self.world.engines
+            and not self.world.engines[member].is_unreachable
             for member in engine.members
         )
-        return alive and self.world.is_whole(engine)
+        return alive and self.world.is_complete(engine)
 
     # Daemons.
 
@@ -455,4 +456,10 @@
 
 
 def _no_faults():
-    return Faults(late=0, lost=0, unanswered=0, pause=0, store=0)
+    return Faults(
+        late_order_fraction=0,
+        lost_order_fraction=0,
+        unanswered_order_fraction=0,
+        pause_fraction=0,
+        store_failure_fraction=0,
+    )
--- a/features/support/spread_runs.py
+++ b/features/support/spread_runs.py
@@ -4,7 +4,7 @@
 from types import SimpleNamespace
 from typing import NamedTuple
 
-from cowslipcourse.emulator.clock import run_paused
+from cowslipcourse.emulator.clock import run_in_virtual_time
 from cowslipcourse.entry.attempts import TargetRun
 from cowslipcourse.entry.fleet import FleetView
 from cowslipcourse.peers import encode
@@ -142,5 +142,5 @@
     async def simulate():
         results.append(await _simulate(scenario, network))
 
-    run_paused(network.run(STARTUP_S / 2, simulate))
+    run_in_virtual_time(network.run(STARTUP_S / 2, simulate))
     return results[0]
--- a/soak/site.py
+++ b/soak/site.py
@@ -278,9 +278,9 @@
     async def _do_engine_dark(self, fault):
         engine = self._some_engine(fault)
         if engine is not None:
-            engine.is_dark = True
+            engine.is_unreachable = True
             await asyncio.sleep(fault.for_s)
-            engine.is_dark = False
+            engine.is_unreachable = False
 
     async def _do_engine_lost(self, fault):
         engine = self._some_engine(fault)
