--- a/cowslipcourse/cli/__init__.py
+++ b/cowslipcourse/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The operators' command line."""
+"""Command-line interface for operators."""
--- a/cowslipcourse/cli/client.py
+++ b/cowslipcourse/cli/client.py
@@ -1,4 +1,4 @@
-"""Calls of the operators' API, at whichever controller answers."""
+"""Client of the operator API, served by any controller."""
 
 import asyncio
 import os
@@ -19,27 +19,27 @@
 ]
 
 CONTROLLERS_VARIABLE = "COWSLIP_CONTROLLERS"
-TOKEN_VARIABLE = "COWSLIP_TOKEN_FILE"
-TIMEOUT_S = 90.0
+TOKEN_FILE_VARIABLE = "COWSLIP_TOKEN_FILE"
+REQUEST_TIMEOUT_S = 90.0
 
 
 class ControllersUnreachable(CowslipError):
-    """No controller answered."""
+    """No controller responded."""
 
     code = "controllers-unreachable"
 
 
 class MissingOption(CowslipError):
-    """The command line lacks something that it cannot do without."""
+    """A required option or environment variable is missing or invalid."""
 
     code = "missing-option"
 
 
 class ApiError(CowslipError):
-    """The controller refused.
+    """A controller responded with an error.
 
     :param status: HTTP status.
-    :param content: decoded answer.
+    :param content: decoded response body.
     """
 
     code = "refused"
@@ -51,32 +51,32 @@
 
 
 class OperatorClient(NamedTuple):
-    """Where controllers are and who asks.
+    """Client of the operator API.
 
-    :param controllers: base URLs.
-    :param token: operator's token.
+    :param controllers: base URLs of controllers, tried in random order.
+    :param token: token of the operator.
     """
 
     controllers: tuple[str, ...]
     token: str
 
     def get(self, path, **parameters):
-        """Return the decoded answer to a GET."""
-        wanted = {k: str(v) for k, v in parameters.items() if v is not None}
-        return asyncio.run(self._call("GET", path, wanted, None))
+        """Return the decoded response to a GET request."""
+        query = {k: str(v) for k, v in parameters.items() if v is not None}
+        return asyncio.run(self._send_request("GET", path, query, None))
 
     def post(self, path, content):
-        """Return the decoded answer to a POST.
+        """Return the decoded response to a POST request.
 
-        It goes to one controller after another: edits carry an id, so that one which
-        was made is not made again.
+        The request is sent to one controller after another until one responds: edits
+        have an id, so that a repeated edit is not applied twice.
         """
-        return asyncio.run(self._call("POST", path, {}, content))
+        return asyncio.run(self._send_request("POST", path, {}, content))
 
-    async def _call(self, method, path, parameters, content):
-        timeout = aiohttp.ClientTimeout(total=TIMEOUT_S, sock_connect=2.0)
+    async def _send_request(self, method, path, parameters, content):
+        timeout = aiohttp.ClientTimeout(total=REQUEST_TIMEOUT_S, sock_connect=2.0)
         headers = {"authorization": f"Bearer {self.token}"}
-        last = None
+        last_error = None
         async with aiohttp.ClientSession(timeout=timeout, headers=headers) as session:
             for controller in random.sample(self.controllers, len(self.controllers)):
                 try:
@@ -86,35 +86,36 @@
                         params=parameters,
                         data=None if content is None else msgspec.json.encode(content),
                     ) as response:
-                        answer = msgspec.json.decode(await response.read())
+                        response_content = msgspec.json.decode(await response.read())
                         status = response.status
                 except (aiohttp.ClientError, TimeoutError, OSError) as error:
-                    last = ControllersUnreachable(f"{controller}: {error!r}")
+                    last_error = ControllersUnreachable(f"{controller}: {error!r}")
                     continue
                 if status < 400:
-                    return answer
-                last = ApiError(status, answer)
+                    return response_content
+                last_error = ApiError(status, response_content)
                 if status != 503:
                     break
-        raise last
+        raise last_error
 
 
 def client_from_options(controllers, token_file):
     """Return an :class:`OperatorClient`.
 
-    :param controllers: comma-separated base URLs, or ``None`` for the environment.
-    :param token_file: path, or ``None`` for the environment.
-    :raises MissingOption: neither option nor environment says.
+    :param controllers: comma-separated base URLs; ``None`` to use the environment.
+    :param token_file: path of the token file; ``None`` to use the environment.
+    :raises MissingOption: an option is given neither way, or the token file cannot be
+        read.
     """
     controllers = controllers or os.environ.get(CONTROLLERS_VARIABLE, "")
-    token_file = token_file or os.environ.get(TOKEN_VARIABLE, "")
+    token_file = token_file or os.environ.get(TOKEN_FILE_VARIABLE, "")
     if not controllers:
         raise MissingOption(f"give --controllers or set {CONTROLLERS_VARIABLE}")
     if not token_file:
-        raise MissingOption(f"give --token-file or set {TOKEN_VARIABLE}")
+        raise MissingOption(f"give --token-file or set {TOKEN_FILE_VARIABLE}")
     try:
         token = Path(token_file).read_text().strip()
     except OSError as error:
         raise MissingOption(f"{token_file}: {error.strerror}") from error
-    urls = tuple(url.strip().rstrip("/") for url in controllers.split(","))
-    return OperatorClient(urls, token)
+    base_urls = tuple(url.strip().rstrip("/") for url in controllers.split(","))
+    return OperatorClient(base_urls, token)
--- a/cowslipcourse/cli/command.py
+++ b/cowslipcourse/cli/command.py
@@ -1,4 +1,4 @@
-"""What all commands have in common."""
+"""Base class of the commands, exit codes and output of plans."""
 
 from enum import IntEnum
 
@@ -18,7 +18,7 @@
 
 
 class ExitCode(IntEnum):
-    """Exit codes of the command line."""
+    """Exit codes of the commands."""
 
     DONE = 0
     REFUSED = 1
@@ -29,7 +29,7 @@
     NOT_YET_IN_FORCE = 6
 
 
-_CODES = {
+_EXIT_CODES_BY_ERROR_CODE = {
     "confirmation-required": ExitCode.CONFIRMATION_REQUIRED,
     "edit-conflict": ExitCode.CONFLICT,
     "bad-configuration": ExitCode.BAD_INPUT,
@@ -41,7 +41,7 @@
 
 
 class OperatorCommand(Command):
-    """A command that asks a controller."""
+    """Base class of the commands that send requests to a controller."""
 
     options = [
         option("controllers", None, "Base URLs of controllers, by commas", flag=False),
@@ -58,31 +58,34 @@
 
     @property
     def wants_json(self):
-        """Whether the answer shall be printed as JSON."""
+        """Whether the output format is JSON."""
         return self.option("output") == "json"
 
     def handle(self):
-        """Run the command and turn failures into messages and exit codes."""
+        """Run the command; report errors as messages and exit codes."""
         if self.option("output") not in ("text", "json"):
             self.line_error("<error>--output is text or json</error>")
             return ExitCode.BAD_INPUT
         try:
-            return int(self.work() or ExitCode.DONE)
+            return int(self.perform() or ExitCode.DONE)
         except ApiError as error:
-            return self._refused(error)
+            return self._report_refusal(error)
         except (ConfigurationError, SettingsError) as error:
             for problem in error.problems:
                 self.line_error(f"<error>{problem}</error>")
             return ExitCode.BAD_INPUT
         except ControllersUnreachable as error:
-            self.line_error(f"<error>no controller answers: {error.detail}</error>")
+            self.line_error(f"<error>no controller responded: {error.detail}</error>")
             return ExitCode.UNREACHABLE
         except CowslipError as error:
             self.line_error(f"<error>{error.detail}</error>")
             return ExitCode.BAD_INPUT
 
-    def work(self):
-        """Do what the command is for and return an exit code or ``None``."""
+    def perform(self):
+        """Perform the command's operation.
+
+        :returns: :class:`ExitCode`, or ``None`` for success.
+        """
         raise NotImplementedError
 
     def print_json(self, value):
@@ -91,7 +94,7 @@
         self.io.output.write_line(text.decode(), type=Type.RAW)
 
     def print_table(self, headers, rows):
-        """Print rows under headers."""
+        """Print rows as a table with a header line."""
         texts = [["-" if cell is None else str(cell) for cell in row] for row in rows]
         widths = [
             max(len(str(cell)) for cell in column)
@@ -101,7 +104,7 @@
             cells = (cell.ljust(width) for cell, width in zip(row, widths, strict=True))
             self.io.output.write_line("  ".join(cells).rstrip(), type=Type.RAW)
 
-    def _refused(self, error):
+    def _report_refusal(self, error):
         content = error.content
         if self.wants_json:
             self.print_json(content)
@@ -113,10 +116,12 @@
         if "plan" in content:
             print_plan(self, content["plan"])
             self.line_error(f"to go on: --confirm {content['plan']['digest']}")
-        return int(_CODES.get(content.get("error"), ExitCode.REFUSED))
+        return int(
+            _EXIT_CODES_BY_ERROR_CODE.get(content.get("error"), ExitCode.REFUSED)
+        )
 
 
-PLAN_LINES = {
+PLAN_EFFECT_TITLES = {
     "vms_leaving": "VMs that leave their group",
     "groups_broken": "groups that stop serving",
     "accelerators_idled": "accelerators idled",
@@ -129,13 +134,17 @@
 
 
 def print_plan(command, plan):
-    """Print what an edit does, leaving out what it does not do."""
-    lines = 0
-    for key, title in PLAN_LINES.items():
+    """Print the effects of an edit's plan.
+
+    :param command: :class:`OperatorCommand` to print with.
+    :param plan: fields of :class:`~cowslipcourse.config.Plan`.
+    """
+    printed_lines = 0
+    for key, title in PLAN_EFFECT_TITLES.items():
         value = plan.get(key)
         if value:
-            shown = value if isinstance(value, int) else ", ".join(value)
-            command.line(f"  {title}: {shown}")
-            lines += 1
-    if not lines:
+            effect = value if isinstance(value, int) else ", ".join(value)
+            command.line(f"  {title}: {effect}")
+            printed_lines += 1
+    if not printed_lines:
         command.line("  no group, model or workspace is affected")
--- a/cowslipcourse/cli/edit_commands.py
+++ b/cowslipcourse/cli/edit_commands.py
@@ -26,14 +26,14 @@
 ]
 
 EDIT_ID_BYTES = 9
-NAME_HASH_CHARS = 8
+RULE_NAME_HASH_CHARS = 8
 
 
-def _source(what):
-    return f"{getpass.getuser()}@{socket.gethostname()} {what}".strip()
+def _edit_source(subject):
+    return f"{getpass.getuser()}@{socket.gethostname()} {subject}".strip()
 
 
-def _read_files(path):
+def _read_configuration_files(path):
     root = Path(path)
     files = sorted(root.glob("*.toml")) if root.is_dir() else [root]
     if not files:
@@ -44,23 +44,33 @@
         raise ConfigurationError([Problem(path, str(error))]) from error
 
 
-def _change(kind, name, value):
+def _change_content(kind, name, value):
     return {"kind": kind, "name": name, "value": value}
 
 
-def _differences(current, wanted):
-    """Return the changes that lead from one configuration to another."""
+def _configuration_changes(current, target_configuration):
+    """Return the changes that turn one configuration into another.
+
+    :param current: values by kind and name.
+    :param target_configuration: the same, as it is to become.
+    """
     changes = []
     for kind in KINDS:
-        before, after = current.get(kind, {}), wanted.get(kind, {})
-        for name in sorted({*before, *after}):
-            if before.get(name) != after.get(name):
-                changes.append(_change(kind, name, after.get(name)))
+        current_objects, target_objects = (
+            current.get(kind, {}),
+            target_configuration.get(kind, {}),
+        )
+        for name in sorted({*current_objects, *target_objects}):
+            if current_objects.get(name) != target_objects.get(name):
+                changes.append(_change_content(kind, name, target_objects.get(name)))
     return changes
 
 
 class EditCommand(OperatorCommand):
-    """A command that sends an edit."""
+    """Base class of the commands that send an edit.
+
+    :cvar trial: whether the edit is only planned, not applied.
+    """
 
     options = [
         *OperatorCommand.options,
@@ -73,61 +83,70 @@
     ]
     trial = False
 
-    def send(self, changes, base_revision, source):
-        """Send an edit and report what came of it."""
+    def send_edit(self, changes, base_revision, source):
+        """Send an edit and print its result.
+
+        :param changes: list of changes with kind, name and value.
+        :param base_revision: revision to which the changes refer.
+        :param source: origin of the edit, for the audit log.
+        """
         if not changes:
             self.line("nothing to change")
             return ExitCode.DONE
-        base_revision = int(self._number("base-revision", base_revision))
+        base_revision = int(self._number_option("base-revision", base_revision))
         edit_id = self.option("edit-id") or secrets.token_hex(EDIT_ID_BYTES)
-        body = {
+        edit_body = {
             "edit_id": edit_id,
             "base_revision": base_revision,
             "changes": changes,
-            "source": _source(source),
+            "source": _edit_source(source),
             "confirm": self.option("confirm") or "",
             "trial": self.trial,
-            "wait_s": self._number("wait", 0),
+            "wait_s": self._number_option("wait", 0),
         }
-        answer = self.client.post("/v1/edits", body)
+        response = self.client.post("/v1/edits", edit_body)
         if self.wants_json:
-            self.print_json({**answer, "edit_id": edit_id})
+            self.print_json({**response, "edit_id": edit_id})
         else:
-            self._report(answer, changes)
-        in_force = self.trial or answer["accepted"]
+            self._print_result(response, changes)
+        in_force = self.trial or response["accepted"]
         return ExitCode.DONE if in_force else ExitCode.NOT_YET_IN_FORCE
 
-    def _number(self, name, default):
-        """Return an option's number, or the default if it was not given.
+    def _number_option(self, name, default):
+        """Return the number given as an option, or the default.
 
-        :raises ConfigurationError: it is not a number.
+        :raises ConfigurationError: the option is not a number.
         """
         text = self.option(name)
         try:
             return default if text is None else float(text)
         except ValueError as error:
-            problem = Problem(f"--{name}", "write a number")
+            problem = Problem(f"--{name}", "expected a number")
             raise ConfigurationError([problem]) from error
 
-    def _report(self, answer, changes):
+    def _print_result(self, response, changes):
         for change in changes:
             verb = "remove" if change["value"] is None else "set"
             self.line(f"{verb} {change['kind']}/{change['name']}")
-        print_plan(self, answer["plan"])
+        print_plan(self, response["plan"])
         if self.trial:
-            word = "destructive, " if answer["plan"]["destructive"] else ""
-            self.line(f"plan {answer['plan']['digest']} ({word}not made)")
-        elif answer["accepted"]:
-            self.line(f"revision {answer['revision']} is in force everywhere")
+            destructive_note = (
+                "destructive, " if response["plan"]["destructive"] else ""
+            )
+            self.line(
+                f"plan {response['plan']['digest']} ({destructive_note}not applied)"
+            )
+        elif response["accepted"]:
+            self.line(f"revision {response['revision']} is in force everywhere")
         else:
-            missing = ", ".join(answer["missing"]) or "waiting"
+            lagging = ", ".join(response["missing"]) or "waiting"
             self.line(
-                f"revision {answer['revision']} is not in force yet at: {missing}"
+                f"revision {response['revision']} is not in force yet at: {lagging}"
             )
 
 
 class ApplyCommand(EditCommand):
-    """Apply objects from files."""
+    """Apply declared objects from files."""
 
     name = "apply"
     description = "Apply a TOML file, or every .toml file of a directory."
@@ -137,23 +156,25 @@
         option("prune", None, "Remove objects that the files do not declare"),
     ]
 
-    def work(self):
-        """Send what differs from the configuration in force."""
+    def perform(self):
+        """Send the differences from the newest configuration."""
         path = self.argument("path")
-        changes = parse_documents(_read_files(path))
-        answer = self.client.get("/v1/configuration")
-        current = answer["configuration"]
-        wanted = (
+        changes = parse_documents(_read_configuration_files(path))
+        response = self.client.get("/v1/configuration")
+        current = response["configuration"]
+        target_configuration = (
             {} if self.option("prune") else {k: dict(v) for k, v in current.items()}
         )
-        for ref, value in changes:
-            wanted.setdefault(ref.kind, {})[ref.name] = value.model_dump(mode="json")
-        differences = _differences(current, wanted)
-        return self.send(differences, answer["revision"], path)
+        for object_ref, value in changes:
+            target_configuration.setdefault(object_ref.kind, {})[object_ref.name] = (
+                value.model_dump(mode="json")
+            )
+        configuration_changes = _configuration_changes(current, target_configuration)
+        return self.send_edit(configuration_changes, response["revision"], path)
 
 
 class PlanCommand(ApplyCommand):
-    """Show what applying would do."""
+    """Show the effects of applying files."""
 
     name = "plan"
     description = "Show what applying a file or directory would do, without doing it."
@@ -161,7 +182,7 @@
 
 
 class LabelCommand(EditCommand):
-    """Set labels over a selector."""
+    """Set labels on the objects that a selector matches."""
 
     name = "label"
     description = "Set labels on all VMs or workspaces that a selector matches."
@@ -175,21 +196,26 @@
         option("name", None, "Name of the rule", flag=False),
     ]
 
-    def work(self):
-        """Declare a label rule."""
+    def perform(self):
+        """Declare a label rule, or add labels to an existing one."""
         subject, selector = self.argument("subject"), self.argument("selector")
         parse_selector(selector)
-        pairs = [text.partition("=") for text in self.argument("labels")]
-        if not all(sign and key and value for key, sign, value in pairs):
-            raise ConfigurationError([Problem("labels", "write key=value")])
+        label_parts = [text.partition("=") for text in self.argument("labels")]
+        if not all(
+            separator and key and value for key, separator, value in label_parts
+        ):
+            raise ConfigurationError([Problem("labels", "expected key=value")])
         digest = hashlib.sha256(f"{subject}|{selector}".encode()).hexdigest()
-        name = self.option("name") or f"cli-{digest[:NAME_HASH_CHARS]}"
-        answer = self.client.get("/v1/configuration")
-        known = answer["configuration"].get("label", {}).get(name, {})
-        labels = {**known.get("set", {}), **{key: value for key, _, value in pairs}}
+        name = self.option("name") or f"cli-{digest[:RULE_NAME_HASH_CHARS]}"
+        response = self.client.get("/v1/configuration")
+        existing_rule = response["configuration"].get("label", {}).get(name, {})
+        labels = {
+            **existing_rule.get("set", {}),
+            **{key: value for key, _, value in label_parts},
+        }
         value = {"on": subject, "selector": selector, "set": labels}
-        changes = [_change("label", name, value)]
-        return self.send(changes, answer["revision"], "label")
+        changes = [_change_content("label", name, value)]
+        return self.send_edit(changes, response["revision"], "label")
 
 
 class UnlabelCommand(EditCommand):
@@ -199,25 +225,25 @@
     description = "Remove a label rule."
     arguments = [argument("name", "Name of the rule")]
 
-    def work(self):
+    def perform(self):
         """Remove the rule."""
-        answer = self.client.get("/v1/configuration")
-        changes = [_change("label", self.argument("name"), None)]
-        return self.send(changes, answer["revision"], "unlabel")
+        response = self.client.get("/v1/configuration")
+        changes = [_change_content("label", self.argument("name"), None)]
+        return self.send_edit(changes, response["revision"], "unlabel")
 
 
 class DeleteCommand(EditCommand):
-    """Remove an object."""
+    """Remove a declared object."""
 
     name = "delete"
     description = "Remove a declared object."
     arguments = [argument("kind", "For example group"), argument("name", "Its name")]
 
-    def work(self):
+    def perform(self):
         """Remove the object."""
-        answer = self.client.get("/v1/configuration")
-        changes = [_change(self.argument("kind"), self.argument("name"), None)]
-        return self.send(changes, answer["revision"], "delete")
+        response = self.client.get("/v1/configuration")
+        changes = [_change_content(self.argument("kind"), self.argument("name"), None)]
+        return self.send_edit(changes, response["revision"], "delete")
 
 
 class DrainCommand(EditCommand):
@@ -231,16 +257,16 @@
         argument("reason", "Why", optional=True, default=""),
     ]
 
-    def work(self):
+    def perform(self):
         """Declare a drain."""
         parse_selector(self.argument("selector"))
-        answer = self.client.get("/v1/configuration")
+        response = self.client.get("/v1/configuration")
         value = {
             "selector": self.argument("selector"),
             "reason": self.argument("reason"),
         }
-        changes = [_change("drain", self.argument("name"), value)]
-        return self.send(changes, answer["revision"], "drain")
+        changes = [_change_content("drain", self.argument("name"), value)]
+        return self.send_edit(changes, response["revision"], "drain")
 
 
 class UndrainCommand(EditCommand):
@@ -250,24 +276,30 @@
     description = "Put drained VMs back into service."
     arguments = [argument("name", "Name of the drain")]
 
-    def work(self):
+    def perform(self):
         """Remove the drain."""
-        answer = self.client.get("/v1/configuration")
-        changes = [_change("drain", self.argument("name"), None)]
-        return self.send(changes, answer["revision"], "undrain")
+        response = self.client.get("/v1/configuration")
+        changes = [_change_content("drain", self.argument("name"), None)]
+        return self.send_edit(changes, response["revision"], "undrain")
 
 
 class RollbackCommand(EditCommand):
-    """Make an earlier configuration the newest."""
+    """Restore the configuration of an earlier revision."""
 
     name = "rollback"
     description = "Make the configuration of an earlier revision a new revision."
     arguments = [argument("revision", "Revision made by an edit")]
 
-    def work(self):
+    def perform(self):
         """Send the differences to the earlier revision."""
-        number = self.argument("revision")
-        earlier = self.client.get("/v1/configuration", revision=number)
-        answer = self.client.get("/v1/configuration")
-        differences = _differences(answer["configuration"], earlier["configuration"])
-        return self.send(differences, answer["revision"], f"rollback to {number}")
+        earlier_revision = self.argument("revision")
+        earlier = self.client.get("/v1/configuration", revision=earlier_revision)
+        response = self.client.get("/v1/configuration")
+        configuration_changes = _configuration_changes(
+            response["configuration"], earlier["configuration"]
+        )
+        return self.send_edit(
+            configuration_changes,
+            response["revision"],
+            f"rollback to {earlier_revision}",
+        )
--- a/cowslipcourse/cli/main.py
+++ b/cowslipcourse/cli/main.py
@@ -1,4 +1,4 @@
-"""Program ``cowslip``."""
+"""Entry point of the program ``cowslip``."""
 
 import sys
 
--- a/cowslipcourse/cli/read_commands.py
+++ b/cowslipcourse/cli/read_commands.py
@@ -1,4 +1,4 @@
-"""Commands that only look."""
+"""Commands that only read."""
 
 from cleo.commands.command import Command
 from cleo.helpers import argument, option
@@ -14,8 +14,8 @@
 
 __all__ = ["AuditCommand", "CheckSettingsCommand", "GetCommand", "StatusCommand"]
 
-MOST_NAMES = 3
-SCHEMAS = {
+MAX_NAMES_SHOWN = 3
+SCHEMAS_BY_ROLE = {
     "gateway": GatewaySettings,
     "controller": ControllerSettings,
     "standin": StandinSettings,
@@ -23,23 +23,23 @@
 
 
 class StatusCommand(OperatorCommand):
-    """Show the state of everything."""
+    """Show the state of groups, services and daemons."""
 
     name = "status"
     description = "Show groups, services, daemons and who runs which revision."
 
-    def work(self):
-        """Print the status, what is wrong first."""
+    def perform(self):
+        """Print the status, faults first."""
         status = self.client.get("/v1/status")
         if self.wants_json:
             self.print_json(status)
         else:
-            for line in _headline(status):
+            for line in _summary_lines(status):
                 self.line(line)
-            self._tables(status)
-        return ExitCode.REFUSED if _faults(status) else ExitCode.DONE
+            self._print_tables(status)
+        return ExitCode.REFUSED if _find_faults(status) else ExitCode.DONE
 
-    def _tables(self, status):
+    def _print_tables(self, status):
         self.line("")
         rows = [
             (
@@ -89,21 +89,23 @@
         self.print_table(headers, rows)
 
 
-def _faults(status):
-    """Return a sentence for everything that needs attention."""
+def _find_faults(status):
+    """Return a message for each fault that needs an operator's attention."""
     faults = []
     if not status["table_answers"]:
-        faults.append("the table service does not answer: no edits, no repairs")
+        faults.append("the table service does not respond: no edits, no repairs")
     if not status["serving"]:
         faults.append(f"{status['from']} is cut off and has stopped")
     for daemon in status["daemons"]:
         if daemon["state"] != "serving":
             faults.append(f"{daemon['name']} is {daemon['state']}")
-    for declared in status["declarations"]:
-        lacking = declared["wanted"] - declared["serving"]
-        if lacking > 0:
-            name = declared["declaration"]
-            faults.append(f"{name}: {lacking} of {declared['wanted']} not serving")
+    for declaration in status["declarations"]:
+        not_serving_count = declaration["wanted"] - declaration["serving"]
+        if not_serving_count > 0:
+            name = declaration["declaration"]
+            faults.append(
+                f"{name}: {not_serving_count} of {declaration['wanted']} not serving"
+            )
     faults.extend(
         f"{service['service']} on {service['vm']}: {service['reason']}"
         for service in status["services"]
@@ -116,10 +118,10 @@
     return faults
 
 
-def _headline(status):
-    faults = _faults(status)
-    number, accepted = status["revision"], status["accepted"]
-    lines = [f"revision {number}, in force everywhere: {accepted}"]
+def _summary_lines(status):
+    faults = _find_faults(status)
+    revision, accepted = status["revision"], status["accepted"]
+    lines = [f"revision {revision}, in force everywhere: {accepted}"]
     if not faults:
         return [*lines, "everything serves"]
     return [*lines, *(f"ATTENTION {fault}" for fault in faults)]
@@ -139,22 +141,24 @@
         option("revision", None, "An earlier revision", flag=False),
     ]
 
-    def work(self):
+    def perform(self):
         """Print the objects as JSON."""
-        answer = self.client.get("/v1/configuration", revision=self.option("revision"))
-        found = answer["configuration"]
+        response = self.client.get(
+            "/v1/configuration", revision=self.option("revision")
+        )
+        declared_objects = response["configuration"]
         kind, name = self.argument("kind"), self.argument("name")
         if kind is not None:
-            found = found.get(kind)
-        if name is not None and found is not None:
-            found = found.get(name)
-        if found is None:
+            declared_objects = declared_objects.get(kind)
+        if name is not None and declared_objects is not None:
+            declared_objects = declared_objects.get(name)
+        if declared_objects is None:
             raise ConfigurationError([Problem(f"{kind}/{name or ''}", "not declared")])
-        self.print_json(found)
+        self.print_json(declared_objects)
 
 
 class AuditCommand(OperatorCommand):
-    """Show who changed what."""
+    """Show the audit records of edits."""
 
     name = "audit"
     description = "Show who changed what, when, from where, under which plan."
@@ -166,7 +170,7 @@
         option("limit", None, "At most so many", flag=False, default="20"),
     ]
 
-    def work(self):
+    def perform(self):
         """Print the records, newest first."""
         names = ("operator", "object", "since", "limit")
         filters = {name: self.option(name) for name in names}
@@ -180,7 +184,7 @@
                 record["at"],
                 record["operator"],
                 record["plan"]["digest"] if record["destructive"] else None,
-                _shortened(record["changed"]),
+                _shorten_names(record["changed"]),
                 record["source"],
             )
             for record in records
@@ -189,11 +193,11 @@
         self.print_table(headers, rows)
 
 
-def _shortened(names):
-    """Return the first names, and how many more there are."""
-    shown = ", ".join(names[:MOST_NAMES])
-    more = len(names) - MOST_NAMES
-    return f"{shown} and {more} more" if more > 0 else shown
+def _shorten_names(names):
+    """Return the first names and the number of the others."""
+    shown_names = ", ".join(names[:MAX_NAMES_SHOWN])
+    hidden_count = len(names) - MAX_NAMES_SHOWN
+    return f"{shown_names} and {hidden_count} more" if hidden_count > 0 else shown_names
 
 
 class CheckSettingsCommand(Command):
@@ -207,22 +211,29 @@
     ]
 
     def handle(self):
-        """Print every problem, or that there is none."""
+        """Print all problems of the file, or that it is valid.
+
+        Without a role, the schema with the fewest problems is reported.
+        """
         path = self.argument("file")
         role = self.option("role")
-        if role is not None and role not in SCHEMAS:
-            self.line_error(f"<error>--role is one of {', '.join(SCHEMAS)}</error>")
+        if role is not None and role not in SCHEMAS_BY_ROLE:
+            self.line_error(
+                f"<error>--role is one of {', '.join(SCHEMAS_BY_ROLE)}</error>"
+            )
             return int(ExitCode.BAD_INPUT)
-        fewest = None
-        for name in [role] if role else SCHEMAS:
+        fewest_problems = None
+        for name in [role] if role else SCHEMAS_BY_ROLE:
             try:
-                load_settings(path, SCHEMAS[name])
+                load_settings(path, SCHEMAS_BY_ROLE[name])
             except SettingsError as error:
-                if fewest is None or len(error.problems) < len(fewest):
-                    fewest = error.problems
+                if fewest_problems is None or len(error.problems) < len(
+                    fewest_problems
+                ):
+                    fewest_problems = error.problems
                 continue
-            self.line(f"{path}: good settings of a {name}")
+            self.line(f"{path}: valid settings of a {name}")
             return int(ExitCode.DONE)
-        for problem in fewest:
+        for problem in fewest_problems:
             self.line_error(f"<error>{problem}</error>")
         return int(ExitCode.BAD_INPUT)
