--- a/cowslipcourse/gateway/chat.py
+++ b/cowslipcourse/gateway/chat.py
@@ -199,8 +199,8 @@
 
     def _deadline_error(self):
         if self._generation.attempted_groups:
-            return DeadlineWhileRunning("the deadline passed", 1.0)
-        return DeadlinePassed("the deadline passed", 1.0)
+            return DeadlineWhileRunning("the deadline has passed", 1.0)
+        return DeadlinePassed("the deadline has passed", 1.0)
 
     def _append_texts(self, texts, chunk):
         for event in (chunk or b"").split(b"\n\n")[:-1]:
--- a/cowslipcourse/gateway/service_calls.py
+++ b/cowslipcourse/gateway/service_calls.py
@@ -80,12 +80,12 @@
                 log.info(
                     "call-failed", service=self._service, vm=self._vm, code=error.code
                 )
-                if self._may_have_run_after(error) and not self._repeatable:
+                if self._record_failed_attempt(error) and not self._repeatable:
                     raise OutcomeUnknown(error.detail) from error
         raise NoTargetAvailable("no attempt got a response", NO_TARGET_RETRY_AFTER_S)
 
-    def _may_have_run_after(self, error):
-        """Record and return whether a failed attempt may have run."""
+    def _record_failed_attempt(self, error):
+        """Record a failed attempt; return whether it may have run."""
         if isinstance(error, TargetRefused):
             self._context.fleet_view.record_refusal(self._vm)
             self._may_have_run = self._may_have_run_before
--- a/features/support/booking_variants.py
+++ b/features/support/booking_variants.py
@@ -19,7 +19,7 @@
     def ran(self, error):
         return False
 
-    return mock.patch.object(ServiceCall, "_may_have_run_after", ran)
+    return mock.patch.object(ServiceCall, "_record_failed_attempt", ran)
 
 
 def _ignore_home_gateway():
