--- a/cowslipcourse/standin/world.py
+++ b/cowslipcourse/standin/world.py
@@ -15,8 +15,8 @@
 class World:
     """VMs, stores and their faults.
 
-    :ivar leaders_detect_loss: whether a leader breaks its streams when a member is lost;
-        otherwise it goes on alone, and only the system can keep requests away.
+    :ivar leaders_detect_loss: whether a leader breaks its streams when a member is
+        lost; otherwise it continues alone, and only the system can keep requests away.
     :param settings: :class:`~cowslipcourse.settings.StandinSettings`
     """
 
--- a/features/support/group_runs.py
+++ b/features/support/group_runs.py
@@ -394,7 +394,7 @@
     random.seed(seed)
     fenced = rng.random() < 0.5 if fenced is None else fenced
     site = InProcessSite(seed, vm_specs(fenced), ("c1", "c2", "c3"), ("g1",))
-    site.world.leaders_notice = False
+    site.world.leaders_detect_loss = False
     await site.start()
     changes = base_changes(2, 4)
     if not fenced:
