--- a/features/steps/ending_steps.py
+++ b/features/steps/ending_steps.py
@@ -1,4 +1,4 @@
-"""Steps over real processes and a request that ends its targets."""
+"""Steps for real processes and a request that crashes its targets."""
 
 import asyncio
 import time
@@ -9,13 +9,13 @@
 from features.steps.platform_steps import _call, _play, _ready, _until
 from features.support.platform_site import ENDS, HOST, KEY, stream_events
 
-CALM_S = 3.0
-AGAIN_S = 0.5
+QUIET_WINDOW_S = 3.0
+RESEND_INTERVAL_S = 0.5
 PATHS = {"stream": f"/draft/{ENDS}x", "booking": f"/book/{ENDS}x"}
 
 
-async def _ending_call(session, front, path, number):
-    """Return status, headers and seconds of one call of the request."""
+async def _send_crashing_request(session, front, path, number):
+    """Return the status, headers and duration in seconds of one attempt."""
     headers = {
         "Host": HOST,
         "X-Attempt-Id": f"e{number}",
@@ -32,90 +32,100 @@
         return None, {}, time.monotonic() - began_at
 
 
-async def _at_all(context, session, path):
+async def _send_to_all_daemons(context, session, path):
     fronts = context.platform.fronts.values()
     calls = []
     for front in fronts:
         context.number += 1
-        calls.append(_ending_call(session, front, path, context.number))
+        calls.append(_send_crashing_request(session, front, path, context.number))
     return await asyncio.gather(*calls)
 
 
 @when(
-    "a {kind} that ends its targets comes at all daemons every 0.5 s for {seconds:d} "
+    "a {kind} that crashes targets is sent to all daemons every 0.5 s for {seconds:d} "
     "s, beside other callers"
 )
-def step_comes(context, kind, seconds):
+def step_sent_repeatedly(context, kind, seconds):
     site = context.platform
     context.number = 0
     context.path = PATHS[kind]
-    context.others = []
+    context.other_results = []
 
-    async def others(session):
+    async def send_other_requests(session):
         number = 0
         fronts = list(site.fronts.values())
         while True:
             number += 1
             name = f"o{number}"
             front = fronts[number % len(fronts)]
-            at = asyncio.get_running_loop().time()
+            sent_at = asyncio.get_running_loop().time()
             try:
                 status, body, _ = await _call(session, front, f"/draft/{name}")
             except aiohttp.ClientError:
                 status, body = None, b""
-            is_whole = status == 200 and body == b"".join(stream_events(name))
-            context.others.append((at, is_whole))
+            is_complete = status == 200 and body == b"".join(stream_events(name))
+            context.other_results.append((sent_at, is_complete))
 
-    async def act():
+    async def send_requests():
         loop = asyncio.get_running_loop()
         async with aiohttp.ClientSession() as session:
-            beside = [asyncio.create_task(others(session)) for _ in range(3)]
-            until = loop.time() + seconds
-            while loop.time() < until:
-                context.last = await _at_all(context, session, context.path)
-                await asyncio.sleep(AGAIN_S)
+            caller_tasks = [
+                asyncio.create_task(send_other_requests(session)) for _ in range(3)
+            ]
+            end_at = loop.time() + seconds
+            while loop.time() < end_at:
+                context.last_responses = await _send_to_all_daemons(
+                    context, session, context.path
+                )
+                await asyncio.sleep(RESEND_INTERVAL_S)
             context.ended_at = loop.time()
-            for task in beside:
+            for task in caller_tasks:
                 task.cancel()
-            await asyncio.gather(*beside, return_exceptions=True)
+            await asyncio.gather(*caller_tasks, return_exceptions=True)
 
-    _play(context, act())
+    _play(context, send_requests())
 
 
-@then(
-    "its last callers are told within 0.5 s that it has not run, and when it is {when}"
-)
-def step_told(context, when):
-    for status, headers, seconds in context.last:
-        assert status == 503 and seconds < AGAIN_S, (status, seconds)
+@then("its last callers learn within 0.5 s that it has not run, and when it is {rest}")
+def step_refused_in_time(context, rest):
+    for status, headers, seconds in context.last_responses:
+        assert status == 503 and seconds < RESEND_INTERVAL_S, (status, seconds)
         assert float(headers["Retry-After"]) > 60, headers
 
 
-@then("in the last 3 s all others got whole streams")
-def step_others(context):
-    late = [w for at, w in context.others if at > context.ended_at - CALM_S]
-    assert late and all(late), (len(late), late.count(False))
+@then("in the last 3 s all other callers got complete streams")
+def step_others_complete(context):
+    recent = [
+        is_complete
+        for sent_at, is_complete in context.other_results
+        if sent_at > context.ended_at - QUIET_WINDOW_S
+    ]
+    assert recent and all(recent), (len(recent), recent.count(False))
 
 
-@when("all daemons are killed and start again")
-def step_start_again(context):
+@when("all daemons are killed and restarted")
+def step_daemons_restart(context):
     site = context.platform
 
-    async def act():
+    async def send_requests():
         for name in list(site.processes):
             site.kill(name)
             site.processes[name].wait()
         for name in list(site.processes):
             site.start_daemon(name)
         await _until(lambda: _ready(site), "daemons that serve")
-        context.ends_before = len(site.ends)
+        context.crashes_before = len(site.ends)
         async with aiohttp.ClientSession() as session:
-            context.last = await _at_all(context, session, context.path)
+            context.last_responses = await _send_to_all_daemons(
+                context, session, context.path
+            )
 
-    _play(context, act())
+    _play(context, send_requests())
 
 
-@then("it is refused by all of them, and no target ends")
-def step_refused(context):
-    assert [status for status, _, _ in context.last] == [503] * 3, context.last
-    assert len(context.platform.ends) == context.ends_before
+@then("all of them refuse it, and no target crashes")
+def step_refused_by_all(context):
+    assert [status for status, _, _ in context.last_responses] == [503] * 3, (
+        context.last_responses
+    )
+    assert len(context.platform.ends) == context.crashes_before
--- a/features/steps/gateway_ending_steps.py
+++ b/features/steps/gateway_ending_steps.py
@@ -1,4 +1,4 @@
-"""Steps over gateways and a request that ends the engines which run it."""
+"""Steps for gateways and a request that crashes the engines that run it."""
 
 import asyncio
 import logging
@@ -17,44 +17,44 @@
 from features.support.small_site import InProcessSite, base_changes
 from harness.callers import chat_body
 
-ENDS = b"this ends its engine"
-END_S = 0.08
-BACK_S = 3.2
-SETTLE_S = 30.0
+CRASHING_PHRASE = b"this ends its engine"
+CRASH_DELAY_S = 0.08
+RESTART_DELAY_S = 3.2
+STARTUP_S = 30.0
 
 
-class _Ends:
-    """Lets such a request end the engines that run it, and notes when."""
+class _EngineCrasher:
+    """Crashes the engines that run such a request, and records arrivals and crashes."""
 
     def __init__(self, site):
         self._site = site
         self._generate = FakeTargets.generate
         self.arrivals = []
-        self.ends = []
+        self.crash_times = []
 
     async def generate(self, targets, address, request):
-        if ENDS not in request.body:
+        if CRASHING_PHRASE not in request.body:
             async for events in self._generate(targets, address, request):
                 yield events
             return
         engine = await targets._target(address, 5.0)
         self.arrivals.append(now())
-        await asyncio.sleep(END_S)
-        self.ends.append(now())
+        await asyncio.sleep(CRASH_DELAY_S)
+        self.crash_times.append(now())
         engine.faults["dead"] = True
         name = address.rsplit("/", 1)[1]
         loop = asyncio.get_running_loop()
-        loop.call_later(BACK_S, self._site.world.change_vm, name, "restart")
+        loop.call_later(RESTART_DELAY_S, self._site.world.change_vm, name, "restart")
         raise TargetUnreachable("the connection ended")
 
 
-@given("two gateways before groups that serve, in fake time")
+@given("two gateways with serving groups in virtual time")
 def step_gateways(context):
     context.gateways = ("g1", "g2")
 
 
-async def _one(gateway, number):
-    body = chat_body(ENDS.decode(), "m", 12)
+async def _send_request(gateway, number):
+    body = chat_body(CRASHING_PHRASE.decode(), "m", 12)
     call = Call(f"r{number}", "crew", Priority.NORMAL, None, "", None)
     try:
         declarations = gateway.chooser.admit(call, "m")
@@ -62,75 +62,97 @@
         async for _ in generation.chunks():
             pass
     except RequestError:
-        # Its caller comes back at another moment.
+        # The caller sends the request again after the interval.
         return
 
 
-async def _come(site, every, for_s, names=None):
-    for number in range(for_s // every):
-        calls = [_one(site.gateways[n], number) for n in names or site.gateways]
+async def _send_repeatedly(site, interval_s, duration_s, gateway_names=None):
+    for number in range(duration_s // interval_s):
+        calls = [
+            _send_request(site.gateways[name], number)
+            for name in gateway_names or site.gateways
+        ]
         await asyncio.gather(*calls)
-        await asyncio.sleep(every)
-
-
-def _run(context, every, for_s, again_s=0, first=None, then=None):
-    async def story():
+        await asyncio.sleep(interval_s)
+
+
+def _simulate(
+    context,
+    interval_s,
+    duration_s,
+    second_duration_s=0,
+    first_gateways=None,
+    second_gateways=None,
+):
+    async def simulate():
         site = InProcessSite(1, vm_specs(False), ("c1",), context.gateways)
         await site.start()
         try:
             await site.edit("c1", *base_changes(2, 4))
-            await asyncio.sleep(SETTLE_S)
-            ends = _Ends(site)
+            await asyncio.sleep(STARTUP_S)
+            crasher = _EngineCrasher(site)
 
             def generate(targets, address, request):
-                return ends.generate(targets, address, request)
+                return crasher.generate(targets, address, request)
 
             with mock.patch.object(FakeTargets, "generate", generate):
-                await _come(site, every, for_s, first)
-                ends.anew_at = now()
-                if again_s and then is None:
+                await _send_repeatedly(site, interval_s, duration_s, first_gateways)
+                crasher.second_phase_at = now()
+                if second_duration_s and second_gateways is None:
                     for name in context.gateways:
                         await site.restart(name)
-                    await asyncio.sleep(SETTLE_S)
-                await _come(site, every, again_s, then)
-            return ends
+                    await asyncio.sleep(STARTUP_S)
+                await _send_repeatedly(
+                    site, interval_s, second_duration_s, second_gateways
+                )
+            return crasher
         finally:
             await site.stop()
 
     logging.disable(logging.CRITICAL)
     try:
-        context.ends = run_paused(story())
+        context.crasher = run_paused(simulate())
     finally:
         logging.disable(logging.NOTSET)
 
 
-@when("a request that ends its engines comes at both every {every:d} s for {for_s:d} s")
-def step_comes(context, every, for_s):
-    context.every, context.for_s = every, for_s
-    _run(context, every, for_s)
+@when(
+    "a request that crashes engines is sent to both every {interval_s:d} s for "
+    "{duration_s:d} s"
+)
+def step_sent_to_both(context, interval_s, duration_s):
+    context.interval_s, context.duration_s = interval_s, duration_s
+    _simulate(context, interval_s, duration_s)
 
 
-@when("both gateways start anew and it comes for {again_s:d} s more")
-def step_anew(context, again_s):
-    _run(context, context.every, context.for_s, again_s)
+@when("both gateways restart and it is sent for {second_duration_s:d} s more")
+def step_gateways_restart(context, second_duration_s):
+    _simulate(context, context.interval_s, context.duration_s, second_duration_s)
 
 
-@when("such a request comes at one every 2 s for 30 s, then at the other")
-def step_then_other(context):
-    first, then = context.gateways
-    _run(context, 2, 30, 30, [first], [then])
+@when("such a request is sent to one every 2 s for 30 s, then to the other")
+def step_sent_to_one_then_other(context):
+    first_gateways, second_gateways = context.gateways
+    _simulate(context, 2, 30, 30, [first_gateways], [second_gateways])
 
 
-@then("no engine is reached after that")
-def step_none_after(context):
-    later = [at for at in context.ends.arrivals if at > context.ends.anew_at]
-    assert not later, later
+@then("no engine gets it after that")
+def step_none_later(context):
+    late_arrivals = [
+        at for at in context.crasher.arrivals if at > context.crasher.second_phase_at
+    ]
+    assert not late_arrivals, late_arrivals
 
 
-@then("no more than {most:d} engines are reached later than 3 s after the third end")
-def step_bound(context, most):
-    ends = context.ends
-    assert len(ends.ends) >= 3, ends.ends
-    due_at = sorted(ends.ends)[2] + 3.0
-    later = [at for at in ends.arrivals if at > due_at]
-    assert len(later) <= most, (len(ends.ends), len(later))
+@then(
+    "no more than {max_arrivals:d} engines get it later than 3 s after the third crash"
+)
+def step_bound(context, max_arrivals):
+    crasher = context.crasher
+    assert len(crasher.crash_times) >= 3, crasher.crash_times
+    due_at = sorted(crasher.crash_times)[2] + 3.0
+    late_arrivals = [at for at in crasher.arrivals if at > due_at]
+    assert len(late_arrivals) <= max_arrivals, (
+        len(crasher.crash_times),
+        len(late_arrivals),
+    )
--- a/features/steps/judging_steps.py
+++ b/features/steps/judging_steps.py
@@ -1,4 +1,4 @@
-"""Steps over verdicts on requests: who is blamed, how long, and what is kept."""
+"""Steps for verdicts: which requests are quarantined, how long, and what is stored."""
 
 import asyncio
 import contextlib
@@ -43,136 +43,170 @@
 FINGERPRINT = b"f" * 16
 HOUR_S = 3600.0
 DAY_S = 24 * HOUR_S
-CLOCK_S = 1e-6
-"""Rounding of times of the loop."""
+CLOCK_ROUNDING_S = 1e-6
+"""Rounding error of the loop's clock."""
 SITE = SiteSettings(domains={"d": "x"}, engines_a_domain=1, models=(), kinds=())
 ROUTE = Route("r", "h", "/", RequestKind.IDEMPOTENT, (("s", 1.0),), 8.0, 1.0, 1, 2)
 
 
-def _report(life, begun=True, events=0, reached=0, fingerprint=FINGERPRINT):
-    incarnation = int(life[1:] or 0)
-    return CrashReport(fingerprint, life[0], incarnation, begun, events, reached)
+def _report(
+    incarnation_name,
+    has_begun=True,
+    relayed_events=0,
+    last_event_id=0,
+    fingerprint=FINGERPRINT,
+):
+    incarnation = int(incarnation_name[1:] or 0)
+    return CrashReport(
+        fingerprint,
+        incarnation_name[0],
+        incarnation,
+        has_begun,
+        relayed_events,
+        last_event_id,
+    )
 
 
-# Who is blamed.
+# Which requests are quarantined.
 
 
-def _judge(ends):
-    """Play a story told in words; return whether it ends in a verdict."""
-    suspects, now, reached, convicted = Suspects(), 0.0, 0, False
-    for step in ends.split(", "):
+def _is_quarantined_after(crashes):
+    """Report crashes given in words; return whether the request is quarantined."""
+    suspects, now, last_event_id, quarantined = Suspects(), 0.0, 0, False
+    for step in crashes.split(", "):
         words = step.split()
         if step == "answered":
             suspects.record_answered(FINGERPRINT, now)
         elif words[1] == "s":
             now += float(words[0])
         elif words[1] == "events":
-            # Each attempt of a caller begins anew; within one, events go on.
-            reached = int(words[0])
-            report = _report(words[2], events=reached, reached=reached)
-            convicted |= suspects.add_report(report, now)
+            # Event ids restart with each caller attempt and continue within it.
+            last_event_id = int(words[0])
+            report = _report(
+                words[2], relayed_events=last_event_id, last_event_id=last_event_id
+            )
+            quarantined |= suspects.add_report(report, now)
         else:
-            begun = words[0] != "waiting"
-            report = _report(words[1], begun=begun, reached=reached)
-            convicted |= suspects.add_report(report, now)
-    return convicted
+            has_begun = words[0] != "waiting"
+            report = _report(words[1], has_begun=has_begun, last_event_id=last_event_id)
+            quarantined |= suspects.add_report(report, now)
+    return quarantined
 
 
-@given("the ends of targets under a request: {ends}")
-def step_ends(context, ends):
-    context.convicted = _judge(ends)
+@given("these target crashes under a request: {crashes}")
+def step_crashes(context, crashes):
+    context.quarantined = _is_quarantined_after(crashes)
 
 
-@then("it is convicted: {convicted}")
-def step_convicted(context, convicted):
-    assert context.convicted == (convicted == "yes")
+@then("it is quarantined: {quarantined}")
+def step_quarantined(context, quarantined):
+    assert context.quarantined == (quarantined == "yes")
 
 
-@given("{number:d} requests that are beside one that ends its targets, in {places}")
-def step_beside(context, number, places):
-    """Let each be in the other one's group, and go on in one group out of four.
+@given(
+    "{request_count:d} requests that each run beside one that crashes targets, "
+    "in {slots}"
+)
+def step_requests_beside(context, request_count, slots):
+    """Let each request run in the crashing one's group, and again with probability 1/4.
 
-    A run of 2 s that is met at a random moment has begun within the last 0.1 s in one
-    case out of 20; one that goes on at the same moment as the other has not come far.
+    A run of 2 s has begun within the last 0.1 s at a random moment in one case out of
+    20. A run that is retried at the same moment as the crashing one has made little
+    progress.
     """
     rng = random.Random(1)
     suspects = Suspects()
-    context.number, context.convicted = number, 0
-    for each in range(number):
-        fingerprint = each.to_bytes(16, "big")
-        is_beside, reached = True, 0
+    context.request_count, context.quarantined_count = request_count, 0
+    for index in range(request_count):
+        fingerprint = index.to_bytes(16, "big")
+        is_beside, last_event_id = True, 0
         for run in range(4):
             if not is_beside:
                 break
             first = run % 2 == 0
-            events = 0 if not first or rng.random() < 0.05 else rng.randint(1, 20)
-            reached = events or reached
-            report = _report(f"t{run}", True, events, reached, fingerprint)
-            context.convicted += suspects.add_report(report, 0.0)
+            relayed_events = (
+                0 if not first or rng.random() < 0.05 else rng.randint(1, 20)
+            )
+            last_event_id = relayed_events or last_event_id
+            report = _report(
+                f"t{run}", True, relayed_events, last_event_id, fingerprint
+            )
+            context.quarantined_count += suspects.add_report(report, 0.0)
             is_beside = rng.random() < 0.25
 
 
-@then("fewer than 1 in {share:d} of them are convicted")
-def step_few_convicted(context, share):
-    assert context.convicted < context.number / share, context.convicted
+@then("fewer than 1 in {one_in:d} of them are quarantined")
+def step_few_quarantined(context, one_in):
+    assert context.quarantined_count < context.request_count / one_in, (
+        context.quarantined_count
+    )
 
 
-# How much is kept.
+# Bounds on memory and stored rows.
 
 
-@when("{number:d} different requests end 3 targets each")
-def step_many(context, number):
+@when("{request_count:d} different requests crash 3 targets each")
+def step_many_crashing_requests(context, request_count):
     suspects, verdicts = Suspects(), Verdicts()
-    for each in range(number):
-        fingerprint = each.to_bytes(16, "big")
-        suspects.add_report(_report("x1", fingerprint=fingerprint), float(each) / 100)
+    for index in range(request_count):
+        fingerprint = index.to_bytes(16, "big")
+        suspects.add_report(_report("x1", fingerprint=fingerprint), float(index) / 100)
     assert len(suspects) == 4096
-    for each in range(number):
-        fingerprint = each.to_bytes(16, "big")
+    for index in range(request_count):
+        fingerprint = index.to_bytes(16, "big")
         reports = [_report(f"t{n}", fingerprint=fingerprint) for n in range(3)]
-        told = [suspects.add_report(report, float(each) / 100) for report in reports]
-        assert told[-1]
-        verdicts.add(Verdict(fingerprint, each + QUARANTINE_S))
-    context.suspects, context.verdicts, context.number = suspects, verdicts, number
+        quarantine_results = [
+            suspects.add_report(report, float(index) / 100) for report in reports
+        ]
+        assert quarantine_results[-1]
+        verdicts.add(Verdict(fingerprint, index + QUARANTINE_S))
+    context.suspects, context.verdicts, context.request_count = (
+        suspects,
+        verdicts,
+        request_count,
+    )
 
 
 @then("no more than {verdicts:d} verdicts and {suspects:d} suspects are kept, {which}")
-def step_bounded(context, verdicts, suspects, which):
+def step_bounded_memory(context, verdicts, suspects, which):
     assert len(context.verdicts) == verdicts
     assert len(context.suspects) <= suspects
-    known = {int.from_bytes(v.fingerprint, "big") for v in context.verdicts}
-    assert known == set(range(context.number - verdicts, context.number))
+    fingerprints = {int.from_bytes(v.fingerprint, "big") for v in context.verdicts}
+    assert fingerprints == set(
+        range(context.request_count - verdicts, context.request_count)
+    )
 
 
-@then("the row of the store has no more than {kilobytes:d} KB")
-def step_row(context, kilobytes):
-    length = len(_encode_verdicts(context.verdicts))
-    assert length <= kilobytes * 1024, length
+@then("the stored row has no more than {kilobytes:d} KB")
+def step_row_size(context, kilobytes):
+    size_bytes = len(_encode_verdicts(context.verdicts))
+    assert size_bytes <= kilobytes * 1024, size_bytes
 
 
-# When a verdict ends.
+# Expiry and trials.
 
 
-@given("a verdict that was reached at a time")
+@given("a new verdict")
 def step_verdict(context):
     context.verdict = Verdict(FINGERPRINT, HOUR_S)
 
 
-@then("it may be tried after 1 h, then after 4 h, 16 h and 64 h more: three {rest}")
-def step_terms(context, rest):
+@then("trials start after 1 h, then after 4 h, 16 h and 64 h more, three {rest}")
+def step_trial_times(context, rest):
     assert QUARANTINE_S == HOUR_S
-    tried, verdict = [], context.verdict
+    trial_times, verdict = [], context.verdict
     for _trial in range(4):
-        tried.append(verdict.until)
+        trial_times.append(verdict.until)
         verdict = verdict.after_trial_began(verdict.until)
-    gaps = [
-        (after - at) / HOUR_S for at, after in zip([0, *tried], tried, strict=False)
+    intervals_h = [
+        (after - before) / HOUR_S
+        for before, after in zip([0, *trial_times], trial_times, strict=False)
     ]
-    assert gaps == [1, 4, 16, 64], gaps
-    assert sum(at <= DAY_S for at in tried) == 3
+    assert intervals_h == [1, 4, 16, 64], intervals_h
+    assert sum(at <= DAY_S for at in trial_times) == 3
 
 
-@then("hearing of it again does not prolong it")
+@then("learning the verdict again does not prolong it")
 def step_not_prolonged(context):
     verdicts = Verdicts()
     assert verdicts.add(context.verdict)
@@ -182,7 +216,7 @@
 
 
 class _Call(SimpleNamespace):
-    """What is used of a call."""
+    """The attributes of a call that a quarantine uses."""
 
 
 def _call():
@@ -190,35 +224,35 @@
 
 
 class _Daemons:
-    """Daemons with quarantines, a store, and targets that end under the request."""
+    """Daemons with quarantines, a store, and targets that crash under the request."""
 
-    def __init__(self, number):
+    def __init__(self, count):
         loop = asyncio.get_running_loop()
         self.network = MessageNetwork(SITE, random.Random(1))
         faults = Faults(late=0, lost=0, unanswered=0, pause=0, store=0)
         self.store = World(random.Random(1), faults, ())
         self.clock = loop.time
         self.sent = []
-        self.ends_targets = True
-        self.quarantines = [self.start(f"a{each}") for each in range(number)]
+        self.crashes_targets = True
+        self.quarantines = [self.start(f"a{index}") for index in range(count)]
 
     def start(self, name):
-        """Start a daemon anew, and return its quarantine."""
+        """Start or restart a daemon, and return its quarantine."""
         fleet = FleetView()
         fleet.apply([_entry(n) for n in range(50)], ())
-        kept = VerdictStore(self.store, self.clock)
-        ends = TargetExitDetector(fleet.is_expected, self._refuses)
-        quarantine = Quarantine(self.network.peers(name), ends, kept)
+        verdict_store = VerdictStore(self.store, self.clock)
+        exit_detector = TargetExitDetector(fleet.is_expected, self._probe)
+        quarantine = Quarantine(self.network.peers(name), exit_detector, verdict_store)
         self.network.attach(name, quarantine)
         return quarantine
 
-    async def _refuses(self, address):
-        return self.ends_targets
+    async def _probe(self, address):
+        return self.crashes_targets
 
-    async def request(self, quarantine, before=None):
-        """Bring a request to targets; return the error that its caller gets, if any.
+    async def request(self, quarantine, on_attempt=None):
+        """Send a request to targets; return the error that its caller gets, if any.
 
-        :param before: coroutine function that is run at each target.
+        :param on_attempt: coroutine function awaited with each run at a target.
         """
         call = _call()
 
@@ -228,10 +262,10 @@
         async def attempt(run, is_last):
             self.sent.append(run.entry.id)
             run.answer_started = True
-            if before is not None:
-                await before(run)
+            if on_attempt is not None:
+                await on_attempt(run)
             await asyncio.sleep(0.05)
-            if self.ends_targets:
+            if self.crashes_targets:
                 run.ended_by_target = True
                 raise IncompleteResponse("the connection ended")
             run.succeeded = True
@@ -247,12 +281,12 @@
             quarantine.record_finished(call)
         return None
 
-    async def at_all(self):
-        """Let the request come at all daemons at once; return what each caller gets."""
+    async def request_at_all(self):
+        """Send the request to all daemons at once; return the error of each caller."""
         return await asyncio.gather(*(self.request(q) for q in self.quarantines))
 
     async def stop(self):
-        """End the daemons."""
+        """Stop the daemons."""
         self.network.stop()
         await asyncio.sleep(0)
 
@@ -261,22 +295,22 @@
     return TargetEntry(f"t{number}", "s", f"10.0.0.{number}:1", "x", 6)
 
 
-def _on(number, act):
-    """Run a coroutine function over daemons in fake time."""
+def _run_with_daemons(count, scenario):
+    """Run a coroutine function with daemons in virtual time."""
 
     async def run():
-        daemons = _Daemons(number)
+        daemons = _Daemons(count)
         await asyncio.sleep(0.1)
         try:
-            await act(daemons)
+            await scenario(daemons)
         finally:
             await daemons.stop()
 
     run_paused(run())
 
 
-async def _convict(daemons):
-    """Let the request end targets at the daemons until all refuse it."""
+async def _quarantine_request(daemons):
+    """Let the request crash targets until all daemons refuse it."""
     while not all(q.is_quarantined(_call()) for q in daemons.quarantines):
         await daemons.request(daemons.quarantines[0])
         await asyncio.sleep(0.5)
@@ -284,122 +318,130 @@
     daemons.sent.clear()
 
 
-@given("eight daemons that know a verdict whose time is over")
-def step_eight(context):
+@given("eight daemons with an expired verdict")
+def step_expired_verdict(context):
     async def prepare(daemons):
-        await _convict(daemons)
+        await _quarantine_request(daemons)
         await asyncio.sleep(HOUR_S)
 
     context.prepare = prepare
 
 
-@when("the request comes at all of them at the same moment")
-def step_at_once(context):
-    context.stories = {}
-    for ends in (True, False):
+@when("the request arrives at all of them at once")
+def step_arrives_at_all(context):
+    context.results = {}
+    for crashes_targets in (True, False):
 
-        async def story(daemons, ends=ends):
+        async def scenario(daemons, crashes_targets=crashes_targets):
             await context.prepare(daemons)
-            daemons.ends_targets = ends
-            found = await daemons.at_all()
+            daemons.crashes_targets = crashes_targets
+            errors = await daemons.request_at_all()
             sent = list(daemons.sent)
             await asyncio.sleep(2)
             daemons.sent.clear()
-            again = await daemons.at_all()
+            errors_again = await daemons.request_at_all()
             for number in range(8):
                 daemons.quarantines[number] = daemons.start(f"a{number}")
             await asyncio.sleep(1)
-            context.stories[ends] = found, sent, again, await daemons.at_all()
+            context.results[crashes_targets] = (
+                errors,
+                sent,
+                errors_again,
+                await daemons.request_at_all(),
+            )
 
-        _on(8, story)
+        _run_with_daemons(8, scenario)
 
 
 @then("one of them sends it to a target, and the others refuse it")
-def step_one(context):
-    for found, sent, _, _ in context.stories.values():
+def step_one_trial(context):
+    for errors, sent, _, _ in context.results.values():
         assert len(sent) == 1, sent
-        refused = [each for each in found if isinstance(each, RequestQuarantined)]
-        assert len(refused) == 7, found
+        refused = [error for error in errors if isinstance(error, RequestQuarantined)]
+        assert len(refused) == 7, errors
 
 
-@then("if it ends the target all refuse it again, for {hours:d} h")
+@then("if it crashes the target, all refuse it again for {hours:d} h")
 def step_refused_again(context, hours):
-    _, _, again, after_start = context.stories[True]
-    for error in again + after_start:
+    _, _, errors_again, errors_after_restart = context.results[True]
+    for error in errors_again + errors_after_restart:
         assert isinstance(error, RequestQuarantined), error
         assert 0.99 * hours < error.retry_after_s / HOUR_S <= hours, error.retry_after_s
 
 
-@then("if it is answered none refuses it any more, nor after a new start")
+@then("if it is answered, none refuses it any more, not even after a restart")
 def step_not_refused(context):
-    _, _, again, after_start = context.stories[False]
-    assert again + after_start == [None] * 16, (again, after_start)
+    _, _, errors_again, errors_after_restart = context.results[False]
+    assert errors_again + errors_after_restart == [None] * 16, (
+        errors_again,
+        errors_after_restart,
+    )
 
 
-@when("the store is away and the request comes")
-def step_store_away(context):
-    async def story(daemons):
+@when("the request arrives while the store is unavailable")
+def step_store_unavailable(context):
+    async def scenario(daemons):
         await context.prepare(daemons)
         daemons.store.faults = daemons.store.faults._replace(store=1.0)
-        context.found = await daemons.at_all()
+        context.errors = await daemons.request_at_all()
         context.sent = list(daemons.sent)
 
-    _on(8, story)
+    _run_with_daemons(8, scenario)
 
 
-@then("all refuse it, and give no time to come back")
+@then("all refuse it without a retry time")
 def step_all_refuse(context):
     assert not context.sent
-    assert all(isinstance(each, RequestQuarantined) for each in context.found)
-    assert [each.retry_after_s for each in context.found] == [None] * 8
+    assert all(isinstance(error, RequestQuarantined) for error in context.errors)
+    assert [error.retry_after_s for error in context.errors] == [None] * 8
 
 
-# A spoiled row.
+# Malformed rows.
 
 
-@given("a row of verdicts that another writer has spoiled")
-def step_spoiled(context):
-    async def story(daemons):
+@given("a malformed row of verdicts from another writer")
+def step_malformed_verdicts(context):
+    async def scenario(daemons):
         await daemons.store.write(
             RowWrite(QUARANTINE_TABLE, VERDICTS_KEY, b'[["zz", 1, 2]]')
         )
         daemons.quarantines[0] = daemons.start("a0")
         await asyncio.sleep(0.5)
-        context.read = daemons.quarantines[0].size
+        context.read_count = daemons.quarantines[0].size
         other = Verdict(b"o" * 16, daemons.clock() + QUARANTINE_S)
         for quarantine in daemons.quarantines:
             quarantine._apply_verdict(other)
-        await _convict(daemons)
+        await _quarantine_request(daemons)
         await asyncio.sleep(2)
-        kept = await VerdictStore(daemons.store, daemons.clock).read()
-        context.kept = {verdict.fingerprint for verdict in kept.verdicts}
+        stored = await VerdictStore(daemons.store, daemons.clock).read()
+        context.stored = {verdict.fingerprint for verdict in stored.verdicts}
 
-    _on(2, story)
+    _run_with_daemons(2, scenario)
 
 
-@then("a daemon that starts reads none, and says so")
-def step_reads_none(context):
-    assert context.read == 0
+@then("a daemon that starts reads none, and reports it")
+def step_no_verdict_read(context):
+    assert context.read_count == 0
 
 
-@then("the next verdict is kept again, with all others that its judge knows")
-def step_kept_again(context):
-    assert context.kept == {FINGERPRINT, b"o" * 16}, context.kept
+@then("the next verdict is stored again, with all others that its daemon knows")
+def step_verdict_stored(context):
+    assert context.stored == {FINGERPRINT, b"o" * 16}, context.stored
 
 
-@given("a verdict that is kept, and a row of evidence that another writer has spoiled")
-def step_spoiled_evidence(context):
-    async def story(daemons):
-        kept = VerdictStore(daemons.store, daemons.clock)
-        await kept.add_verdicts([Verdict(b"o" * 16, QUARANTINE_S)])
+@given("a stored verdict, and a malformed row of crash reports from another writer")
+def step_malformed_reports(context):
+    async def scenario(daemons):
+        verdict_store = VerdictStore(daemons.store, daemons.clock)
+        await verdict_store.add_verdicts([Verdict(b"o" * 16, QUARANTINE_S)])
         await daemons.store.write(RowWrite(QUARANTINE_TABLE, REPORTS_KEY, b'[["zz"]]'))
         daemons.quarantines[0] = daemons.start("a0")
         await asyncio.sleep(0.5)
-        context.read = daemons.quarantines[0].size
-        # Each attempt makes two sends, so two targets end.
+        context.read_count = daemons.quarantines[0].size
+        # Each attempt makes two sends, so two targets crash.
         await daemons.request(daemons.quarantines[0])
         await asyncio.sleep(0.5)
-        context.kept = (await kept.read()).reports
+        context.stored = (await verdict_store.read()).reports
         daemons.quarantines[0] = daemons.start("a0")
         await asyncio.sleep(0.5)
         assert not daemons.quarantines[0].is_quarantined(_call())
@@ -407,83 +449,86 @@
         await asyncio.sleep(0.5)
         context.is_quarantined = daemons.quarantines[0].is_quarantined(_call())
 
-    _on(1, story)
+    _run_with_daemons(1, scenario)
 
 
 @then("a daemon that starts knows the verdict")
-def step_knows(context):
-    assert context.read == 1
+def step_verdict_read(context):
+    assert context.read_count == 1
 
 
 @then(
-    "evidence on another request is kept again, and makes up a verdict after a {rest}"
+    "reports on another request are stored again, and lead to a verdict after a {rest}"
 )
-def step_evidence(context, rest):
-    assert len(context.kept) == 2, context.kept
+def step_reports_stored(context, rest):
+    assert len(context.stored) == 2, context.stored
     assert context.is_quarantined
 
 
-# Contradictions.
+# Conflicting evidence.
 
 
-@given("two daemons, of which one has just passed on a whole answer to a request")
-def step_two(context):
+@given("two daemons, one of which has just relayed a complete answer to a request")
+def step_two_daemons(context):
     context.answered = True
 
 
-@when("three targets end under the same request at the other daemon")
-def step_other(context):
-    async def story(daemons):
-        daemons.ends_targets = False
+@when("three targets crash under the same request at the other daemon")
+def step_crashes_at_other(context):
+    async def scenario(daemons):
+        daemons.crashes_targets = False
         assert await daemons.request(daemons.quarantines[1]) is None
-        daemons.ends_targets = True
+        daemons.crashes_targets = True
         for _ in range(3):
             await daemons.request(daemons.quarantines[0])
         await asyncio.sleep(3)
         context.sizes = [quarantine.size for quarantine in daemons.quarantines]
-        kept = await VerdictStore(daemons.store, daemons.clock).read()
-        context.kept = kept.verdicts
+        stored = await VerdictStore(daemons.store, daemons.clock).read()
+        context.stored = stored.verdicts
 
-    _on(2, story)
+    _run_with_daemons(2, scenario)
 
 
-@then("soon neither refuses it, and nothing of it is kept")
-def step_neither(context):
-    assert context.sizes == [0, 0] and context.kept == [], (context.sizes, context.kept)
+@then("soon neither refuses it, and no verdict on it is stored")
+def step_no_verdict(context):
+    assert context.sizes == [0, 0] and context.stored == [], (
+        context.sizes,
+        context.stored,
+    )
 
 
-# The refusal, and runs under way.
+# Refusals, and runs under way.
 
 
-@given("a daemon that has learnt of a verdict")
-def step_learnt(context):
+@given("a daemon that has received a verdict")
+def step_received_verdict(context):
     context.verdict = Verdict(FINGERPRINT, QUARANTINE_S)
 
 
-@when("the request comes again")
-def step_comes_again(context):
-    async def story(daemons):
+@when("the request arrives again")
+def step_arrives_again(context):
+    async def scenario(daemons):
         quarantine = daemons.quarantines[0]
         quarantine._apply_verdict(Verdict(FINGERPRINT, daemons.clock() + QUARANTINE_S))
-        at = daemons.clock()
+        started_at = daemons.clock()
         context.error = await daemons.request(quarantine)
-        context.took_s = daemons.clock() - at
+        context.took_s = daemons.clock() - started_at
         context.sent = list(daemons.sent)
 
-    _on(1, story)
+    _run_with_daemons(1, scenario)
 
-    async def ran_before(daemons):
+    async def run_then_quarantine(daemons):
         quarantine = daemons.quarantines[0]
 
-        async def convicted_meanwhile(run):
+        async def quarantine_meanwhile(run):
             quarantine._apply_verdict(
                 Verdict(FINGERPRINT, daemons.clock() + QUARANTINE_S)
             )
 
-        context.after_run = await daemons.request(quarantine, convicted_meanwhile)
+        context.after_run = await daemons.request(quarantine, quarantine_meanwhile)
         context.runs = len(daemons.sent)
 
-    _on(1, ran_before)
+    _run_with_daemons(1, run_then_quarantine)
 
 
 @then(
@@ -493,10 +538,10 @@
     assert context.took_s <= seconds and not context.sent
     assert isinstance(context.error, RequestQuarantined)
     assert (context.error.status, context.error.outcome) == (503, "not_run")
-    assert abs(context.error.retry_after_s - QUARANTINE_S) < CLOCK_S
+    assert abs(context.error.retry_after_s - QUARANTINE_S) < CLOCK_ROUNDING_S
 
 
-@then("a request that has run in this attempt is not told that it has not")
+@then("a request that has run in this attempt is not reported as not run")
 def step_has_run(context):
     assert context.runs == 1
     assert isinstance(context.after_run, TargetFailed), context.after_run
@@ -511,13 +556,13 @@
 
 
 @given("a daemon with a run of a request under way")
-def step_under_way(context):
+def step_run_under_way(context):
     context.connection = _Connection()
 
 
 @when("it learns that the request is quarantined")
-def step_learns(context):
-    async def story(daemons):
+def step_becomes_quarantined(context):
+    async def scenario(daemons):
         quarantine = daemons.quarantines[0]
         run = TargetRun(_entry(0))
         run.connection = context.connection
@@ -528,9 +573,9 @@
                 Verdict(FINGERPRINT, daemons.clock() + QUARANTINE_S)
             )
 
-    _on(1, story)
+    _run_with_daemons(1, scenario)
 
 
-@then("the run is broken off")
-def step_broken_off(context):
+@then("the run is aborted")
+def step_run_aborted(context):
     assert isinstance(context.connection.error, IncompleteResponse)
