--- a/features/steps/judging_steps.py
+++ b/features/steps/judging_steps.py
@@ -407,7 +407,7 @@
         )
         daemons.quarantines[0] = daemons.start("a0")
         await asyncio.sleep(0.5)
-        context.read_count = daemons.quarantines[0].size
+        context.verdict_count = daemons.quarantines[0].verdict_count
         other = Verdict(b"o" * 16, daemons.clock() + QUARANTINE_S)
         for quarantine in daemons.quarantines:
             quarantine._apply_verdict(other)
@@ -421,7 +421,7 @@
 
 @then("a daemon that starts reads none, and reports it")
 def step_no_verdict_read(context):
-    assert context.read_count == 0
+    assert context.verdict_count == 0
 
 
 @then("the next verdict is stored again, with all others that its daemon knows")
@@ -437,7 +437,7 @@
         await daemons.store.write(RowWrite(QUARANTINE_TABLE, REPORTS_KEY, b'[["zz"]]'))
         daemons.quarantines[0] = daemons.start("a0")
         await asyncio.sleep(0.5)
-        context.read_count = daemons.quarantines[0].size
+        context.verdict_count = daemons.quarantines[0].verdict_count
         # Each attempt makes two sends, so two targets crash.
         await daemons.request(daemons.quarantines[0])
         await asyncio.sleep(0.5)
@@ -454,7 +454,7 @@
 
 @then("a daemon that starts knows the verdict")
 def step_verdict_read(context):
-    assert context.read_count == 1
+    assert context.verdict_count == 1
 
 
 @then(
@@ -482,7 +482,9 @@
         for _ in range(3):
             await daemons.request(daemons.quarantines[0])
         await asyncio.sleep(3)
-        context.sizes = [quarantine.size for quarantine in daemons.quarantines]
+        context.verdict_counts = [
+            quarantine.verdict_count for quarantine in daemons.quarantines
+        ]
         stored = await VerdictStore(daemons.store, daemons.clock).read()
         context.stored = stored.verdicts
 
@@ -491,8 +493,8 @@
 
 @then("soon neither refuses it, and no verdict on it is stored")
 def step_no_verdict(context):
-    assert context.sizes == [0, 0] and context.stored == [], (
-        context.sizes,
+    assert context.verdict_counts == [0, 0] and context.stored == [], (
+        context.verdict_counts,
         context.stored,
     )
 
