--- a/features/group_plans/revision.feature
+++ b/features/group_plans/revision.feature
@@ -10,49 +10,49 @@
 
   Scenario: A lost member is replaced by a spare that stores the model
     Given a domain with a group of large on e1 e2 e3 e4
-    And the spares e5 that stores small and e6 that stores large
+    And the spares e5 storing small and e6 storing large
     When e3 is lost
     Then the group keeps its name, gets a higher epoch and has the members e1 e2 e4 e6
 
   Scenario: A lost head is replaced by a surviving member
     Given a domain with a group of large on e1 e2 e3 e4
-    And the spares e5 that stores small and e6 that stores large
+    And the spares e5 storing small and e6 storing large
     When e1 is lost
     Then the group keeps its name, gets a higher epoch and has the members e2 e3 e4 e6
 
   Scenario: A serving group is not interrupted for a spare that must load the model first
     Given a domain with a group of large on e1 e2 e3 e4
-    And the spares e5 that stores small and e6 that stores small
+    And the spares e5 storing small and e6 storing small
     When e2 announces that it will leave
     Then nothing changes
 
   Scenario: A leaving member is replaced once a spare stores the model
     Given a domain with a group of large on e1 e2 e3 e4
-    And the spares e5 that stores small and e6 that stores large
+    And the spares e5 storing small and e6 storing large
     When e2 announces that it will leave
     Then the group keeps its name, gets a higher epoch and has the members e1 e3 e4 e6
 
   Scenario: A member with a long load is replaced by a spare that stores the model
     Given a domain with a group of large on e1 e2 e3 e4
-    And the spares e5 that stores large and e6 that stores large
+    And the spares e5 storing large and e6 storing large
     When e4 is 9 s away from being ready
     Then the group keeps its name, gets a higher epoch and has the members e1 e2 e3 e5
 
   Scenario: A member that is almost ready is not replaced
     Given a domain with a group of large on e1 e2 e3 e4
-    And the spares e5 that stores large and e6 that stores large
+    And the spares e5 storing large and e6 storing large
     When e4 is 1 s away from being ready
     Then nothing changes
 
   Scenario: A slow member is replaced by a spare that stores the model
     Given a domain with a group of large on e1 e2 e3 e4
-    And the spares e5 that stores large and e6 that stores small
+    And the spares e5 storing large and e6 storing small
     When e2 takes 5 times its nominal times
     Then the group keeps its name, gets a higher epoch and has the members e1 e3 e4 e5
 
   Scenario: A slow member is not replaced if no spare stores the model
     Given a domain with a group of large on e1 e2 e3 e4
-    And the spares e5 that stores small and e6 that stores small
+    And the spares e5 storing small and e6 storing small
     When e2 takes 5 times its nominal times
     Then nothing changes
 
@@ -105,14 +105,14 @@
 
   Scenario: A lost member is replaced by a warm spare in a domain of one model
     Given a domain with a group of large on a b c d
-    And the spares e that stores large and f that stores large
+    And the spares e storing large and f storing large
     And the domain serves large alone
     When b is lost
     Then the group keeps its name, gets a higher epoch and has the members a c d e
 
   Scenario: In a domain of one model a group is not repaired by a spare that must load first
     Given a domain with a group of large on a b c d
-    And the spares e that stores small and f that stores small
+    And the spares e storing small and f storing small
     And the domain serves large alone
     When b is lost
     Then the group of large is retired
@@ -122,7 +122,7 @@
     And the domain serves large alone
     When a is lost
     Then the group of large is retired
-    When that plan is in force and the spare e that stores large comes
+    When that plan is in force and the spare e storing large is added
     Then the group keeps its name, gets a higher epoch and has the members b c d e
 
   Scenario: A retired group is not re-formed with an engine that must load first
@@ -130,7 +130,7 @@
     And the domain serves large alone
     When a is lost
     Then the group of large is retired
-    When that plan is in force and the spare e that stores small comes
+    When that plan is in force and the spare e storing small is added
     Then the group of large is retired
 
   Scenario: Members of a retired group become free although its head is lost
@@ -151,7 +151,7 @@
 
   Scenario: A loading member is not replaced while its group lacks members that are not listed
     Given a domain with a group of large on e1 e2 e3 e4
-    And the spares e5 that stores large and e6 that stores small
+    And the spares e5 storing large and e6 storing small
     And the target list never had e1 e2 e4
     When e3 is 8 s away from being ready
     Then nothing changes
@@ -159,13 +159,13 @@
   Scenario: Free engines form a group of the model they store if its demand is higher
     Given a domain with a group of large on e1 e2 e3 e4
     And the domain serves large alone
-    And the spares e5 that stores small and e6 that stores small
+    And the spares e5 storing small and e6 storing small
     When small has a higher demand than large
     Then a group of small on e5 e6 is added
 
   Scenario: Free engines are kept for the domain's model if its demand is higher
     Given a domain with a group of large on e1 e2 e3 e4
     And the domain serves large alone
-    And the spares e5 that stores small and e6 that stores small
+    And the spares e5 storing small and e6 storing small
     When large has a higher demand than small
     Then nothing changes
--- a/features/steps/revision_steps.py
+++ b/features/steps/revision_steps.py
@@ -61,10 +61,7 @@
     _add_group(context, model, tuple(members.split()))
 
 
-@given(
-    "the spares {first} that stores {first_model} and {second} that stores "
-    "{second_model}"
-)
+@given("the spares {first} storing {first_model} and {second} storing {second_model}")
 def step_spares(context, first, first_model, second, second_model):
     for engine, model in ((first, first_model), (second, second_model)):
         context.views[engine] = _view(engine, (model,), is_free=True)
@@ -153,7 +150,7 @@
     _revise(context, model_demands)
 
 
-@when("that plan is in force and the spare {engine} that stores {model} comes")
+@when("that plan is in force and the spare {engine} storing {model} is added")
 def step_spare_added(context, engine, model):
     context.plan = context.plan._replace(
         version=context.plan.version + 1, groups=context.revised_groups
