--- a/features/steps/accounting_steps.py
+++ b/features/steps/accounting_steps.py
@@ -21,7 +21,7 @@
     RouteTable,
     ServiceSpec,
 )
-from measurements.class_account import account, main, read_ends
+from measurements.class_account import count_causes, main, read_outcomes
 
 SLOTS = 10
 LOG_LINES = [
@@ -101,12 +101,12 @@
 
 @then("the account has each of them once, by route and second")
 def step_account_is_complete(context):
-    ends, unfinished = read_ends(context.lines)
+    outcomes, unfinished = read_outcomes(context.lines)
     assert not unfinished
-    causes = account(ends)
+    causes = count_causes(outcomes)
     assert causes["r"] == {"served": 1, "no-group": 1, "caller-gone": 1}, causes
     assert causes["s"] == {"late-pause": 1}, causes
-    assert [end.second for end in ends] == [1, 2, 2, 3]
+    assert [outcome.second for outcome in outcomes] == [1, 2, 2, 3]
 
 
 @then("a request that ends twice, or never, is reported")
--- a/measurements/quarantine_spread.py
+++ b/measurements/quarantine_spread.py
@@ -1,6 +1,8 @@
-"""How long it takes until all daemons refuse a request, and what it costs them.
+"""Spread of quarantine verdicts: daemons reached within the limit, and bytes sent.
 
-Prints a line for each size: python -m measurements.quarantine_spread
+Prints a line for each size of network.
+
+Run: ``.venv/bin/python -m measurements.quarantine_spread``
 """
 
 import time
@@ -8,7 +10,7 @@
 from features.support.daemon_network import NetworkShape
 from features.support.spread_runs import SPREAD_LIMIT_S, SpreadScenario, simulate_spread
 
-SHAPES = (
+NETWORK_SHAPES = (
     NetworkShape(1, 8, loss_rate=0.02),
     NetworkShape(3, 20, loss_rate=0.02),
     NetworkShape(3, 20, loss_rate=0.1),
@@ -18,21 +20,22 @@
 
 
 def main():
-    """Play each size once."""
-    for shape in SHAPES:
-        began_at = time.monotonic()
-        spread = simulate_spread(SpreadScenario(shape))
-        number = len(spread.refusing)
+    """Simulate each network once."""
+    for shape in NETWORK_SHAPES:
+        started_at = time.monotonic()
+        result = simulate_spread(SpreadScenario(shape))
+        daemon_count = len(result.refusing)
         print(
-            f"{number} daemons in {shape.data_centres} data centres,"
-            f" {shape.loss_rate:.0%} lost:"
-            f" {sum(spread.refusing)} refuse it within {SPREAD_LIMIT_S} s;"
-            f" told in {sum(spread.spread_bytes) / number:.0f} bytes a daemon"
-            f" (most {max(spread.spread_bytes)}),"
-            f" repeated with {sum(spread.repeat_bytes_per_s) / number:.0f}"
-            f" bytes a second"
-            f" (most {max(spread.repeat_bytes_per_s):.0f});"
-            f" played in {time.monotonic() - began_at:.0f} s",
+            f"{daemon_count} daemons in {shape.data_centres} data centres,"
+            f" {shape.loss_rate:.0%} of datagrams lost:"
+            f" {sum(result.refusing)} refuse the request within {SPREAD_LIMIT_S} s;"
+            f" {sum(result.spread_bytes) / daemon_count:.0f} bytes sent per daemon"
+            f" to spread the verdict"
+            f" (max {max(result.spread_bytes)}),"
+            f" then {sum(result.repeat_bytes_per_s) / daemon_count:.0f}"
+            f" bytes/s per daemon to repeat it"
+            f" (max {max(result.repeat_bytes_per_s):.0f});"
+            f" simulated in {time.monotonic() - started_at:.0f} s",
             flush=True,
         )
 
