--- a/features/steps/door_steps.py
+++ b/features/steps/door_steps.py
@@ -1,4 +1,4 @@
-"""Steps over closed doors and bad input."""
+"""Steps for authentication and malformed input."""
 
 import asyncio
 import datetime
@@ -32,12 +32,12 @@
 from harness.ports import free_ports
 from harness.site import OPERATOR_TOKEN
 
-EXAMPLES = 300
-CALL_LIMIT_S = 5.0
+PARSER_EXAMPLES = 300
+CALL_TIMEOUT_S = 5.0
 LOOPBACK = "127.0.0.1"
 
 
-def _certificate(subject, key, issuer, issuer_key, is_authority):
+def _sign_certificate(subject, key, issuer, issuer_key, is_authority):
     now = datetime.datetime.now(datetime.UTC)
     address = x509.IPAddress(ipaddress.ip_address(LOOPBACK))
     builder = (
@@ -54,26 +54,30 @@
     return builder.sign(issuer_key, hashes.SHA256())
 
 
-def _name(text):
-    return x509.Name([x509.NameAttribute(NameOID.COMMON_NAME, text)])
+def _subject_name(common_name):
+    return x509.Name([x509.NameAttribute(NameOID.COMMON_NAME, common_name)])
 
 
 class Authority:
-    """A certificate authority of the test's own."""
+    """A certificate authority for tests."""
 
-    def __init__(self, text):
-        self._name = _name(text)
+    def __init__(self, common_name):
+        self._name = _subject_name(common_name)
         self._key = ec.generate_private_key(ec.SECP256R1())
-        self._own = _certificate(self._name, self._key, self._name, self._key, True)
+        self._certificate = _sign_certificate(
+            self._name, self._key, self._name, self._key, True
+        )
 
     def issue(self, folder):
-        """Write a certificate, its key and the authority into a folder."""
+        """Write a certificate, its key and the authority's certificate to a folder."""
         key = ec.generate_private_key(ec.SECP256R1())
-        made = _certificate(_name("daemon"), key, self._name, self._key, False)
+        certificate = _sign_certificate(
+            _subject_name("daemon"), key, self._name, self._key, False
+        )
         pem = serialization.Encoding.PEM
         folder.mkdir(parents=True, exist_ok=True)
-        (folder / "certificate").write_bytes(made.public_bytes(pem))
-        (folder / "authority").write_bytes(self._own.public_bytes(pem))
+        (folder / "certificate").write_bytes(certificate.public_bytes(pem))
+        (folder / "authority").write_bytes(self._certificate.public_bytes(pem))
         (folder / "key").write_bytes(
             key.private_bytes(
                 pem,
@@ -85,31 +89,31 @@
         return TlsFiles(*(folder / name for name in names))
 
 
-class Answering:
-    """A handler that answers every heartbeat."""
+class HeartbeatHandler:
+    """A handler that answers all heartbeats."""
 
     async def heartbeat(self, heartbeat):
-        """Answer."""
+        """Return a fixed answer."""
         return HeartbeatAnswer("i", 1, False, 0, frozenset(), None, ())
 
 
 @given("a daemon that listens with mutual TLS")
-def step_listening(context):
+def step_tls_daemon(context):
     folder = tempfile.TemporaryDirectory()
     context.folder = Path(context.resources.enter_context(folder))
     context.authority = Authority("ours")
-    context.served = context.authority.issue(context.folder / "server")
+    context.server_files = context.authority.issue(context.folder / "server")
     context.address = f"{LOOPBACK}:{free_ports(1)[0]}"
 
 
-@when("a peer calls {how}")
-def step_call(context, how):
+@when("a peer calls {credentials}")
+def step_peer_calls(context, credentials):
     async def call():
-        server = GrpcPeerNetwork(context.address, context.served)
-        await server.listen(Answering())
-        client = GrpcPeerNetwork(context.address, _files(context, how))
+        server = GrpcPeerNetwork(context.address, context.server_files)
+        await server.listen(HeartbeatHandler())
+        client = GrpcPeerNetwork(context.address, _client_files(context, credentials))
         try:
-            if "anew" in how:
+            if "renewed" in credentials:
                 await _heartbeat(client, context.address)
                 context.authority = Authority("new")
                 context.authority.issue(context.folder / "server")
@@ -119,20 +123,20 @@
             await client.close()
             await server.close()
 
-    context.answered = asyncio.run(call())
+    context.is_answered = asyncio.run(call())
 
 
-def _files(context, how):
-    if "without" in how:
+def _client_files(context, credentials):
+    if "without" in credentials:
         return None
-    issuer = Authority("other") if "another" in how else context.authority
+    issuer = Authority("other") if "another" in credentials else context.authority
     return issuer.issue(context.folder / "client")
 
 
 async def _heartbeat(client, address):
     heartbeat = Heartbeat("n", "i", 0, 0, "", 0, frozenset())
     try:
-        answer = await client.heartbeat(address, heartbeat, CALL_LIMIT_S)
+        answer = await client.heartbeat(address, heartbeat, CALL_TIMEOUT_S)
     except PeerUnreachable:
         return False
     return answer.incarnation == "i"
@@ -140,16 +144,19 @@
 
 @then("the call is answered")
 def step_answered(context):
-    assert context.answered
+    assert context.is_answered
 
 
 @then("the call is refused")
 def step_refused(context):
-    assert not context.answered
+    assert not context.is_answered
+
 
+def _request(url, key, body=b"{}"):
+    """Return the status and the body of the response to a request with a key.
 
-def _status(url, key, body=b"{}"):
-    """Return ``(status, decoded answer)`` of a request with a key."""
+    The body of an error is decoded from JSON.
+    """
     request = urllib.request.Request(url, data=body)
     if key is not None:
         request.add_header("authorization", f"Bearer {key}")
@@ -160,57 +167,60 @@
         return error.code, json.loads(error.read())
 
 
-@then("a wrong, missing or operator's key is refused to a caller with {status:d}")
+@then("callers with a wrong key, none or an operator's key are refused with {status:d}")
 def step_caller_keys(context, status):
     url = context.site.urls["g1"] + "/v1/chat/completions"
     for key in ("wrong", None, OPERATOR_TOKEN):
-        found, problem = _status(url, key)
-        assert found == status, (key, found)
+        status_code, problem = _request(url, key)
+        assert status_code == status, (key, status_code)
         assert problem["outcome"] == "not_run", problem
 
 
-@then("a wrong, missing or caller's key is refused to an operator with {status:d}")
+@then("operators with a wrong key, none or a caller's key are refused with {status:d}")
 def step_operator_keys(context, status):
     for path in ("/v1/status", "/v1/edits", "/v1/audit", "/v1/configuration"):
         body = b"{}" if path == "/v1/edits" else None
         for key in ("wrong", None, CREW_KEY):
-            found, _ = _status(context.site.urls["c1"] + path, key, body)
-            assert found == status, (path, key, found)
+            status_code, _ = _request(context.site.urls["c1"] + path, key, body)
+            assert status_code == status, (path, key, status_code)
 
 
-@then("each kind of bad request gets its own error and the gateway goes on")
+@then("each kind of bad request gets its own error, and the gateway keeps serving")
 def step_bad_requests(context):
     url = context.site.urls["g1"]
     chat = url + "/v1/chat/completions"
-    good = {"model": "draft-large", "messages": [{"role": "user", "content": "x"}]}
+    valid_body = {
+        "model": "draft-large",
+        "messages": [{"role": "user", "content": "x"}],
+    }
     cases = (
         (chat, b"not json", "malformed-body"),
         (chat, b'{"model": 3}', "malformed-body"),
-        (chat, json.dumps({**good, "messages": []}).encode(), "malformed-body"),
-        (chat, json.dumps({**good, "max_tokens": 0}).encode(), "malformed-body"),
-        (chat, json.dumps({**good, "model": "none"}).encode(), "unknown-model"),
+        (chat, json.dumps({**valid_body, "messages": []}).encode(), "malformed-body"),
+        (chat, json.dumps({**valid_body, "max_tokens": 0}).encode(), "malformed-body"),
+        (chat, json.dumps({**valid_body, "model": "none"}).encode(), "unknown-model"),
         (chat, b"x" * 2_000_000, "body-too-large"),
         (url + "/v1/services/none/book", b"{}", "unknown-service"),
         (url + "/v1/services/apron/assign", b"{}", "unknown-service"),
     )
-    for target, body, code in cases:
-        _, problem = _status(target, CREW_KEY, body)
-        assert problem["type"].endswith(code), (code, problem)
+    for request_url, body, error_code in cases:
+        _, problem = _request(request_url, CREW_KEY, body)
+        assert problem["type"].endswith(error_code), (error_code, problem)
         assert problem["outcome"] == "not_run", problem
-    status, _ = _status(chat, CREW_KEY, json.dumps(good).encode())
+    status, _ = _request(chat, CREW_KEY, json.dumps(valid_body).encode())
     assert status == 200, status
 
 
-def _load_text(text):
+def _parse_settings(text):
     with tempfile.NamedTemporaryFile("w", suffix=".toml") as file:
         file.write(text)
         file.flush()
         load_settings(file.name, GatewaySettings)
 
 
-def _relay(content):
+def _relay_events(stream_bytes):
     relay = StreamRelay()
-    relay.filter_events("a", content.split(b"\n\n"))
+    relay.filter_events("a", stream_bytes.split(b"\n\n"))
     relay.raise_for_malformed()
 
 
@@ -250,24 +260,29 @@
     ),
     "chat bodies": (BYTES, parse_chat_body),
     "engines' status": (BYTES, _decode_status),
-    "engines' events": (st.lists(EVENT_WORDS, max_size=14).map(b"".join), _relay),
+    "engines' events": (
+        st.lists(EVENT_WORDS, max_size=14).map(b"".join),
+        _relay_events,
+    ),
     "settings files": (
         TEXTS.filter(lambda text: "\r" not in text and text.isprintable()),
-        _load_text,
+        _parse_settings,
     ),
 }
 
 
-@then("{parser} answers anything with a value or its own error")
+@then("the parser of {parser} returns a value or raises its own error for any input")
 def step_parser(context, parser):
-    values, parse = PARSERS[parser]
+    strategy, parse = PARSERS[parser]
 
-    @settings(max_examples=EXAMPLES, derandomize=True, deadline=None, database=None)
-    @given_values(values)
-    def holds(value):
+    @settings(
+        max_examples=PARSER_EXAMPLES, derandomize=True, deadline=None, database=None
+    )
+    @given_values(strategy)
+    def check_value(value):
         try:
             parse(value)
         except CowslipError:
             return
 
-    holds()
+    check_value()
--- a/features/steps/status_steps.py
+++ b/features/steps/status_steps.py
@@ -1,4 +1,4 @@
-"""Steps over what a controller tells operators."""
+"""Steps for the status of groups that a controller reports."""
 
 from types import SimpleNamespace
 
@@ -13,25 +13,25 @@
 from cowslipcourse.membership.records import RecordStore
 from cowslipcourse.ports import EngineLoad
 
-AT = 1000.0
-"""The fake loop's time at the start of a run."""
+START_AT = 1000.0
+"""Virtual time at the start of a run, in seconds."""
 GRANT_S = 5.0
 
 
 def _record(key, report, origin):
     sequence = _record.sequence = getattr(_record, "sequence", 0) + 1
-    return Record(key, 1, sequence, msgspec.json.encode(report), AT, origin)
+    return Record(key, 1, sequence, msgspec.json.encode(report), START_AT, origin)
 
 
 def _member(name, role):
     return Member(name, "i1", role, "dc1", "127.0.0.1:1", f"http://{name}")
 
 
-@given("a controller that knows g7 to serve, and the gateways g1 and g2")
+@given("a controller that knows that g7 serves, and gateways g1 and g2")
 def step_controller(context):
     own = _member("c1", Role.CONTROLLER)
     members = [own, _member("g1", Role.GATEWAY), _member("g2", Role.GATEWAY)]
-    contact = SimpleNamespace(sent_at=AT, stopped=False, revision=1)
+    contact = SimpleNamespace(sent_at=START_AT, stopped=False, revision=1)
     spec = GroupSpec(
         group="g7",
         declaration="drafting",
@@ -55,38 +55,38 @@
     )
 
 
-def _say(context, gateway, leaving, sees):
-    report = GatewayReport(gateway, leaving, {}, {}, sees)
+def _apply_gateway_report(context, gateway, is_leaving, seen_groups):
+    report = GatewayReport(gateway, is_leaving, {}, {}, seen_groups)
     context.agent.records.apply(_record(f"gateway/{gateway}/i1", report, gateway))
 
 
-@when("{gateway} says that it sees g7")
-def step_sees(context, gateway):
-    _say(context, gateway, False, ("g7",))
+@when("{gateway} reports that it sees g7")
+def step_gateway_sees_group(context, gateway):
+    _apply_gateway_report(context, gateway, False, ("g7",))
 
 
-@when("{gateway} says that it is leaving")
-def step_leaving(context, gateway):
-    _say(context, gateway, True, ())
+@when("{gateway} reports that it is leaving")
+def step_gateway_leaves(context, gateway):
+    _apply_gateway_report(context, gateway, True, ())
 
 
-def _status(context):
-    async def look():
+def _group_status(context):
+    async def read_statuses():
         return _group_statuses(context.agent, GRANT_S)
 
-    (group,) = run_paused(look())
+    (group,) = run_paused(read_statuses())
     return group
 
 
-@then("status says that g7 is not seen by {gateways}")
-def step_unseen(context, gateways):
-    group = _status(context)
-    names = gateways.split(" and ")
-    assert not group["serving"] and group["unseen_by"] == names, group
-    assert group["reason"] == f"not-seen-by-{','.join(names)}", group
+@then("the status shows g7 as not seen by {gateways}")
+def step_group_unseen(context, gateways):
+    group = _group_status(context)
+    gateway_names = gateways.split(" and ")
+    assert not group["serving"] and group["unseen_by"] == gateway_names, group
+    assert group["reason"] == f"not-seen-by-{','.join(gateway_names)}", group
 
 
-@then("status says that g7 serves")
-def step_serves(context):
-    group = _status(context)
+@then("the status shows g7 as serving")
+def step_group_serves(context):
+    group = _group_status(context)
     assert group["serving"] and group["reason"] == "" and not group["unseen_by"], group
--- a/features/whole_path/status.feature
+++ b/features/whole_path/status.feature
@@ -1,16 +1,16 @@
-Feature: Status tells what callers find
-  A controller knows first that a group serves. Callers are served by gateways, which hear of it later.
+Feature: The status of a group shows whether callers can use it
+  A controller learns first that a group serves; the gateways, which serve the callers, learn it later.
 
-  Scenario: A group serves once every gateway that takes callers knows it
-    Given a controller that knows g7 to serve, and the gateways g1 and g2
-    Then status says that g7 is not seen by g1 and g2
-    When g1 says that it sees g7
-    Then status says that g7 is not seen by g2
-    When g2 says that it sees g7
-    Then status says that g7 serves
+  Scenario: A group is shown as serving only once every gateway that takes callers sees it
+    Given a controller that knows that g7 serves, and gateways g1 and g2
+    Then the status shows g7 as not seen by g1 and g2
+    When g1 reports that it sees g7
+    Then the status shows g7 as not seen by g2
+    When g2 reports that it sees g7
+    Then the status shows g7 as serving
 
-  Scenario: A gateway that is silent or leaving does not count
-    Given a controller that knows g7 to serve, and the gateways g1 and g2
-    When g1 says that it sees g7
-    And g2 says that it is leaving
-    Then status says that g7 serves
+  Scenario: A silent or leaving gateway does not keep a group from being shown as serving
+    Given a controller that knows that g7 serves, and gateways g1 and g2
+    When g1 reports that it sees g7
+    And g2 reports that it is leaving
+    Then the status shows g7 as serving
--- a/features/whole_path/whole_path.feature
+++ b/features/whole_path/whole_path.feature
@@ -1,7 +1,7 @@
-Feature: The whole path
-  From an operator's declaration to a caller's whole answer, over separate processes.
+Feature: Declarations, groups and requests work end to end
+  From an operator's declaration to a caller's complete answer, over separate processes.
 
-  Scenario: Declared by selectors, formed, streamed and booked once
+  Scenario: Declared groups form, stream complete answers, and a booking runs once
     Given a site of 2 gateways and 2 controllers
     When the operator applies the demo configuration
     Then 4 groups serve
