--- a/features/steps/gateway_ending_steps.py
+++ b/features/steps/gateway_ending_steps.py
@@ -8,7 +8,7 @@
 
 from cowslipcourse.admission import Priority
 from cowslipcourse.daemon import now
-from cowslipcourse.emulator.clock import run_paused
+from cowslipcourse.emulator.clock import run_in_virtual_time
 from cowslipcourse.exceptions import RequestError, TargetUnreachable
 from cowslipcourse.gateway.callers import Call
 from cowslipcourse.gateway.generation import Generation
@@ -111,7 +111,7 @@
 
     logging.disable(logging.CRITICAL)
     try:
-        context.crasher = run_paused(simulate())
+        context.crasher = run_in_virtual_time(simulate())
     finally:
         logging.disable(logging.NOTSET)
 
--- a/features/steps/judging_steps.py
+++ b/features/steps/judging_steps.py
@@ -8,7 +8,7 @@
 from behave import given, then, when
 
 from cowslipcourse.admission import SharedRetryBudget
-from cowslipcourse.emulator.clock import run_paused
+from cowslipcourse.emulator.clock import run_in_virtual_time
 from cowslipcourse.emulator.messages import MessageNetwork
 from cowslipcourse.emulator.site_file import SiteSettings
 from cowslipcourse.emulator.world import Faults, World
@@ -229,7 +229,13 @@
     def __init__(self, count):
         loop = asyncio.get_running_loop()
         self.network = MessageNetwork(SITE, random.Random(1))
-        faults = Faults(late=0, lost=0, unanswered=0, pause=0, store=0)
+        faults = Faults(
+            late_order_fraction=0,
+            lost_order_fraction=0,
+            unanswered_order_fraction=0,
+            pause_fraction=0,
+            store_failure_fraction=0,
+        )
         self.store = World(random.Random(1), faults, ())
         self.clock = loop.time
         self.sent = []
@@ -242,7 +248,9 @@
         fleet.apply([_entry(n) for n in range(50)], ())
         verdict_store = VerdictStore(self.store, self.clock)
         exit_detector = TargetExitDetector(fleet.is_expected, self._probe)
-        quarantine = Quarantine(self.network.peers(name), exit_detector, verdict_store)
+        quarantine = Quarantine(
+            self.network.peers_of(name), exit_detector, verdict_store
+        )
         self.network.attach(name, quarantine)
         return quarantine
 
@@ -306,7 +314,7 @@
         finally:
             await daemons.stop()
 
-    run_paused(run())
+    run_in_virtual_time(run())
 
 
 async def _quarantine_request(daemons):
@@ -382,7 +390,7 @@
 def step_store_unavailable(context):
     async def scenario(daemons):
         await context.prepare(daemons)
-        daemons.store.faults = daemons.store.faults._replace(store=1.0)
+        daemons.store.faults = daemons.store.faults._replace(store_failure_fraction=1.0)
         context.errors = await daemons.request_at_all()
         context.sent = list(daemons.sent)
 
