--- a/measurements/capacity.py
+++ b/measurements/capacity.py
@@ -1,8 +1,8 @@
-"""Slopes for docs/CAPACITY.md: what one daemon spends for control.
+"""Control-plane cost of one daemon, for docs/CAPACITY.md.
 
-Real processes: memory and processor time of gateways and controllers as daemons are
-added. In process: processor time, bytes and memory of heartbeats, records, decisions
-and checks, as members, groups, VMs and workspaces grow.
+Separate processes: memory and processor time of gateways and controllers by number of
+daemons. Within this process: processor time, bytes and memory of heartbeats, records,
+decisions and checks by number of members, groups, VMs and workspaces.
 
 Run: ``.venv/bin/python -m measurements.capacity``
 """
@@ -29,47 +29,56 @@
 from harness import LocalSite, SiteShape, VmShape
 from measurements.gateway_path import cpu_s
 
-WATCH_S = 12.0
-TIMES = MembershipTimes()
+MEASUREMENT_S = 12.0
+MEMBERSHIP_TIMES = MembershipTimes()
 
 
-def timed(action, number):
-    """Return seconds of processor time for one call."""
-    started = time.process_time()
-    for _ in range(number):
+def cpu_s_per_call(action, calls):
+    """Return the processor time of one call in seconds, as a mean.
+
+    :param action: function without parameters.
+    :param calls: number of calls.
+    """
+    started_s = time.process_time()
+    for _ in range(calls):
         action()
-    return (time.process_time() - started) / number
+    return (time.process_time() - started_s) / calls
 
 
-def member(index):
-    """Return some member."""
+def make_member(index):
+    """Return the member with an index; gateways and controllers alternate."""
     role = Role.GATEWAY if index % 2 else Role.CONTROLLER
     name = f"daemon-{index}"
     address = f"10.0.{index % 250}.{index // 250}:7000"
     return Member(name, f"{index:012x}", role, "dc1", address, f"http://{address}")
 
 
-def fleet(size):
-    """Return a node that has heard every member, and its members."""
-    members = {m.name: m for m in (member(i) for i in range(size))}
+def make_node(member_count):
+    """Return a node with an answer of every other member, and all members by name."""
+    members = {
+        member.name: member for member in (make_member(i) for i in range(member_count))
+    }
     revision = Revision(0, {}, {}, 0).next(members, 0)
-    node = MembershipNode(members["daemon-0"], TIMES)
+    node = MembershipNode(members["daemon-0"], MEMBERSHIP_TIMES)
     node.handle_table_revision(revision, 0.0, 0.0)
     for other in node.peers:
-        peer = MembershipNode(other, TIMES)
+        peer = MembershipNode(other, MEMBERSHIP_TIMES)
         peer.handle_table_revision(revision, 0.0, 0.0)
         answer = peer.answer(node.build_heartbeat(other, 0.0), 0.0)
         node.handle_heartbeat_answer(other, answer, 0.0, 0.0)
     return node, members
 
 
-def heartbeats():
-    """Cost of heartbeats and of the serving rule as members grow."""
-    print("members: heartbeat us (both ends, codec), bytes, judge us, head row bytes")
-    for size in (8, 16, 64, 205, 410):
-        node, members = fleet(size)
+def measure_heartbeats():
+    """Print the cost of heartbeats and of the serving rule by number of members."""
+    print(
+        "members: heartbeat us (both ends, codec), bytes, serving rule us, "
+        "head row bytes"
+    )
+    for member_count in (8, 16, 64, 205, 410):
+        node, members = make_node(member_count)
         other = node.peers[0]
-        peer = MembershipNode(other, TIMES)
+        peer = MembershipNode(other, MEMBERSHIP_TIMES)
         peer.handle_table_revision(node.revision, 0.0, 0.0)
 
         def exchange(node=node, peer=peer, other=other):
@@ -83,18 +92,21 @@
             )
             return len(data) + reply.ByteSize()
 
-        size_bytes = exchange()
-        cost = timed(exchange, 400)
-        judge = timed(lambda node=node: node.may_serve(0.1), 200)
-        head = len(msgspec.json.encode(codec.members_to_rows(members)))
-        print(f"  {size:4}: {cost * 1e6:6.0f} {size_bytes:5} {judge * 1e6:7.0f} {head}")
+        heartbeat_bytes = exchange()
+        heartbeat_s = cpu_s_per_call(exchange, 400)
+        serving_rule_s = cpu_s_per_call(lambda node=node: node.may_serve(0.1), 200)
+        head_row_bytes = len(msgspec.json.encode(codec.members_to_rows(members)))
+        print(
+            f"  {member_count:4}: {heartbeat_s * 1e6:6.0f} {heartbeat_bytes:5} "
+            f"{serving_rule_s * 1e6:7.0f} {head_row_bytes}"
+        )
 
 
-def group_report(index, vms=16):
-    """Return some group's report."""
+def make_group_report(index, vm_count=16):
+    """Return the report of a group with an index."""
     members = tuple(
         GroupMember(f"vm-{index}-{i}", f"{i:08x}", f"http://10.1.{index}.{i}:9000")
-        for i in range(vms)
+        for i in range(vm_count)
     )
     spec = GroupSpec(
         f"drafting-{index:06x}", "d1", "dc1", "drafting", "m", "1", (), 1, members
@@ -102,28 +114,31 @@
     return GroupReport(spec, True, "", EngineLoad(10, 0, 32, 0.02))
 
 
-def records():
-    """Size and cost of group reports."""
-    report = group_report(1)
+def measure_group_reports():
+    """Print the size of group reports and the cost of their codec."""
+    report = make_group_report(1)
     encoded = msgspec.json.encode(report)
     record = Record("group/d1/drafting-000001", 1, 1, encoded, 0.0, "c1")
-    encode = timed(lambda: msgspec.json.encode(report), 2000)
-    decode = timed(lambda: decode_report(record), 2000)
+    encode_s = cpu_s_per_call(lambda: msgspec.json.encode(report), 2000)
+    decode_s = cpu_s_per_call(lambda: decode_report(record), 2000)
     print(
-        f"group report of 16 VMs: {len(encoded)} bytes, encode {encode * 1e6:.0f} us, "
-        f"decode {decode * 1e6:.0f} us"
+        f"group report of 16 VMs: {len(encoded)} bytes, "
+        f"encode {encode_s * 1e6:.0f} us, decode {decode_s * 1e6:.0f} us"
     )
     gc.collect()
     tracemalloc.start()
-    kept = [decode_report(record) for _ in range(200)]
-    size = tracemalloc.get_traced_memory()[0] / len(kept)
+    decoded_reports = [decode_report(record) for _ in range(200)]
+    bytes_per_report = tracemalloc.get_traced_memory()[0] / len(decoded_reports)
     tracemalloc.stop()
-    print(f"  kept: {size:.0f} bytes a group")
+    print(f"  decoded: {bytes_per_report:.0f} bytes of memory per report")
 
 
-def resolving():
-    """Cost of applying selectors to the fleet."""
-    print("VMs: resolve ms, bytes of a configuration of 40 objects, bytes a VM kept")
+def measure_resolving():
+    """Print the cost of applying selectors to the fleet by number of VMs."""
+    print(
+        "VMs: resolve ms, bytes of a configuration of 40 objects, "
+        "bytes of memory per VM, resolved VMs"
+    )
     objects = {
         "model": {"m": {"version": "1", "weights_bytes": 1}},
         "group": {
@@ -140,8 +155,10 @@
         },
     }
     configuration = Configuration.model_validate(objects)
-    content = len(msgspec.json.encode(configuration.model_dump(mode="json")))
-    for number in (50, 300, 1200):
+    configuration_bytes = len(
+        msgspec.json.encode(configuration.model_dump(mode="json"))
+    )
+    for vm_count in (50, 300, 1200):
         gc.collect()
         tracemalloc.start()
         vms = [
@@ -156,17 +173,20 @@
                 VmState.LIVE,
                 {"n": f"v{i % 13}", "domain": f"d{i // 80}"},
             )
-            for i in range(number)
+            for i in range(vm_count)
         ]
-        kept = resolve(configuration, vms)
-        size = tracemalloc.get_traced_memory()[0] / number
+        resolved = resolve(configuration, vms)
+        bytes_per_vm = tracemalloc.get_traced_memory()[0] / vm_count
         tracemalloc.stop()
-        cost = timed(lambda vms=vms: resolve(configuration, vms), 3)
-        print(f"  {number:5}: {cost * 1e3:7.1f} {content} {size:.0f} {len(kept.vms)}")
+        resolve_s = cpu_s_per_call(lambda vms=vms: resolve(configuration, vms), 3)
+        print(
+            f"  {vm_count:5}: {resolve_s * 1e3:7.1f} {configuration_bytes} "
+            f"{bytes_per_vm:.0f} {len(resolved.vms)}"
+        )
 
 
-def memory_mb(process):
-    """Return the resident memory of a process in MB."""
+def resident_memory_mib(process):
+    """Return the resident memory of a process in MiB."""
     with open(f"/proc/{process.pid}/status") as file:
         for line in file:
             if line.startswith("VmRSS"):
@@ -174,69 +194,83 @@
     return 0.0
 
 
-def processes():
-    """Idle daemons as separate processes: memory, processor time, table calls."""
+def measure_idle_daemons():
+    """Print memory, processor time and table calls of idle daemons by their number."""
     print(
-        "daemons: MB and % of a core, gateway and controller; table reads/s, commits/s"
+        "daemons: MiB and % of a core, gateway and controller; table reads/s, commits/s"
     )
     large = {"pool": "large", "site": "stations"}
     small = {"pool": "small", "site": "stations"}
-    for pairs in (2, 4, 8):
-        centres = tuple(f"dc{i % 3 + 1}" for i in range(pairs))
-        vms = (
+    for pair_count in (2, 4, 8):
+        data_centres = tuple(f"dc{i % 3 + 1}" for i in range(pair_count))
+        station_vms = (
             VmShape("a", 25, "d1", labels=large),
             VmShape("b", 25, "d2", labels=large),
         )
-        apron = (
+        other_vms = (
             VmShape("e", 4, "d3", labels={**large, "site": "apron"}),
             VmShape("r", 3, "d1", kind="service", labels=small),
             VmShape("t", 1, "d3", kind="service", labels={**small, "site": "apron"}),
         )
-        shape = SiteShape(centres, centres, (*vms, *apron), log_level="warning")
+        shape = SiteShape(
+            data_centres, data_centres, (*station_vms, *other_vms), log_level="warning"
+        )
         with LocalSite(shape) as site:
             site.cli("apply", "demo/configuration")
             site.wait_groups(4)
-            before = {n: cpu_s(p) for n, p in site.processes.items()}
-            counts = site.history()["table"]
-            time.sleep(WATCH_S)
-            after = site.history()["table"]
-            parts = []
-            for names in (site.gateway_names, site.controller_names):
-                used = [cpu_s(site.processes[n]) - before[n] for n in names]
-                memory = [memory_mb(site.processes[n]) for n in names]
-                share = sum(used) / len(used) / WATCH_S
-                parts.append(
-                    f"{max(memory):5.1f} MB {share:5.2%} (max "
-                    f"{max(used) / WATCH_S:5.2%})"
+            cpu_before_s = {
+                name: cpu_s(process) for name, process in site.processes.items()
+            }
+            table_before = site.history()["table"]
+            time.sleep(MEASUREMENT_S)
+            table_after = site.history()["table"]
+            columns = []
+            for daemon_names in (site.gateway_names, site.controller_names):
+                used_cpu_s = [
+                    cpu_s(site.processes[name]) - cpu_before_s[name]
+                    for name in daemon_names
+                ]
+                memory_mib = [
+                    resident_memory_mib(site.processes[name]) for name in daemon_names
+                ]
+                mean_core_fraction = sum(used_cpu_s) / len(used_cpu_s) / MEASUREMENT_S
+                columns.append(
+                    f"{max(memory_mib):5.1f} MiB {mean_core_fraction:5.2%} (max "
+                    f"{max(used_cpu_s) / MEASUREMENT_S:5.2%})"
                 )
-            reads = (after["reads"] - counts["reads"]) / WATCH_S
-            commits = (after["commits"] - counts["commits"]) / WATCH_S
+            reads_per_s = (table_after["reads"] - table_before["reads"]) / MEASUREMENT_S
+            commits_per_s = (
+                table_after["commits"] - table_before["commits"]
+            ) / MEASUREMENT_S
             print(
-                f"  {2 * pairs:3}: {parts[0]}  {parts[1]}  {reads:.1f} {commits:.1f}",
+                f"  {2 * pair_count:3}: {columns[0]}  {columns[1]}  "
+                f"{reads_per_s:.1f} {commits_per_s:.1f}",
                 flush=True,
             )
 
 
-def bare_process():
-    """Memory of an interpreter that has only imported what a daemon imports."""
+def measure_import_memory():
+    """Print the memory of an interpreter that has only imported a gateway's modules."""
     import subprocess
     import sys
 
-    code = (
+    source = (
         "import cowslipcourse.gateway.main, os;"
         "print(next(l for l in open('/proc/self/status') if l.startswith('VmRSS')))"
     )
-    done = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True)
-    print("bare process with a gateway's imports:", done.stdout.strip())
+    completed = subprocess.run(
+        [sys.executable, "-c", source], capture_output=True, text=True
+    )
+    print("interpreter with a gateway's imports:", completed.stdout.strip())
 
 
 def main():
-    """Print all slopes."""
-    heartbeats()
-    records()
-    resolving()
-    bare_process()
-    processes()
+    """Print all measurements."""
+    measure_heartbeats()
+    measure_group_reports()
+    measure_resolving()
+    measure_import_memory()
+    measure_idle_daemons()
 
 
 if __name__ == "__main__":
--- a/measurements/placement.py
+++ b/measurements/placement.py
@@ -1,7 +1,7 @@
 """Repair policies against failure traces: group downtime and stranded accelerators.
 
-The real policies are driven through failure traces in fake time, the same trace for
-each policy. Every figure is a ratio to first-fit replacement in the same run.
+The policies of the controller run on failure traces in simulated time, with the same
+trace for each policy. Figures are ratios to first-fit replacement on the same traces.
 
 Run: ``.venv/bin/python -m measurements.placement``
 """
@@ -29,45 +29,46 @@
 
 DAY_S = 86_400.0
 SEEDS = 20
-DECIDE_S = 2.0
-DECIDE_SELDOM_S = 30.0
-RECENT_S = 120.0
-ACCELERATORS = 8
-FULL_RATE_LOADS = 4
+DECISION_INTERVAL_S = 2.0
+STEADY_DECISION_INTERVAL_S = 30.0
+RECENT_CHANGE_S = 120.0
+ACCELERATORS_PER_VM = 8
+MAX_FULL_RATE_LOADS = 4
 
 
-class Shape(NamedTuple):
+class DomainShape(NamedTuple):
     """One fabric domain and its failures.
 
-    :param vms: VMs of the domain.
-    :param size: VMs of a group.
-    :param groups: groups declared.
-    :param load_s: seconds to load one member while few load.
-    :param absences_a_day: absences of one VM a day, pauses included.
-    :param dark_every_s: mean seconds between the whole domain going dark.
-    :param days: length of the trace.
+    :param vm_count: number of VMs in the domain.
+    :param vms_per_group: number of VMs of a group.
+    :param group_count: number of groups declared.
+    :param load_s: seconds to load one member while at most
+        :data:`MAX_FULL_RATE_LOADS` members load.
+    :param absences_per_vm_day: mean absences of one VM per day, including pauses.
+    :param mean_outage_interval_s: mean seconds between outages of the whole domain.
+    :param days: length of the trace in days.
     """
 
-    vms: int
-    size: int
-    groups: int
+    vm_count: int
+    vms_per_group: int
+    group_count: int
     load_s: float
-    absences_a_day: float
-    dark_every_s: float
+    absences_per_vm_day: float
+    mean_outage_interval_s: float
     days: float
 
 
-# 31 failures and 98 restarts a day over 1,200 VMs, as many pauses again.
-TARGET_RATE = 2 * 129 / 1200
+# 31 failures and 98 restarts per day among 1,200 VMs, and as many pauses as both.
+TARGET_ABSENCES_PER_VM_DAY = 2 * 129 / 1200
 SHAPES = {
-    "today, spares short (25 VMs, 6 groups of 4)": Shape(
-        25, 4, 6, 60.0, 10 * TARGET_RATE, 45 * DAY_S, 10
+    "today, spares short (25 VMs, 6 groups of 4)": DomainShape(
+        25, 4, 6, 60.0, 10 * TARGET_ABSENCES_PER_VM_DAY, 45 * DAY_S, 10
     ),
-    "target, remnant only (66 VMs, 4 groups of 16)": Shape(
-        66, 16, 4, 180.0, TARGET_RATE, 45 * DAY_S, 20
+    "target, remnant only (66 VMs, 4 groups of 16)": DomainShape(
+        66, 16, 4, 180.0, TARGET_ABSENCES_PER_VM_DAY, 45 * DAY_S, 20
     ),
-    "target, a whole block free (80 VMs, 4 groups of 16)": Shape(
-        80, 16, 4, 180.0, TARGET_RATE, 45 * DAY_S, 20
+    "target, a whole block free (80 VMs, 4 groups of 16)": DomainShape(
+        80, 16, 4, 180.0, TARGET_ABSENCES_PER_VM_DAY, 45 * DAY_S, 20
     ),
 }
 POLICIES = {
@@ -77,144 +78,167 @@
     "cost, even (8:1)": (CostPolicy, Weights(8.0, 1.0)),
     "cost, Incheon (1:10)": (CostPolicy, Weights(1.0, 10.0)),
 }
-CURVE = (1000.0, 30.0, 1.0, 0.1)
+DOWNTIME_WEIGHTS = (1000.0, 30.0, 1.0, 0.1)
 
 
 def make_trace(shape, seed):
-    """Return absences ``(at, vm, back at, keeps weights)`` in order of time."""
+    """Return absences ``(start_s, vm, end_s, keeps_weights)`` in order of time.
+
+    :param shape: :class:`DomainShape`
+    :param seed: seed of the absences and outages.
+    """
     rng = random.Random(seed)
-    end = shape.days * DAY_S
+    trace_end_s = shape.days * DAY_S
     trace = []
-    for vm in range(shape.vms):
-        at = 0.0
+    for vm in range(shape.vm_count):
+        start_s = 0.0
         while True:
-            at += rng.expovariate(shape.absences_a_day / DAY_S)
-            if at > end:
+            start_s += rng.expovariate(shape.absences_per_vm_day / DAY_S)
+            if start_s > trace_end_s:
                 break
             kind = rng.choices(
                 DEFAULT_ABSENCES.kinds, [kind.share for kind in DEFAULT_ABSENCES.kinds]
             )[0]
-            trace.append((at, vm, at + rng.expovariate(1 / kind.mean_s), kind[2]))
-    at = rng.expovariate(1 / shape.dark_every_s)
-    while at < end:
-        back = at + rng.uniform(300, 3600)
-        trace += [(at, vm, back, True) for vm in range(shape.vms)]
-        at += rng.expovariate(1 / shape.dark_every_s)
+            trace.append(
+                (start_s, vm, start_s + rng.expovariate(1 / kind.mean_s), kind[2])
+            )
+    start_s = rng.expovariate(1 / shape.mean_outage_interval_s)
+    while start_s < trace_end_s:
+        end_s = start_s + rng.uniform(300, 3600)
+        trace += [(start_s, vm, end_s, True) for vm in range(shape.vm_count)]
+        start_s += rng.expovariate(1 / shape.mean_outage_interval_s)
     return sorted(trace)
 
 
-class Domain:
-    """One domain under a policy."""
+class SimulatedDomain:
+    """Simulates one domain under a repair policy."""
 
     def __init__(self, shape, policy, weights):
         self._shape, self._policy, self._weights = shape, policy, weights
-        self.now = 0.0
-        self._back_at = {}
-        self._absent_since = {}
-        self._loaded_for = {}
-        self._ready_at = {}
-        size = shape.size
+        self.now_s = 0.0
+        self._return_s = {}
+        self._absent_since_s = {}
+        self._loaded_group = {}
+        self._load_end_s = {}
+        vms_per_group = shape.vms_per_group
         self._groups = {
-            f"g{i}": list(range(i * size, (i + 1) * size)) for i in range(shape.groups)
+            f"g{i}": list(range(i * vms_per_group, (i + 1) * vms_per_group))
+            for i in range(shape.group_count)
         }
         for name, members in self._groups.items():
-            self._loaded_for.update(dict.fromkeys(members, name))
-        self._ids = itertools.count(shape.groups)
+            self._loaded_group.update(dict.fromkeys(members, name))
+        self._group_numbers = itertools.count(shape.group_count)
         self.downtime_s = self.stranded_s = 0.0
-        self.loads = 0
+        self.load_count = 0
 
     def run(self, trace):
-        """Run through a trace."""
-        events = [(at, "away", vm, back, keeps) for at, vm, back, keeps in trace]
+        """Simulate a trace.
+
+        :param trace: absences of :func:`make_trace`.
+        """
+        events = [
+            (at_s, "absent", vm, end_s, keeps_weights)
+            for at_s, vm, end_s, keeps_weights in trace
+        ]
         heapq.heapify(events)
-        end = self._shape.days * DAY_S
-        changed_at = 0.0
-        while self.now < end:
-            quiet = self._all_serve()
-            at = events[0][0] if events else end
-            if not quiet:
-                recent = self.now - changed_at < RECENT_S
-                at = min(at, self.now + (DECIDE_S if recent else DECIDE_SELDOM_S))
-            self._let_pass(min(at, end) - self.now)
-            while events and events[0][0] <= self.now:
-                self._event(events, heapq.heappop(events))
-                changed_at = self.now
-            if not self._all_serve():
-                self._decide()
-
-    def _event(self, events, event):
-        _, what, vm, back, keeps = event
-        if what == "away":
-            if vm in self._absent_since:
+        trace_end_s = self._shape.days * DAY_S
+        last_change_s = 0.0
+        while self.now_s < trace_end_s:
+            all_serving = self._are_all_serving()
+            at_s = events[0][0] if events else trace_end_s
+            if not all_serving:
+                is_recent = self.now_s - last_change_s < RECENT_CHANGE_S
+                at_s = min(
+                    at_s,
+                    self.now_s
+                    + (
+                        DECISION_INTERVAL_S if is_recent else STEADY_DECISION_INTERVAL_S
+                    ),
+                )
+            self._advance(min(at_s, trace_end_s) - self.now_s)
+            while events and events[0][0] <= self.now_s:
+                self._handle_event(events, heapq.heappop(events))
+                last_change_s = self.now_s
+            if not self._are_all_serving():
+                self._repair()
+
+    def _handle_event(self, events, event):
+        _, kind, vm, end_s, keeps_weights = event
+        if kind == "absent":
+            if vm in self._absent_since_s:
                 return
-            self._absent_since[vm] = self.now
-            if not keeps:
-                self._loaded_for.pop(vm, None)
-            self._ready_at.pop(vm, None)
-            heapq.heappush(events, (back, "back", vm, 0.0, keeps))
+            self._absent_since_s[vm] = self.now_s
+            if not keeps_weights:
+                self._loaded_group.pop(vm, None)
+            self._load_end_s.pop(vm, None)
+            heapq.heappush(events, (end_s, "returned", vm, 0.0, keeps_weights))
         else:
-            self._absent_since.pop(vm, None)
+            self._absent_since_s.pop(vm, None)
 
-    def _serves(self, name):
+    def _is_serving(self, name):
         return all(
-            vm not in self._absent_since
-            and self._loaded_for.get(vm) == name
-            and self._ready_at.get(vm, 0.0) <= self.now
+            vm not in self._absent_since_s
+            and self._loaded_group.get(vm) == name
+            and self._load_end_s.get(vm, 0.0) <= self.now_s
             for vm in self._groups[name]
         )
 
-    def _all_serve(self):
-        whole = len(self._groups) == self._shape.groups
-        return whole and all(self._serves(name) for name in self._groups)
-
-    def _let_pass(self, seconds):
-        serving = {name for name in self._groups if self._serves(name)}
-        self.downtime_s += (self._shape.groups - len(serving)) * seconds
-        used = sum(len(self._groups[name]) for name in serving)
-        healthy = self._shape.vms - len(self._absent_since)
-        free = len(self._free())
-        usable = free - free % self._shape.size
-        self.stranded_s += (healthy - used - usable) * ACCELERATORS * seconds
-        self.now += seconds
-
-    def _free(self):
-        taken = {vm for members in self._groups.values() for vm in members}
+    def _are_all_serving(self):
+        is_complete = len(self._groups) == self._shape.group_count
+        return is_complete and all(self._is_serving(name) for name in self._groups)
+
+    def _advance(self, duration_s):
+        serving = {name for name in self._groups if self._is_serving(name)}
+        self.downtime_s += (self._shape.group_count - len(serving)) * duration_s
+        used_vm_count = sum(len(self._groups[name]) for name in serving)
+        healthy_vm_count = self._shape.vm_count - len(self._absent_since_s)
+        free_vm_count = len(self._free_vms())
+        usable_vm_count = free_vm_count - free_vm_count % self._shape.vms_per_group
+        self.stranded_s += (
+            (healthy_vm_count - used_vm_count - usable_vm_count)
+            * ACCELERATORS_PER_VM
+            * duration_s
+        )
+        self.now_s += duration_s
+
+    def _free_vms(self):
+        used_vms = {vm for members in self._groups.values() for vm in members}
         return [
             vm
-            for vm in range(self._shape.vms)
-            if vm not in taken and vm not in self._absent_since
+            for vm in range(self._shape.vm_count)
+            if vm not in used_vms and vm not in self._absent_since_s
         ]
 
-    def _load_s(self):
-        loading = sum(at > self.now for at in self._ready_at.values())
-        return self._shape.load_s * max(1.0, (loading + 1) / FULL_RATE_LOADS)
+    def _current_load_s(self):
+        loading_count = sum(at_s > self.now_s for at_s in self._load_end_s.values())
+        return self._shape.load_s * max(1.0, (loading_count + 1) / MAX_FULL_RATE_LOADS)
 
-    def _decide(self):
+    def _repair(self):
         broken = []
         for name, members in self._groups.items():
             absent = {
-                vm: self.now - self._absent_since[vm]
+                vm: self.now_s - self._absent_since_s[vm]
                 for vm in members
-                if vm in self._absent_since
+                if vm in self._absent_since_s
             }
             if absent:
                 broken.append(BrokenGroup(name, tuple(members), absent))
         if broken:
             view = RepairView(
                 tuple(broken),
-                tuple(self._free()),
-                self._shape.size,
-                ACCELERATORS,
-                self._load_s(),
+                tuple(self._free_vms()),
+                self._shape.vms_per_group,
+                ACCELERATORS_PER_VM,
+                self._current_load_s(),
                 self._weights,
             )
             for decision in self._policy.repair(view):
                 if isinstance(decision, Replace):
-                    self._replace(decision)
-        self._form()
-        self._load()
+                    self._replace_members(decision)
+        self._form_groups()
+        self._start_loads()
 
-    def _replace(self, decision):
+    def _replace_members(self, decision):
         if decision.donor:
             del self._groups[decision.donor]
         members = self._groups[decision.group]
@@ -222,141 +246,172 @@
             decision.replacements.get(vm, vm) for vm in members
         ]
 
-    def _form(self):
-        while len(self._groups) < self._shape.groups:
-            free = self._free()
-            if len(free) < self._shape.size:
+    def _form_groups(self):
+        while len(self._groups) < self._shape.group_count:
+            free_vms = self._free_vms()
+            if len(free_vms) < self._shape.vms_per_group:
                 return
-            self._groups[f"g{next(self._ids)}"] = free[: self._shape.size]
+            self._groups[f"g{next(self._group_numbers)}"] = free_vms[
+                : self._shape.vms_per_group
+            ]
 
-    def _load(self):
+    def _start_loads(self):
         for name, members in self._groups.items():
             for vm in members:
-                if vm in self._absent_since or self._loaded_for.get(vm) == name:
+                if vm in self._absent_since_s or self._loaded_group.get(vm) == name:
                     continue
-                self._ready_at[vm] = self.now + self._load_s()
-                self._loaded_for[vm] = name
-                self.loads += 1
+                self._load_end_s[vm] = self.now_s + self._current_load_s()
+                self._loaded_group[vm] = name
+                self.load_count += 1
 
 
 def run_policy(shape, name, seed, weights=None):
-    """Return ``(downtime, stranded, loads)`` as fractions and a count."""
-    policy_type, default = POLICIES[name]
-    domain = Domain(shape, policy_type(), weights or default)
+    """Return ``(downtime, stranded, loads)`` of one run: two fractions and a count.
+
+    :param shape: :class:`DomainShape`
+    :param name: key of :data:`POLICIES`.
+    :param seed: seed of the trace.
+    :param weights: :class:`~cowslipcourse.placement.Weights`, by default the policy's.
+    """
+    policy_type, default_weights = POLICIES[name]
+    domain = SimulatedDomain(shape, policy_type(), weights or default_weights)
     domain.run(make_trace(shape, seed))
     total_s = shape.days * DAY_S
-    downtime = domain.downtime_s / (shape.groups * total_s)
-    stranded = domain.stranded_s / (shape.vms * ACCELERATORS * total_s)
-    return downtime, stranded, domain.loads
+    downtime_fraction = domain.downtime_s / (shape.group_count * total_s)
+    stranded_fraction = domain.stranded_s / (
+        shape.vm_count * ACCELERATORS_PER_VM * total_s
+    )
+    return downtime_fraction, stranded_fraction, domain.load_count
 
 
 def run_seeds(shape, name, weights=None):
-    """Run a policy over all seeds, several at a time."""
+    """Return the result of :func:`run_policy` for each seed, run in parallel."""
     with ProcessPoolExecutor() as pool:
-        running = [
+        futures = [
             pool.submit(run_policy, shape, name, seed, weights) for seed in range(SEEDS)
         ]
-        return [item.result() for item in running]
+        return [future.result() for future in futures]
 
 
-def spread(values):
-    """Return mean and standard error as text."""
+def mean_and_error(values):
+    """Return the mean and its standard error as text."""
     array = np.array(values)
     return f"{array.mean():.3f} +- {array.std(ddof=1) / np.sqrt(len(array)):.3f}"
 
 
 class MixedGroup(NamedTuple):
-    """A group after its domain came back.
+    """A group after an outage of its domain.
 
-    :param size: VMs of the group.
-    :param lacking: members that lost their weights.
+    :param vm_count: number of VMs of the group.
+    :param unloaded: number of members that lost their weights.
     """
 
-    size: int
-    lacking: int
+    vm_count: int
+    unloaded: int
 
 
-ORDERS = {
-    "first come": None,
+LOAD_ORDER_WEIGHTS = {
+    "unordered": None,
     "Atlas (1000:1)": Weights(1000.0, 1.0),
     "Incheon (1:10)": Weights(1.0, 10.0),
 }
-LOADS_AT_ONCE = 4
+MAX_CONCURRENT_LOADS = 4
 LOAD_S = 60.0
 
 
-def dark_domain_returns(weights, seed):
-    """Load a mix of large and small groups; return downtime and stranded time."""
+def simulate_domain_return(weights, seed):
+    """Return downtime and stranded time of groups that load after a domain outage.
+
+    Large and small groups are mixed.
+
+    :param weights: :class:`~cowslipcourse.placement.Weights` that order the loads;
+        ``None`` for unordered.
+    :param seed: seed of the mix and of the lost weights.
+    """
     rng = random.Random(seed)
-    sizes = [4] * 8 + [16] * 3
-    rng.shuffle(sizes)
+    vm_counts = [4] * 8 + [16] * 3
+    rng.shuffle(vm_counts)
     groups = {
-        f"g{i:02}": MixedGroup(size, sum(rng.random() < 0.6 for _ in range(size)))
-        for i, size in enumerate(sizes)
+        f"g{i:02}": MixedGroup(
+            vm_count, sum(rng.random() < 0.6 for _ in range(vm_count))
+        )
+        for i, vm_count in enumerate(vm_counts)
     }
-    needs = [
-        LoadNeed(name, group.lacking, group.size - group.lacking, False, ACCELERATORS)
+    load_needs = [
+        LoadNeed(
+            name,
+            group.unloaded,
+            group.vm_count - group.unloaded,
+            False,
+            ACCELERATORS_PER_VM,
+        )
         for name, group in groups.items()
     ]
-    ordered = needs if weights is None else load_order(needs, weights)
-    free_at = [0.0] * LOADS_AT_ONCE
+    ordered_needs = load_needs if weights is None else load_order(load_needs, weights)
+    loader_free_s = [0.0] * MAX_CONCURRENT_LOADS
     downtime_s = stranded_s = 0.0
-    for need in ordered:
-        done_at = 0.0
+    for need in ordered_needs:
+        group_loaded_s = 0.0
         for _ in range(need.unloaded):
-            start = heapq.heappop(free_at)
-            heapq.heappush(free_at, start + LOAD_S)
-            done_at = max(done_at, start + LOAD_S)
-        downtime_s += done_at
-        stranded_s += done_at * groups[need.group].size * ACCELERATORS
+            start_s = heapq.heappop(loader_free_s)
+            heapq.heappush(loader_free_s, start_s + LOAD_S)
+            group_loaded_s = max(group_loaded_s, start_s + LOAD_S)
+        downtime_s += group_loaded_s
+        stranded_s += group_loaded_s * groups[need.group].vm_count * ACCELERATORS_PER_VM
     return downtime_s, stranded_s
 
 
-def show_orders():
-    """Print what the order of loads is worth after a dark domain came back."""
-    print(f"\ndark domain returns: 8 groups of 4, 3 of 16, {SEEDS} seeds")
-    base = [dark_domain_returns(None, seed) for seed in range(SEEDS)]
-    for name, weights in ORDERS.items():
-        found = [dark_domain_returns(weights, seed) for seed in range(SEEDS)]
+def print_load_orders():
+    """Print downtime and stranded time after a domain outage by order of loads."""
+    print(f"\nafter a domain outage: 8 groups of 4, 3 of 16, {SEEDS} seeds")
+    baseline = [simulate_domain_return(None, seed) for seed in range(SEEDS)]
+    for name, weights in LOAD_ORDER_WEIGHTS.items():
+        results = [simulate_domain_return(weights, seed) for seed in range(SEEDS)]
         ratios = [
-            spread([f[i] / b[i] for f, b in zip(found, base, strict=True)])
+            mean_and_error(
+                [f[i] / b[i] for f, b in zip(results, baseline, strict=True)]
+            )
             for i in range(2)
         ]
         print(f"  {name:15} downtime x{ratios[0]}  stranded x{ratios[1]}", flush=True)
 
 
 def main():
-    """Print a table for each shape and the curve over the weights."""
-    show_orders()
+    """Print the policies and the effect of the weights for each shape."""
+    print_load_orders()
     for title, shape in SHAPES.items():
         print(f"\n{title}, {SEEDS} seeds, {shape.days} days")
-        base = run_seeds(shape, "replace-always")
+        baseline = run_seeds(shape, "replace-always")
         print(
-            f"  replace-always: downtime {np.mean([b[0] for b in base]):.5f}, "
-            f"stranded {np.mean([b[1] for b in base]):.5f}, "
-            f"loads {np.mean([b[2] for b in base]):.0f}"
+            f"  replace-always: downtime {np.mean([b[0] for b in baseline]):.5f}, "
+            f"stranded {np.mean([b[1] for b in baseline]):.5f}, "
+            f"loads {np.mean([b[2] for b in baseline]):.0f}"
         )
         for name in POLICIES:
             if name == "replace-always":
                 continue
-            found = run_seeds(shape, name)
+            results = run_seeds(shape, name)
             ratios = [
-                spread([f[i] / b[i] for f, b in zip(found, base, strict=True)])
+                mean_and_error(
+                    [f[i] / b[i] for f, b in zip(results, baseline, strict=True)]
+                )
                 for i in range(3)
             ]
             print(
                 f"  {name:22} downtime x{ratios[0]}  stranded x{ratios[1]}  "
                 f"loads x{ratios[2]}"
             )
-        print("  curve over downtime weight : stranded weight")
-        for weight in CURVE:
+        print("  by downtime weight : stranded weight")
+        for weight in DOWNTIME_WEIGHTS:
             weights = Weights(weight, 1.0)
-            found = run_seeds(shape, "cost, even (8:1)", weights)
-            parts = [
-                spread([f[i] / b[i] for f, b in zip(found, base, strict=True)])
+            results = run_seeds(shape, "cost, even (8:1)", weights)
+            ratios = [
+                mean_and_error(
+                    [f[i] / b[i] for f, b in zip(results, baseline, strict=True)]
+                )
                 for i in range(2)
             ]
-            print(f"    {weight:7.1f}:1  downtime x{parts[0]}  stranded x{parts[1]}")
+            print(f"    {weight:7.1f}:1  downtime x{ratios[0]}  stranded x{ratios[1]}")
 
 
 if __name__ == "__main__":
