--- a/cowslipcourse/gateway/chooser.py
+++ b/cowslipcourse/gateway/chooser.py
@@ -75,7 +75,7 @@
         if not declarations:
             raise UnknownModel(f"no model {model!r} is placed for {call.workspace}")
         grants = self._fleet_view.group_grants(declarations)
-        capacity = self._capacity(grants)
+        capacity = self._capacity_view(grants)
         remaining_s = call.remaining_s()
         self._admission.admit(call.workspace, call.priority, remaining_s, capacity)
         return declarations
@@ -125,9 +125,9 @@
         ] or target_views
         self._update_stragglers(grants)
         target_views = self._stragglers.without_stragglers(target_views, now())
-        chosen = self._policy.choose(target_views, self._rng)
-        self._prefixes.add(chosen.name, prompt_hashes, now())
-        return grants_by_group[chosen.name].report.spec
+        chosen_view = self._policy.choose(target_views, self._rng)
+        self._prefixes.add(chosen_view.name, prompt_hashes, now())
+        return grants_by_group[chosen_view.name].report.spec
 
     def prefix_hashes(self, prompt):
         """Return the prefix hashes of a prompt."""
@@ -148,7 +148,9 @@
     def _target_views(self, grants, prompt_hashes):
         current_time = now()
         peers_by_group, _ = self._fleet_view.peers_in_flight()
-        cached = self._prefixes.cached_tokens(prompt_hashes, current_time)
+        cached_tokens_by_group = self._prefixes.cached_tokens(
+            prompt_hashes, current_time
+        )
         own_data_centre = self._agent.member.data_centre
         target_views = []
         for grant in grants:
@@ -164,24 +166,24 @@
                     ),
                     peers_in_flight=peers_by_group.get(spec.group, 0),
                     distance=int(spec.data_centre != own_data_centre),
-                    prefix_tokens=cached.get(spec.group, 0),
+                    prefix_tokens=cached_tokens_by_group.get(spec.group, 0),
                 )
             )
         return target_views
 
-    def _capacity(self, grants):
+    def _capacity_view(self, grants):
         _, in_flight = self._fleet_view.peers_in_flight()
         for name, count in self._in_flight_by_workspace.items():
             in_flight[name] = in_flight.get(name, 0) + count
         workspaces = self._fleet_view.configuration.workspace
         target_views = self._target_views(grants, ())
-        waits = [self._policy.expected_wait_s(view) for view in target_views]
+        expected_waits_s = [self._policy.expected_wait_s(view) for view in target_views]
         return CapacityView(
             slots=sum(grant.report.load.batch_limit for grant in grants),
             in_flight=in_flight,
             weights={name: w.share for name, w in workspaces.items()},
             mean_answer_s=self._mean_response_time_s,
-            wait_s=min(waits, default=0.0),
+            wait_s=min(expected_waits_s, default=0.0),
             estimated_unreported=self._estimate_unreported(),
         )
 
--- a/cowslipcourse/gateway/services.py
+++ b/cowslipcourse/gateway/services.py
@@ -101,10 +101,10 @@
         if call.repeatable is not None:
             repeatable = call.repeatable
         if repeatable or not call.key:
-            run = ServiceCall(
+            service_call = ServiceCall(
                 service, operation, body, repeatable, call.deadline, self._context
             )
-            return await run.run(), False
+            return await service_call.run(), False
         keyed_call = _KeyedCall(
             call.key, call.workspace, service, operation, body, call.deadline
         )
@@ -140,9 +140,9 @@
         )
 
     async def _run_keyed(self, keyed_call):
-        minted = parse_minted_key(keyed_call.key)
-        if minted is not None:
-            return await self._run_at_home(keyed_call, minted)
+        minted_key = parse_minted_key(keyed_call.key)
+        if minted_key is not None:
+            return await self._run_at_home(keyed_call, minted_key)
         own_member = self._context.agent.member
         claim = Claim(
             own_member.name,
@@ -175,7 +175,7 @@
 
     async def _run_locally(self, keyed_call, window):
         async def execute():
-            call = ServiceCall(
+            service_call = ServiceCall(
                 keyed_call.service,
                 keyed_call.operation,
                 keyed_call.body,
@@ -183,7 +183,7 @@
                 keyed_call.deadline,
                 self._context,
             )
-            return await call.run()
+            return await service_call.run()
 
         return await self._context.outcomes.run_once(
             keyed_call.scoped_key, window, keyed_call.fingerprint, execute, now()
