--- a/cowslipcourse/adapters/targets.py
+++ b/cowslipcourse/adapters/targets.py
@@ -162,10 +162,10 @@
 
 def _decode_status(content):
     try:
-        found = msgspec.json.decode(content)
-        load = EngineLoad(**found.pop("load", {}))
-        prefixes = tuple(found.pop("prefixes", ()))
-        return EngineStatus(**found, load=load, prefixes=prefixes)
+        status_fields = msgspec.json.decode(content)
+        load = EngineLoad(**status_fields.pop("load", {}))
+        prefixes = tuple(status_fields.pop("prefixes", ()))
+        return EngineStatus(**status_fields, load=load, prefixes=prefixes)
     except (msgspec.DecodeError, TypeError, AttributeError) as error:
         raise MalformedResponse(f"cannot decode status: {error!r}") from error
 
--- a/cowslipcourse/gateway/callers.py
+++ b/cowslipcourse/gateway/callers.py
@@ -19,7 +19,7 @@
 DEADLINE_HEADER = "cowslip-deadline-s"
 PRIORITY_HEADER = "cowslip-priority"
 REPEATABLE_HEADER = "cowslip-repeatable"
-KEY_HEADER = "idempotency-key"
+IDEMPOTENCY_KEY_HEADER = "idempotency-key"
 REQUEST_ID_HEADER = "x-request-id"
 GENERATED_REQUEST_ID_BYTES = 9
 MAX_DEADLINE_S = 3600.0
@@ -34,7 +34,7 @@
     :param workspace: workspace that the API key belongs to.
     :param priority: :class:`~cowslipcourse.admission.Priority`
     :param deadline: loop time, or ``None``.
-    :param key: idempotency key; empty if there is none.
+    :param idempotency_key: idempotency key; empty if there is none.
     :param repeatable: whether the caller declares the request repeatable; ``None`` if
         it does not say.
     """
@@ -43,7 +43,7 @@
     workspace: str
     priority: Priority
     deadline: float | None
-    key: str
+    idempotency_key: str
     repeatable: bool | None
 
     def remaining_s(self):
@@ -109,19 +109,21 @@
     :raises DeadlinePassed: the deadline is not in the future.
     """
     headers = request.headers
-    key = headers.get("authorization", "").removeprefix("Bearer ")
-    workspace = fleet_view.workspace_for_key(hashlib.sha256(key.encode()).hexdigest())
+    api_key = headers.get("authorization", "").removeprefix("Bearer ")
+    workspace = fleet_view.workspace_for_key(
+        hashlib.sha256(api_key.encode()).hexdigest()
+    )
     if workspace is None:
-        raise NotAuthorised("the key belongs to no workspace")
-    idempotency_key = headers.get(KEY_HEADER, "")
-    if KEY_HEADER in headers:
+        raise NotAuthorised("the API key belongs to no workspace")
+    idempotency_key = headers.get(IDEMPOTENCY_KEY_HEADER, "")
+    if IDEMPOTENCY_KEY_HEADER in headers:
         check_key(idempotency_key)
     return Call(
         request_id=_parse_request_id(headers.get(REQUEST_ID_HEADER)),
         workspace=workspace,
         priority=_parse_priority(headers.get(PRIORITY_HEADER)),
         deadline=_parse_deadline(headers.get(DEADLINE_HEADER)),
-        key=idempotency_key,
+        idempotency_key=idempotency_key,
         repeatable=_parse_repeatable(headers.get(REPEATABLE_HEADER)),
     )
 
--- a/cowslipcourse/gateway/services.py
+++ b/cowslipcourse/gateway/services.py
@@ -100,13 +100,18 @@
         repeatable = self._context.fleet_view.configuration.service[service].repeatable
         if call.repeatable is not None:
             repeatable = call.repeatable
-        if repeatable or not call.key:
+        if repeatable or not call.idempotency_key:
             service_call = ServiceCall(
                 service, operation, body, repeatable, call.deadline, self._context
             )
             return await service_call.run(), False
         keyed_call = _KeyedCall(
-            call.key, call.workspace, service, operation, body, call.deadline
+            call.idempotency_key,
+            call.workspace,
+            service,
+            operation,
+            body,
+            call.deadline,
         )
         return await self._run_keyed(keyed_call)
 
