--- a/cowslipcourse/adapters/peer/codec.py
+++ b/cowslipcourse/adapters/peer/codec.py
@@ -47,10 +47,10 @@
 
 
 def _decode_revision(content):
-    value = msgspec.json.decode(content)
-    members = members_from_rows(value.pop("members"))
-    lists = member_lists_from_rows(value.pop("lists"))
-    return Revision(members=members, lists=lists, **value)
+    fields = msgspec.json.decode(content)
+    members = members_from_rows(fields.pop("members"))
+    lists = member_lists_from_rows(fields.pop("lists"))
+    return Revision(members=members, lists=lists, **fields)
 
 
 def encode_heartbeat(heartbeat):
--- a/cowslipcourse/cli/command.py
+++ b/cowslipcourse/cli/command.py
@@ -44,7 +44,7 @@
     """Base class of the commands that send requests to a controller."""
 
     options = [
-        option("controllers", None, "Base URLs of controllers, by commas", flag=False),
+        option("controllers", None, "Comma-separated controller URLs", flag=False),
         option("token-file", None, "File with the operator's token", flag=False),
         option("output", "o", "text or json", flag=False, default="text"),
     ]
--- a/cowslipcourse/cli/edit_commands.py
+++ b/cowslipcourse/cli/edit_commands.py
@@ -74,9 +74,9 @@
 
     options = [
         *OperatorCommand.options,
-        option("confirm", None, "Digest of the plan to be confirmed", flag=False),
-        option("base-revision", None, "Revision that was looked at", flag=False),
-        option("edit-id", None, "Id to send the same edit again", flag=False),
+        option("confirm", None, "Digest of the plan to confirm", flag=False),
+        option("base-revision", None, "Revision that the edit refers to", flag=False),
+        option("edit-id", None, "Id of the edit, to send it again", flag=False),
         option(
             "wait", None, "Seconds to wait until in force", flag=False, default="20"
         ),
--- a/cowslipcourse/cli/read_commands.py
+++ b/cowslipcourse/cli/read_commands.py
@@ -26,7 +26,7 @@
     """Show the state of groups, services and daemons."""
 
     name = "status"
-    description = "Show groups, services, daemons and who runs which revision."
+    description = "Show groups, services, daemons and the revision of each daemon."
 
     def perform(self):
         """Print the status, faults first."""
@@ -166,8 +166,8 @@
         *OperatorCommand.options,
         option("operator", None, "Only this operator's edits", flag=False),
         option("object", None, "Only edits of this object, as kind/name", flag=False),
-        option("since", None, "Only from this revision on", flag=False),
-        option("limit", None, "At most so many", flag=False, default="20"),
+        option("since", None, "Only this revision and later ones", flag=False),
+        option("limit", None, "Maximum number of records", flag=False, default="20"),
     ]
 
     def perform(self):
