--- a/cowslipcourse/membership/acceptance.py
+++ b/cowslipcourse/membership/acceptance.py
@@ -87,10 +87,12 @@
         return 2 * moved_past_count > len(identities)
 
     def _has_moved_past(self, identity, number, revision, moved_before):
-        """Return whether an incarnation moved past a revision, or is gone, long enough.
+        """Return whether an incarnation had left a revision behind by a time, or was gone.
 
         An incarnation is gone if another one answers at its address: two processes
         cannot both be reached there.
+
+        :param moved_before: loop time.
         """
         incarnation, address = identity
         since = self._contacts.moved_past_at(incarnation, number)
--- a/cowslipcourse/peers/digests.py
+++ b/cowslipcourse/peers/digests.py
@@ -48,7 +48,7 @@
     def build_remote_digest(self, own_heartbeat, now):
         """Return the digest for reporters of other data centres.
 
-        Without content it only says that this daemon is alive. When both reporters
+        Without content it only shows that this daemon is alive. When both reporters
         sent the whole content, four times a second and uncompressed, a link over which
         it was relayed to 38 daemons carried 1.9 MB/s of it.
         """
--- a/cowslipcourse/peers/packing.py
+++ b/cowslipcourse/peers/packing.py
@@ -31,7 +31,7 @@
 def unpack(content):
     """Return the content of packed bytes.
 
-    :raises MalformedResponse: the bytes are not packed, truncated or unpack to more
+    :raises MalformedResponse: the bytes are not packed or are truncated, or unpack to more
         than ``MAX_UNPACKED_BYTES``.
     """
     marker, payload = content[:1], content[1:]
--- a/cowslipcourse/quarantining/crash_reporting.py
+++ b/cowslipcourse/quarantining/crash_reporting.py
@@ -19,7 +19,7 @@
 EVALUATORS_PER_REQUEST = 8
 """Daemons that evaluate a request: all of them on the smallest sites. On larger ones
 the sets of two daemons may differ slightly while a daemon starts or stops."""
-HASH_BYTES = 8
+RANK_BYTES = 8
 REPORT_RESEND_DELAY_S = 0.4
 """Delay after which a report is sent once more, unless its request has been answered by
 then. Most requests that only ran beside the cause of an exit have been, and traffic
@@ -155,7 +155,7 @@
 
 def _rank(fingerprint, address):
     return hashlib.blake2b(
-        fingerprint + address.encode(), digest_size=HASH_BYTES
+        fingerprint + address.encode(), digest_size=RANK_BYTES
     ).digest()
 
 
--- a/cowslipcourse/streams/__init__.py
+++ b/cowslipcourse/streams/__init__.py
@@ -1,4 +1,4 @@
-"""Streams of events: splitting into whole events, and the position to resume at."""
+"""Streams of events: splitting into complete events, and the position to resume at."""
 
 from cowslipcourse.streams.events import Event, EventSplitter
 from cowslipcourse.streams.position import StreamPosition
