--- a/cowslipcourse/peers/packing.py
+++ b/cowslipcourse/peers/packing.py
@@ -31,8 +31,8 @@
 def unpack(content):
     """Return the content of packed bytes.
 
-    :raises MalformedResponse: the bytes are not packed or are truncated, or unpack to more
-        than ``MAX_UNPACKED_BYTES``.
+    :raises MalformedResponse: the bytes are not packed, are truncated, or unpack to
+        more than ``MAX_UNPACKED_BYTES``.
     """
     marker, payload = content[:1], content[1:]
     if marker == _UNCOMPRESSED:
