--- a/features/steps/accounting_steps.py
+++ b/features/steps/accounting_steps.py
@@ -7,7 +7,7 @@
 
 from behave import given, then, when
 
-from cowslipcourse.emulator.clock import run_paused
+from cowslipcourse.emulator.clock import run_in_virtual_time
 from cowslipcourse.entry.accounting import StreamTimes, late_cause, no_target_cause
 from cowslipcourse.entry.census import GroupCountMonitor
 from cowslipcourse.entry.fleet import Candidate, FleetView
@@ -61,10 +61,10 @@
 
 
 @given(
-    "a route with an objective of {objective:f} s and a pause limit of "
-    "{pause_limit:f} s"
+    "a route with an objective of {objective_s:f} s and a pause limit of "
+    "{pause_limit_s:f} s"
 )
-def step_route(context, objective, pause_limit):
+def step_route(context, objective_s, pause_limit_s):
     context.route = Route(
         "r",
         "h",
@@ -72,17 +72,17 @@
         RequestKind.STREAMING,
         (("llm", 1.0),),
         6.0,
-        objective,
-        pause_limit_s=pause_limit,
+        objective_s,
+        pause_limit_s=pause_limit_s,
     )
 
 
 @when(
-    "a stream waits {slot:f} s for a slot and takes {first_event:f} s to its first "
-    "event with pauses of {pause:f} s and {attempts:d} attempts"
+    "a stream waits {slot_wait_s:f} s for a slot and takes {first_event_s:f} s to its "
+    "first event with pauses of {pause_s:f} s and {attempts:d} attempts"
 )
-def step_stream_times(context, slot, first_event, pause, attempts):
-    times = StreamTimes(slot, first_event, pause, attempts)
+def step_stream_times(context, slot_wait_s, first_event_s, pause_s, attempts):
+    times = StreamTimes(slot_wait_s, first_event_s, pause_s, attempts)
     context.cause = late_cause(context.route, times)
 
 
@@ -159,7 +159,7 @@
     previous_level = logger.level
     logger.setLevel(logging.INFO)
     try:
-        run_paused(observe())
+        run_in_virtual_time(observe())
     finally:
         logger.removeHandler(handler)
         logger.setLevel(previous_level)
--- a/features/steps/stopping_steps.py
+++ b/features/steps/stopping_steps.py
@@ -4,7 +4,7 @@
 
 from behave import given, then, when
 
-from cowslipcourse.emulator.clock import run_paused
+from cowslipcourse.emulator.clock import run_in_virtual_time
 from cowslipcourse.entry.front import FrontApp
 from cowslipcourse.entry.metrics import EntryMetrics
 from cowslipcourse.routes import CallerLimits, RequestKind, Route, RouteTable
@@ -62,9 +62,9 @@
     return starts[0]
 
 
-@given("a daemon whose streams took up to {longest} s")
-def step_daemon(context, longest):
-    context.longest_s = None if longest == "unknown" else float(longest)
+@given("a daemon whose streams took up to {longest_s} s")
+def step_daemon(context, longest_s):
+    context.longest_s = None if longest_s == "unknown" else float(longest_s)
 
 
 def _run_daemon(context, remaining_s):
@@ -80,12 +80,12 @@
             app.drain(asyncio.get_running_loop().time() + remaining_s)
         context.response = await _send_request(app)
 
-    run_paused(run())
+    run_in_virtual_time(run())
 
 
-@when("it stops, with {remaining:f} s left, and a stream comes")
-def step_stream_while_stopping(context, remaining):
-    _run_daemon(context, remaining)
+@when("it stops, with {remaining_s:f} s left, and a stream comes")
+def step_stream_while_stopping(context, remaining_s):
+    _run_daemon(context, remaining_s)
 
 
 @when("a stream comes to the running daemon")
--- a/features/support/group_runs.py
+++ b/features/support/group_runs.py
@@ -66,7 +66,7 @@
         for engine in [*world.targets.values(), *world.removed.values()]:
             if not getattr(engine, "members", ()):
                 continue
-            if world.all_present(engine.members, engine.assignment):
+            if world.all_members_ready(engine.members, engine.assignment):
                 assigned = engine.assignment
                 self._last_complete_at[(assigned["group"], assigned["epoch"])] = now()
 
@@ -394,7 +394,7 @@
     random.seed(seed)
     fenced = rng.random() < 0.5 if fenced is None else fenced
     site = InProcessSite(seed, vm_specs(fenced), ("c1", "c2", "c3"), ("g1",))
-    site.world.leaders_notice = False
+    site.world.leaders_detect_loss = False
     await site.start()
     changes = base_changes(2, 4)
     if not fenced:
