--- a/cowslipcourse/membership/acceptance.py
+++ b/cowslipcourse/membership/acceptance.py
@@ -87,7 +87,7 @@
         return 2 * moved_past_count > len(identities)
 
     def _has_moved_past(self, identity, number, revision, moved_before):
-        """Return whether an incarnation had moved past a revision by a time, or was gone.
+        """Return whether an incarnation, by a time, had passed a revision or was gone.
 
         An incarnation is gone if another one answers at its address: two processes
         cannot both be reached there.
