--- a/measurements/placement.py
+++ b/measurements/placement.py
@@ -405,13 +405,16 @@
         for weight in DOWNTIME_WEIGHTS:
             weights = Weights(weight, 1.0)
             results = run_seeds(shape, "cost, even (8:1)", weights)
-            ratios = [
+            weight_ratios = [
                 mean_and_error(
                     [f[i] / b[i] for f, b in zip(results, baseline, strict=True)]
                 )
                 for i in range(2)
             ]
-            print(f"    {weight:7.1f}:1  downtime x{ratios[0]}  stranded x{ratios[1]}")
+            print(
+                f"    {weight:7.1f}:1  downtime x{weight_ratios[0]}  "
+                f"stranded x{weight_ratios[1]}"
+            )
 
 
 if __name__ == "__main__":
