--- a/features/closed_doors/closed_doors.feature
+++ b/features/closed_doors/closed_doors.feature
@@ -1,11 +1,11 @@
 Feature: Only authenticated peers, callers and operators are served, and malformed input is rejected
   Scenario Outline: A daemon answers only peers with a certificate of its own authority
     Given a daemon that listens with mutual TLS
-    When a peer calls <how>
+    When a peer calls <credentials>
     Then the call <result>
 
     Examples:
-      | how                                         | result       |
+      | credentials                                 | result       |
       | with a certificate of the same authority    | is answered  |
       | with a certificate of another authority     | is refused   |
       | without TLS                                 | is refused   |
--- a/features/edits/edits.feature
+++ b/features/edits/edits.feature
@@ -28,12 +28,12 @@
   Scenario Outline: A destructive edit is refused unless its own plan is confirmed
     Given an in-process site in virtual time with 4 groups granted
     When <edit> without confirmation
-    Then it is refused with a plan that shows <harm>
+    Then it is refused with a plan that shows <effect>
     And confirming another plan is refused too
     And 4 groups are granted again
 
     Examples:
-      | edit                                | harm           |
+      | edit                                | effect         |
       | the group's selector gets a typo    | groups_broken  |
       | the last placement is removed       | workspaces_cut |
       | the model's group is removed        | models_lost    |
--- a/features/steps/edit_steps.py
+++ b/features/steps/edit_steps.py
@@ -69,7 +69,7 @@
     assert text in context.refusal, context.refusal
 
 
-EDITS = {
+DESTRUCTIVE_EDITS = {
     "the group's selector gets a typo": (
         change("group", "grp", model="m", vms="pool=lrge", vms_per_group=2, count=4),
     ),
@@ -95,14 +95,14 @@
 
 @when("{edit} without confirmation")
 def step_unconfirmed(context, edit):
-    context.changes = EDITS[edit]
+    context.changes = DESTRUCTIVE_EDITS[edit]
     context.plan = _try_commit(context, "")
 
 
-@then("it is refused with a plan that shows {harm}")
-def step_plan_shows(context, harm):
+@then("it is refused with a plan that shows {effect}")
+def step_plan_shows(context, effect):
     assert context.plan is not None
-    assert getattr(context.plan, harm), context.plan
+    assert getattr(context.plan, effect), context.plan
 
 
 @then("confirming another plan is refused too")
--- a/features/steps/ending_steps.py
+++ b/features/steps/ending_steps.py
@@ -9,16 +9,16 @@
 from features.steps.platform_steps import _call, _play, _ready, _until
 from features.support.platform_site import ENDS, HOST, KEY, stream_events
 
-QUIET_WINDOW_S = 3.0
+FINAL_WINDOW_S = 3.0
 RESEND_INTERVAL_S = 0.5
 PATHS = {"stream": f"/draft/{ENDS}x", "booking": f"/book/{ENDS}x"}
 
 
-async def _send_crashing_request(session, front, path, number):
+async def _send_crashing_request(session, front, path, request_number):
     """Return the status, headers and duration in seconds of one attempt."""
     headers = {
         "Host": HOST,
-        "X-Attempt-Id": f"e{number}",
+        "X-Attempt-Id": f"e{request_number}",
         "X-Model": "small",
         "X-Time-Budget-Ms": "3000",
         "Authorization": f"Bearer {KEY}",
@@ -36,8 +36,10 @@
     fronts = context.platform.fronts.values()
     calls = []
     for front in fronts:
-        context.number += 1
-        calls.append(_send_crashing_request(session, front, path, context.number))
+        context.request_number += 1
+        calls.append(
+            _send_crashing_request(session, front, path, context.request_number)
+        )
     return await asyncio.gather(*calls)
 
 
@@ -47,17 +49,17 @@
 )
 def step_sent_repeatedly(context, kind, seconds):
     site = context.platform
-    context.number = 0
+    context.request_number = 0
     context.path = PATHS[kind]
     context.other_results = []
 
     async def send_other_requests(session):
-        number = 0
+        request_number = 0
         fronts = list(site.fronts.values())
         while True:
-            number += 1
-            name = f"o{number}"
-            front = fronts[number % len(fronts)]
+            request_number += 1
+            name = f"o{request_number}"
+            front = fronts[request_number % len(fronts)]
             sent_at = asyncio.get_running_loop().time()
             try:
                 status, body, _ = await _call(session, front, f"/draft/{name}")
@@ -98,7 +100,7 @@
     recent = [
         is_complete
         for sent_at, is_complete in context.other_results
-        if sent_at > context.ended_at - QUIET_WINDOW_S
+        if sent_at > context.ended_at - FINAL_WINDOW_S
     ]
     assert recent and all(recent), (len(recent), recent.count(False))
 
--- a/features/steps/judging_steps.py
+++ b/features/steps/judging_steps.py
@@ -120,16 +120,16 @@
     for index in range(request_count):
         fingerprint = index.to_bytes(16, "big")
         is_beside, last_event_id = True, 0
-        for run in range(4):
+        for send_index in range(4):
             if not is_beside:
                 break
-            first = run % 2 == 0
+            is_first_send = send_index % 2 == 0
             relayed_events = (
-                0 if not first or rng.random() < 0.05 else rng.randint(1, 20)
+                0 if not is_first_send or rng.random() < 0.05 else rng.randint(1, 20)
             )
             last_event_id = relayed_events or last_event_id
             report = _report(
-                f"t{run}", True, relayed_events, last_event_id, fingerprint
+                f"t{send_index}", True, relayed_events, last_event_id, fingerprint
             )
             context.quarantined_count += suspects.add_report(report, 0.0)
             is_beside = rng.random() < 0.25
@@ -238,7 +238,7 @@
         )
         self.store = World(random.Random(1), faults, ())
         self.clock = loop.time
-        self.sent = []
+        self.sent_target_ids = []
         self.crashes_targets = True
         self.quarantines = [self.start(f"a{index}") for index in range(count)]
 
@@ -265,10 +265,10 @@
         call = _call()
 
         async def choose(tried):
-            return TargetChoice(_entry(len(self.sent)))
+            return TargetChoice(_entry(len(self.sent_target_ids)))
 
         async def attempt(run, is_last):
-            self.sent.append(run.entry.id)
+            self.sent_target_ids.append(run.entry.id)
             run.answer_started = True
             if on_attempt is not None:
                 await on_attempt(run)
@@ -323,7 +323,7 @@
         await daemons.request(daemons.quarantines[0])
         await asyncio.sleep(0.5)
     await asyncio.sleep(1)
-    daemons.sent.clear()
+    daemons.sent_target_ids.clear()
 
 
 @given("eight daemons with an expired verdict")
@@ -344,16 +344,16 @@
             await context.prepare(daemons)
             daemons.crashes_targets = crashes_targets
             errors = await daemons.request_at_all()
-            sent = list(daemons.sent)
+            sent_target_ids = list(daemons.sent_target_ids)
             await asyncio.sleep(2)
-            daemons.sent.clear()
+            daemons.sent_target_ids.clear()
             errors_again = await daemons.request_at_all()
             for number in range(8):
                 daemons.quarantines[number] = daemons.start(f"a{number}")
             await asyncio.sleep(1)
             context.results[crashes_targets] = (
                 errors,
-                sent,
+                sent_target_ids,
                 errors_again,
                 await daemons.request_at_all(),
             )
@@ -363,8 +363,8 @@
 
 @then("one of them sends it to a target, and the others refuse it")
 def step_one_trial(context):
-    for errors, sent, _, _ in context.results.values():
-        assert len(sent) == 1, sent
+    for errors, sent_target_ids, _, _ in context.results.values():
+        assert len(sent_target_ids) == 1, sent_target_ids
         refused = [error for error in errors if isinstance(error, RequestQuarantined)]
         assert len(refused) == 7, errors
 
@@ -392,14 +392,14 @@
         await context.prepare(daemons)
         daemons.store.faults = daemons.store.faults._replace(store_failure_fraction=1.0)
         context.errors = await daemons.request_at_all()
-        context.sent = list(daemons.sent)
+        context.sent_target_ids = list(daemons.sent_target_ids)
 
     _run_with_daemons(8, scenario)
 
 
 @then("all refuse it without a retry time")
 def step_all_refuse(context):
-    assert not context.sent
+    assert not context.sent_target_ids
     assert all(isinstance(error, RequestQuarantined) for error in context.errors)
     assert [error.retry_after_s for error in context.errors] == [None] * 8
 
@@ -522,8 +522,8 @@
         quarantine._apply_verdict(Verdict(FINGERPRINT, daemons.clock() + QUARANTINE_S))
         started_at = daemons.clock()
         context.error = await daemons.request(quarantine)
-        context.took_s = daemons.clock() - started_at
-        context.sent = list(daemons.sent)
+        context.duration_s = daemons.clock() - started_at
+        context.sent_target_ids = list(daemons.sent_target_ids)
 
     _run_with_daemons(1, scenario)
 
@@ -535,8 +535,10 @@
                 Verdict(FINGERPRINT, daemons.clock() + QUARANTINE_S)
             )
 
-        context.after_run = await daemons.request(quarantine, quarantine_meanwhile)
-        context.runs = len(daemons.sent)
+        context.error_after_run = await daemons.request(
+            quarantine, quarantine_meanwhile
+        )
+        context.run_count = len(daemons.sent_target_ids)
 
     _run_with_daemons(1, run_then_quarantine)
 
@@ -545,7 +547,7 @@
     "it is refused within {seconds:f} s as not run, with the time after which it {rest}"
 )
 def step_refused(context, seconds, rest):
-    assert context.took_s <= seconds and not context.sent
+    assert context.duration_s <= seconds and not context.sent_target_ids
     assert isinstance(context.error, RequestQuarantined)
     assert (context.error.status, context.error.outcome) == (503, "not_run")
     assert abs(context.error.retry_after_s - QUARANTINE_S) < CLOCK_ROUNDING_S
@@ -553,12 +555,15 @@
 
 @then("a request that has run in this attempt is not reported as not run")
 def step_has_run(context):
-    assert context.runs == 1
-    assert isinstance(context.after_run, TargetFailed), context.after_run
-    assert (context.after_run.status, context.after_run.outcome) == (502, "unknown")
+    assert context.run_count == 1
+    assert isinstance(context.error_after_run, TargetFailed), context.error_after_run
+    assert (context.error_after_run.status, context.error_after_run.outcome) == (
+        502,
+        "unknown",
+    )
 
 
-class _Connection:
+class _RecordingConnection:
     error = None
 
     def abort(self, error):
@@ -567,7 +572,7 @@
 
 @given("a daemon with a run of a request under way")
 def step_run_under_way(context):
-    context.connection = _Connection()
+    context.connection = _RecordingConnection()
 
 
 @when("it learns that the request is quarantined")
--- a/features/steps/quarantine_steps.py
+++ b/features/steps/quarantine_steps.py
@@ -97,11 +97,11 @@
 
 def _check_arrivals(platform, max_arrivals, seconds):
     """Check the arrivals of a request at the real targets that it crashes."""
-    ends = sorted(end.at for end in platform.ends)
-    assert len(ends) >= MAX_CRASHES_BEFORE_DETECTION, ends
-    due_at = ends[MAX_CRASHES_BEFORE_DETECTION - 1] + seconds
+    crash_times = sorted(end.at for end in platform.ends)
+    assert len(crash_times) >= MAX_CRASHES_BEFORE_DETECTION, crash_times
+    due_at = crash_times[MAX_CRASHES_BEFORE_DETECTION - 1] + seconds
     late_arrivals = [arrival for arrival in platform.arrivals if arrival.at > due_at]
-    assert len(late_arrivals) <= max_arrivals, (len(ends), len(late_arrivals))
+    assert len(late_arrivals) <= max_arrivals, (len(crash_times), len(late_arrivals))
 
 
 @then(
--- a/features/support/membership_fleet.py
+++ b/features/support/membership_fleet.py
@@ -50,7 +50,7 @@
         self.run_number = run_number
         member = Member(name, f"{name}-{run_number}", Role.CONTROLLER, "dc", name, name)
         self.node = MembershipNode(member, TIMES)
-        self.paused = False
+        self.is_paused = False
         self.heartbeat_due_at = {}
         self.poll_due_at = 0.0
         self.inbox = []
@@ -113,14 +113,14 @@
 
     def pause(self, name):
         """Suspend a process."""
-        self.processes[name].paused = True
+        self.processes[name].is_paused = True
 
     def resume(self, name):
         """Resume a process, which handles its pending messages at once."""
         process = self.processes[name]
-        if not process.paused:
+        if not process.is_paused:
             return
-        process.paused = False
+        process.is_paused = False
         pending_messages, process.inbox = process.inbox, []
         for pending in pending_messages:
             self._handle_message(process, pending)
@@ -131,7 +131,7 @@
 
     def edit(self, name):
         """Commit an edit through one daemon, if it reaches the table."""
-        if self._can_reach_table(name) and not self.processes[name].paused:
+        if self._can_reach_table(name) and not self.processes[name].is_paused:
             self._commit(self.head.members, is_configuration_edit=True)
 
     # Time.
@@ -143,14 +143,14 @@
             shuffled_names = list(self.names)
             self.rng.shuffle(shuffled_names)
             for name in shuffled_names:
-                if not self.processes[name].paused:
+                if not self.processes[name].is_paused:
                     self._run_step(self.processes[name])
             self._record_violations()
 
     def _record_violations(self):
         """Record daemons that serve a revision older than the accepted one."""
         for name, process in self.processes.items():
-            if process.paused:
+            if process.is_paused:
                 continue
             number = process.node.revision_number
             if number < process.last_revision_number:
@@ -215,7 +215,7 @@
         heartbeat = process.node.build_heartbeat(member, self.now)
         pending = PendingMessage(process.name, member, self.now, heartbeat)
         receiver = self.processes[member.name]
-        if receiver.paused:
+        if receiver.is_paused:
             receiver.inbox.append(pending)
         else:
             self._handle_message(receiver, pending)
@@ -232,7 +232,7 @@
         answer = process.node.answer(pending.message, self.now)
         reply = pending._replace(message=answer)
         sending_process = self.processes[pending.sender]
-        if sending_process.paused:
+        if sending_process.is_paused:
             sending_process.inbox.append(reply)
         else:
             self._handle_message(sending_process, reply)
