--- a/cowslipcourse/emulator/__init__.py
+++ b/cowslipcourse/emulator/__init__.py
@@ -1,7 +1,7 @@
-"""Engines, callers and faults in virtual time around the real decision code.
+"""Emulated engines, callers and faults in virtual time around the production code.
 
-Nothing here runs in production: it tells what a change of a decision does to callers
-in a minute, where a play of real processes takes an hour. ``docs/emulator.md`` says
+Not used in production: it shows the effect of a change to the decision code on callers
+within a minute, where a run of real processes takes an hour. ``docs/emulator.md`` says
 what is emulated and what is not.
 """
 
--- a/cowslipcourse/emulator/batches.py
+++ b/cowslipcourse/emulator/batches.py
@@ -1,8 +1,8 @@
-"""How long requests take at the head of a group: passes over a batch.
+"""Continuous batching at the head of a group, which determines request durations.
 
-A pass reads waiting prompts, a bounded number of tokens, and lets every request whose
-prompt is read write one event. The more write, the longer each step. A group that
-lacks a member stands still and then breaks, which cuts off what runs.
+A pass prefills a bounded number of prompt tokens and emits one event for every request
+whose prompt has been prefilled. The more requests decode, the longer each step takes. A
+group that lacks a member stalls and then breaks, which interrupts its requests.
 """
 
 import asyncio
@@ -14,24 +14,25 @@
 
 __all__ = ["CRASH_S", "BatchedRequest", "GroupBatch"]
 
-QUEUE_FACTOR = 1.0
-"""Requests that wait at a head, as a factor on what it runs at once."""
-LOOK_S = 0.05
-"""Interval at which a group that stands still is looked at."""
-CRASH_S = 0.08
-"""Time for which an engine still runs after a request that ends it has begun."""
+QUEUE_TO_SLOTS_RATIO = 1.0
+"""Maximum number of requests that wait at a head, relative to its slots."""
+STALL_POLL_INTERVAL_S = 0.05
+"""Interval at which a stalled group is checked."""
+CRASH_DELAY_S = 0.08
+"""Time from the start of a request that crashes its engine until the crash."""
 
 
 class BatchedRequest:
-    """A request at a head.
+    """A request in the batch of a head.
 
-    :param prompt_tokens: tokens to be read before the first event.
-    :param first_event: number of the first event to be written.
-    :param last_event: number of the last one.
-    :param urgency: from 0, the most urgent.
+    :param prompt_tokens: number of tokens to prefill before the first event.
+    :param first_event: number of the first event to emit.
+    :param last_event: number of the last event.
+    :param urgency: urgency from 0, the most urgent.
     :param deliver: called with the number of each event and whether it is the last.
-    :param break_off: called with an error if the request is cut off.
-    :param on_crash: called when it begins to run, if it ends the engine that runs it.
+    :param interrupt: called with an error if the request is interrupted.
+    :param on_crash_start: called when the request starts to run, if it crashes the engine
+        that runs it.
     """
 
     def __init__(
@@ -41,16 +42,16 @@
         last_event,
         urgency,
         deliver,
-        break_off,
-        on_crash=None,
+        interrupt,
+        on_crash_start=None,
     ):
-        self.unread_tokens = prompt_tokens
+        self.tokens_to_prefill = prompt_tokens
         self.next_event = first_event
         self.last_event = last_event
         self.urgency = urgency
         self.deliver = deliver
-        self.break_off = break_off
-        self.on_crash = on_crash
+        self.interrupt = interrupt
+        self.on_crash_start = on_crash_start
         self.is_cancelled = False
 
 
@@ -60,7 +61,7 @@
     :param world: :class:`~cowslipcourse.emulator.engines.World`
     :param engine: the head.
     :param spec: :class:`~cowslipcourse.routes.ServiceSpec`
-    :param pace: factor on all times of the model.
+    :param pace: factor on all durations of the model.
     """
 
     def __init__(self, world, engine, spec, pace):
@@ -71,41 +72,41 @@
         self._pace = pace
         self._waiting = []
         self._running = []
-        self._numbers = itertools.count()
+        self._arrival_numbers = itertools.count()
         self._task = None
         self._is_crashing = False
 
     @property
     def is_full(self):
-        """Whether a further request is refused."""
-        number = len(self._waiting) + len(self._running)
-        return number >= self._spec.slots * (1 + QUEUE_FACTOR)
+        """Whether further requests are refused."""
+        request_count = len(self._waiting) + len(self._running)
+        return request_count >= self._spec.slots * (1 + QUEUE_TO_SLOTS_RATIO)
 
     @property
     def is_empty(self):
-        """Whether nothing runs or waits."""
-        left = self._running + [request for _, _, request in self._waiting]
-        return all(request.is_cancelled for request in left)
+        """Whether no request is running or waiting."""
+        unfinished = self._running + [request for _, _, request in self._waiting]
+        return all(request.is_cancelled for request in unfinished)
 
     def submit(self, request):
-        """Take a request; the most urgent are admitted first."""
-        entry = request.urgency, next(self._numbers), request
-        heapq.heappush(self._waiting, entry)
+        """Queue a request; the most urgent are admitted first."""
+        queue_item = request.urgency, next(self._arrival_numbers), request
+        heapq.heappush(self._waiting, queue_item)
         if self._task is None or self._task.done():
-            self._task = asyncio.create_task(self._work())
+            self._task = asyncio.create_task(self._run_passes())
 
-    async def _work(self):
+    async def _run_passes(self):
         while self._running or self._waiting:
             if not self._is_serving():
-                self._break_off()
+                self._interrupt_all()
                 return
             if not self._world.is_complete(self._engine) or self._engine.is_unreachable:
-                await asyncio.sleep(LOOK_S)
+                await asyncio.sleep(STALL_POLL_INTERVAL_S)
                 continue
             self._admit()
-            await asyncio.sleep(self._pass_s())
+            await asyncio.sleep(self._prefill())
             if self._is_serving() and self._world.is_complete(self._engine):
-                self._write()
+                self._emit_events()
 
     def _is_serving(self):
         found = self._engine.membership
@@ -124,26 +125,32 @@
             if not request.is_cancelled:
                 self._running.append(request)
 
-    def _pass_s(self):
-        """Read prompts, and return the time of the pass."""
+    def _prefill(self):
+        """Prefill prompts and return the duration of the pass in seconds."""
         times = self._spec.times
-        writers = sum(not request.unread_tokens for request in self._running)
-        budget = times.chunk_tokens * (times.steps_per_event if writers else 1)
-        read = 0
+        decoding_count = sum(not request.tokens_to_prefill for request in self._running)
+        token_budget = times.chunk_tokens * (
+            times.steps_per_event if decoding_count else 1
+        )
+        prefilled_tokens = 0
         for request in self._running:
-            part = min(request.unread_tokens, budget - read)
-            request.unread_tokens -= part
-            read += part
-        step_s = times.step_s + times.step_per_request_s * writers
-        steps = times.steps_per_event if writers else 1
-        return self._pace * (steps * step_s + read / times.prefill_tokens_per_s)
-
-    def _write(self):
+            chunk_tokens = min(
+                request.tokens_to_prefill, token_budget - prefilled_tokens
+            )
+            request.tokens_to_prefill -= chunk_tokens
+            prefilled_tokens += chunk_tokens
+        step_s = times.step_s + times.step_per_request_s * decoding_count
+        step_count = times.steps_per_event if decoding_count else 1
+        return self._pace * (
+            step_count * step_s + prefilled_tokens / times.prefill_tokens_per_s
+        )
+
+    def _emit_events(self):
         for request in list(self._running):
-            if request.unread_tokens or request.is_cancelled:
+            if request.tokens_to_prefill or request.is_cancelled:
                 continue
-            if request.on_crash is not None:
-                self._begin_to_crash(request)
+            if request.on_crash_start is not None:
+                self._start_crash(request)
                 continue
             is_last = request.next_event >= request.last_event
             request.deliver(request.next_event, is_last)
@@ -151,20 +158,20 @@
             if is_last:
                 self._running.remove(request)
 
-    def _begin_to_crash(self, request):
-        """Let a request that ends its engine write nothing until it does."""
+    def _start_crash(self, request):
+        """Schedule the crash of the engine; the request emits no events until then."""
         if not self._is_crashing:
             self._is_crashing = True
-            request.on_crash()
-            asyncio.get_running_loop().call_later(CRASH_S, self._crash)
+            request.on_crash_start()
+            asyncio.get_running_loop().call_later(CRASH_DELAY_S, self._crash)
 
     def _crash(self):
         if self._is_serving():
             self._world.crash(self._engine)
-            self._break_off()
+            self._interrupt_all()
 
-    def _break_off(self):
+    def _interrupt_all(self):
         for request in self._running + [request for _, _, request in self._waiting]:
             if not request.is_cancelled:
-                request.break_off(IncompleteResponse("the group has ended"))
+                request.interrupt(IncompleteResponse("the group has ended"))
         self._running, self._waiting = [], []
--- a/cowslipcourse/emulator/callers.py
+++ b/cowslipcourse/emulator/callers.py
@@ -1,4 +1,4 @@
-"""Callers of emulated daemons, and what they get."""
+"""Emulated callers: a load generator, and the outcomes of its requests."""
 
 import asyncio
 import itertools
@@ -15,9 +15,9 @@
 
 __all__ = ["CallRecord", "Callers", "Outcome"]
 
-PATIENCE_SHARE = 1 / 3
-"""Longest share of the time left that a caller waits when told to come back."""
-MOST_EVENTS = 160
+MAX_WAIT_FRACTION = 1 / 3
+"""Maximum wait before a retry, as a fraction of the time left to the deadline."""
+MAX_EVENTS = 160
 
 
 class Outcome:
@@ -30,25 +30,25 @@
 
 
 class CallRecord(NamedTuple):
-    """A request as its caller saw it.
+    """The outcome of a request for its caller.
 
-    :param kind: name of its kind.
-    :param at_s: seconds after the start of the traffic at which it came.
+    :param kind: name of the request's kind.
+    :param at_s: arrival time in seconds from the start of the traffic.
     :param outcome: one of :class:`Outcome`.
-    :param tries: times that it was sent.
+    :param attempt_count: number of times that the request was sent.
     """
 
     kind: str
     at_s: float
     outcome: str
-    tries: int
+    attempt_count: int
 
 
-class _Size(NamedTuple):
+class _RequestSize(NamedTuple):
     prompt_tokens: int
     events: int
     event_tokens: int
-    ends_targets: bool = False
+    crashes_targets: bool = False
 
 
 class _SizedCall:
@@ -62,18 +62,18 @@
         return getattr(self._call, name)
 
     def _replace(self, **changes):
-        """Return a copy with changed fields, as the call itself does."""
+        """Return a copy with changed fields, as ``Call._replace`` does."""
         return _SizedCall(self._call._replace(**changes), self.size)
 
 
 class _Responder:
-    """Keeps what a caller sees of one answer."""
+    """Records the progress of one answer as its caller sees it."""
 
     def __init__(self):
         self.started = False
         self.is_complete = False
-        self.first_at = None
-        self.last_at = None
+        self.first_event_at = None
+        self.last_event_at = None
         self.last_event = 0
         self.longest_pause_s = 0.0
 
@@ -82,11 +82,11 @@
 
     async def send_chunk(self, content):
         now = asyncio.get_running_loop().time()
-        if self.first_at is None:
-            self.first_at = now
+        if self.first_event_at is None:
+            self.first_event_at = now
         else:
-            self.longest_pause_s = max(self.longest_pause_s, now - self.last_at)
-        self.last_at = now
+            self.longest_pause_s = max(self.longest_pause_s, now - self.last_event_at)
+        self.last_event_at = now
         self.last_event += content.count(b"\n\n")
 
     async def finish(self, body=b""):
@@ -94,82 +94,91 @@
 
 
 class Callers:
-    """Sends requests of all kinds to daemons picked at random.
+    """Sends requests of all kinds to randomly chosen daemons.
 
     :param daemons: list of :class:`~cowslipcourse.emulator.daemons.EmulatedDaemon`
     :param settings: :class:`~cowslipcourse.emulator.site_file.SiteSettings`
-    :param bursts: callable that takes a kind and seconds and returns a factor.
+    :param burst_factor: callable that takes the name of a kind and a time in seconds,
+        and returns the factor on its request rate.
     :param rng: :class:`random.Random`
     """
 
-    def __init__(self, daemons, settings, bursts, rng):
+    def __init__(self, daemons, settings, burst_factor, rng):
         self._daemons = daemons
         self._settings = settings
-        self._bursts = bursts
+        self._burst_factor = burst_factor
         self._rng = rng
         self._tasks = set()
-        self._numbers = itertools.count()
+        self._request_numbers = itertools.count()
         self.records = []
         self.wrongly_quarantined = 0
 
-    async def run(self, seconds):
-        """Let requests come for a time, and wait for the last answers."""
-        arrivals = [self._arrive(kind, seconds) for kind in self._settings.kinds]
+    async def run(self, duration_s):
+        """Send requests for ``duration_s`` seconds, and wait for the last answers."""
+        arrivals = [
+            self._generate_arrivals(kind, duration_s) for kind in self._settings.kinds
+        ]
         await asyncio.gather(*arrivals)
         while self._tasks:
             await asyncio.wait(self._tasks)
 
-    def crash(self, fault):
-        """Let a request that ends its targets come at several daemons at once.
+    def send_crashing_requests(self, fault):
+        """Send a request that crashes its targets to several daemons at once.
 
         :param fault: :class:`~cowslipcourse.emulator.site_file.FaultSettings`
         """
         kinds = [k for k in self._settings.kinds if fault.request in ("", k.name)]
-        size = self._size(kinds[0], self._rng)._replace(ends_targets=True)
+        size = self._draw_size(kinds[0], self._rng)._replace(crashes_targets=True)
         content = f"{fault.kind} {fault.at_s}".encode()
         for _ in range(fault.count):
-            self._begin(self._request(kinds[0], size, None, content))
+            self._start_task(self._send_until_answered(kinds[0], size, None, content))
 
-    def _begin(self, request):
-        task = asyncio.create_task(request)
+    def _start_task(self, coroutine):
+        task = asyncio.create_task(coroutine)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def _arrive(self, kind: KindSettings, seconds):
+    async def _generate_arrivals(self, kind: KindSettings, duration_s):
         loop = asyncio.get_running_loop()
-        began_at = loop.time()
-        luck = random.Random(self._rng.random())
+        started_at = loop.time()
+        rng = random.Random(self._rng.random())
         while True:
-            at_s = loop.time() - began_at
-            rate = kind.per_s * self._bursts(kind.name, at_s)
-            await asyncio.sleep(luck.expovariate(rate))
-            at_s = loop.time() - began_at
-            if at_s >= seconds:
+            at_s = loop.time() - started_at
+            rate = kind.per_s * self._burst_factor(kind.name, at_s)
+            await asyncio.sleep(rng.expovariate(rate))
+            at_s = loop.time() - started_at
+            if at_s >= duration_s:
                 return
-            content = b"%d" % next(self._numbers)
-            self._begin(self._request(kind, self._size(kind, luck), at_s, content))
-
-    async def _request(self, kind, size, at_s, content):
-        """Send a request until it is answered; only those with a time are recorded."""
+            content = b"%d" % next(self._request_numbers)
+            self._start_task(
+                self._send_until_answered(
+                    kind, self._draw_size(kind, rng), at_s, content
+                )
+            )
+
+    async def _send_until_answered(self, kind, size, at_s, content):
+        """Send a request until it is answered; record it if it has an arrival time."""
         loop = asyncio.get_running_loop()
         arrived_at = loop.time()
         deadline = arrived_at + kind.deadline_s
-        seen, tries, outcome = _Responder(), 0, Outcome.FAILED
-        while tries <= kind.retries and loop.time() < deadline:
-            tries += 1
-            outcome, wait_s = await self._try(kind, size, seen, deadline, content)
+        responder, attempt_count, outcome = _Responder(), 0, Outcome.FAILED
+        while attempt_count <= kind.retries and loop.time() < deadline:
+            attempt_count += 1
+            outcome, wait_s = await self._send_once(
+                kind, size, responder, deadline, content
+            )
             if outcome is None:
-                outcome = _punctuality(kind, seen, arrived_at)
+                outcome = _timeliness(kind, responder, arrived_at)
                 break
-            left_s = deadline - loop.time()
-            await asyncio.sleep(max(0.0, min(wait_s, left_s * PATIENCE_SHARE)))
+            remaining_s = deadline - loop.time()
+            await asyncio.sleep(max(0.0, min(wait_s, remaining_s * MAX_WAIT_FRACTION)))
         if at_s is not None:
-            self.records.append(CallRecord(kind.name, at_s, outcome, tries))
+            self.records.append(CallRecord(kind.name, at_s, outcome, attempt_count))
 
-    async def _try(self, kind, size, seen, deadline, content):
-        """Return ``(None, 0)`` after a whole answer, else the outcome and a wait."""
+    async def _send_once(self, kind, size, responder, deadline, content):
+        """Return ``(None, 0)`` after a complete answer, else the outcome and wait in s."""
         loop = asyncio.get_running_loop()
-        left_s = deadline - loop.time()
+        remaining_s = deadline - loop.time()
         call = Call(
             id="emulated",
             method="POST",
@@ -178,9 +187,9 @@
             body=content,
             fingerprint=fingerprint(None, b"/", content),
             caller_headers=CallerHeaders(
-                time_budget_s=left_s,
+                time_budget_s=remaining_s,
                 model=kind.model,
-                last_event_id=seen.last_event or None,
+                last_event_id=responder.last_event or None,
             ),
             route=_route(kind),
             workspace=None,
@@ -189,25 +198,30 @@
         )
         daemon = self._rng.choice(self._daemons)
         try:
-            await daemon.forwarder.forward(_SizedCall(call, size), seen)
+            await daemon.forwarder.forward(_SizedCall(call, size), responder)
         except RequestQuarantined as error:
-            self.wrongly_quarantined += not size.ends_targets
+            self.wrongly_quarantined += not size.crashes_targets
             return Outcome.REFUSED, error.retry_after_s or 0.0
         except RequestError as error:
-            refused = error.outcome == "not_run"
-            outcome = Outcome.REFUSED if refused else Outcome.FAILED
+            is_refused = error.outcome == "not_run"
+            outcome = Outcome.REFUSED if is_refused else Outcome.FAILED
             return outcome, error.retry_after_s or 0.0
-        return (None, 0.0) if seen.is_complete else (Outcome.FAILED, 0.0)
+        return (None, 0.0) if responder.is_complete else (Outcome.FAILED, 0.0)
+
+    def _draw_size(self, kind, rng):
+        prompt = _draw_log_normal(rng, kind.prompt_tokens, kind.spread)
+        events = _draw_log_normal(rng, kind.events, kind.spread)
+        return _RequestSize(
+            prompt, min(events, MAX_EVENTS), self._settings.steps_per_event
+        )
 
-    def _size(self, kind, luck):
-        prompt = _skewed(luck, kind.prompt_tokens, kind.spread)
-        events = _skewed(luck, kind.events, kind.spread)
-        return _Size(prompt, min(events, MOST_EVENTS), self._settings.steps_per_event)
 
+def _draw_log_normal(rng, mean, relative_deviation):
+    """Draw an integer of at least 1 from a log-normal distribution.
 
-def _skewed(rng, mean, spread):
-    """Draw a whole number of at least 1 from a log-normal distribution."""
-    sigma = math.sqrt(math.log(1 + spread * spread))
+    :param relative_deviation: standard deviation as a fraction of the mean.
+    """
+    sigma = math.sqrt(math.log(1 + relative_deviation * relative_deviation))
     return max(1, round(rng.lognormvariate(math.log(mean) - sigma * sigma / 2, sigma)))
 
 
@@ -227,7 +241,7 @@
     )
 
 
-def _punctuality(kind, seen, arrived_at):
-    in_aim = seen.first_at - arrived_at <= kind.aim_s
-    is_smooth = seen.longest_pause_s <= kind.pause_s
-    return Outcome.ON_TIME if in_aim and is_smooth else Outcome.LATE
+def _timeliness(kind, responder, arrived_at):
+    is_on_time = responder.first_event_at - arrived_at <= kind.aim_s
+    is_smooth = responder.longest_pause_s <= kind.pause_s
+    return Outcome.ON_TIME if is_on_time and is_smooth else Outcome.LATE
--- a/cowslipcourse/emulator/clock.py
+++ b/cowslipcourse/emulator/clock.py
@@ -1,7 +1,7 @@
-"""An event loop whose clock stands still unless everything waits.
+"""Event loop in virtual time.
 
-When no task can run, the clock jumps to the next timer. Tests run in fake time, as
-fast as the machine can, and the same way every time.
+The clock stands still while a task can run; when all tasks wait, it advances to the
+next timer. Runs are deterministic and take no longer than their computation.
 """
 
 import asyncio
@@ -10,8 +10,8 @@
 __all__ = ["VirtualTimeLoop", "run_in_virtual_time"]
 
 
-class _JumpingSelector(selectors.SelectSelector):
-    """Never waits: it moves the loop's clock instead."""
+class _ClockAdvancingSelector(selectors.SelectSelector):
+    """Advances the loop's clock instead of waiting."""
 
     loop = None
 
@@ -19,29 +19,29 @@
         if timeout is None:
             return super().select(0.01)
         if timeout > 0:
-            self.loop.jump(timeout)
+            self.loop.advance(timeout)
         return super().select(0)
 
 
 class VirtualTimeLoop(asyncio.SelectorEventLoop):
-    """Event loop in fake time."""
+    """Event loop whose clock advances only when all tasks wait."""
 
     def __init__(self):
-        selector = _JumpingSelector()
+        selector = _ClockAdvancingSelector()
         selector.loop = self
-        self._fake_now = 1000.0
+        self._now_s = 1000.0
         super().__init__(selector)
 
     def time(self):
-        """Return the fake time in seconds."""
-        return self._fake_now
+        """Return the virtual time in seconds."""
+        return self._now_s
 
-    def jump(self, seconds):
-        """Move the clock."""
-        self._fake_now += seconds
+    def advance(self, duration_s):
+        """Advance the clock."""
+        self._now_s += duration_s
 
 
 def run_in_virtual_time(coroutine):
-    """Run a coroutine in fake time and return its result."""
+    """Run a coroutine in virtual time and return its result."""
     with asyncio.Runner(loop_factory=VirtualTimeLoop) as runner:
         return runner.run(coroutine)
--- a/cowslipcourse/emulator/connections.py
+++ b/cowslipcourse/emulator/connections.py
@@ -1,10 +1,10 @@
-"""Attempts at emulated engines, in place of connections over a network."""
+"""Emulated connections from daemons to engines, in place of a network."""
 
 import asyncio
 from collections import deque
 from contextlib import asynccontextmanager
 
-from cowslipcourse.emulator.batches import CRASH_S, BatchedRequest, GroupBatch
+from cowslipcourse.emulator.batches import CRASH_DELAY_S, BatchedRequest, GroupBatch
 from cowslipcourse.emulator.crashes import CrashOracle
 from cowslipcourse.entry.attempts import CONNECT_TIMEOUT_S, Attempt
 from cowslipcourse.entry.urgency import urgency
@@ -14,55 +14,55 @@
 
 __all__ = ["EmulatedAttemptSender", "Heads"]
 
-LINK_S = 0.001
-"""One way between a daemon and an engine."""
-FULL = 503
-CLOSING_LOOK_S = 0.05
-"""Interval at which heads that close are looked at."""
+LINK_DELAY_S = 0.001
+"""One-way delay between a daemon and an engine."""
+FULL_STATUS = 503
+CLOSING_POLL_INTERVAL_S = 0.05
+"""Interval at which closing heads are checked."""
 
 
-class Heads:
-    """The batches of all heads.
+class GroupHeads:
+    """The batches of the heads of all groups.
 
-    :param world: :class:`~cowslipcourse.emulator.engines.World`
+    :param world: :class:`~cowslipcourse.emulator.world.World`
     :param spec: :class:`~cowslipcourse.routes.ServiceSpec`
     """
 
     def __init__(self, world, spec):
         self.world = world
-        self.crashing = CrashOracle()
+        self.crash_oracle = CrashOracle()
         self._spec = spec
         self._batches = {}
 
-    async def refuses(self, address):
-        """Whether the host of an address lives, and nobody listens there."""
-        await asyncio.sleep(2 * LINK_S)
-        return address in self.world.crashed
+    async def refuses_connections(self, address):
+        """Whether the host of an address is up but refuses connections."""
+        await asyncio.sleep(2 * LINK_DELAY_S)
+        return address in self.world.crashed_addresses
 
     def now(self):
-        """Return the time of the loop."""
+        """Return the loop time in seconds."""
         return asyncio.get_running_loop().time()
 
     def batch(self, engine):
         """Return the :class:`~.GroupBatch` of an open head."""
-        found = engine.membership
-        key = engine.id, engine.incarnation, found.epoch
+        membership = engine.membership
+        key = engine.id, engine.incarnation, membership.epoch
         if key not in self._batches:
-            model = self._spec.model(found.model)
+            model = self._spec.model(membership.model)
             self._batches[key] = GroupBatch(self.world, engine, self._spec, model.pace)
         return self._batches[key]
 
     async def run(self):
-        """Let heads that close be ready once they have finished, for ever."""
+        """Set closing heads to ready once their requests have ended; runs forever."""
         while True:
-            await asyncio.sleep(CLOSING_LOOK_S)
+            await asyncio.sleep(CLOSING_POLL_INTERVAL_S)
             for engine in list(self.world.engines.values()):
                 if engine.is_closing_head and self.batch(engine).is_empty:
                     engine.finish_closing()
 
 
 class _EmulatedConnection:
-    """Meets what streams use of :class:`~cowslipcourse.exchange.TargetConnection`."""
+    """The part of a :class:`~cowslipcourse.exchange.TargetConnection` for streams."""
 
     def __init__(self, head):
         self.last_received_at = 0.0
@@ -71,23 +71,23 @@
         self._chunks = deque()
         self._is_complete = False
         self._error = None
-        self._has_begun = False
+        self._has_started = False
         self.ended_by_target = False
         self._changed = asyncio.Event()
 
     async def head(self):
-        """Return the head; that of a stream comes when the request begins to run."""
-        while self._head.status == 200 and not (self._chunks or self._has_begun):
+        """Return the response head; a stream has one once the request has started."""
+        while self._head.status == 200 and not (self._chunks or self._has_started):
             await self._wait()
         return self._head
 
-    def begin(self):
-        """Let the head come before the first event."""
-        self._has_begun = True
+    def start(self):
+        """Deliver the response head before the first event."""
+        self._has_started = True
         self._changed.set()
 
     async def read(self):
-        """Return the next bytes; empty at the end."""
+        """Return the next bytes, or ``b""`` at the end."""
         while not self._chunks:
             if self._is_complete:
                 return b""
@@ -95,30 +95,30 @@
         return self._chunks.popleft()
 
     async def read_all(self):
-        """Return the rest."""
+        """Return the rest of the body, which is always empty."""
         return b""
 
     def abort(self, error=None):
-        """Close; the engine drops the request."""
+        """Close the connection; the engine cancels the request."""
         if self.request is not None:
             self.request.is_cancelled = True
         if error is not None:
             self._fail(error)
 
-    def deliver(self, number, is_last):
-        """Take an event from the engine."""
+    def deliver(self, event_number, is_last):
+        """Receive an event from the engine."""
         self.last_received_at = asyncio.get_running_loop().time()
-        self._chunks.append(b"id: %d\ndata: x\n\n" % number)
+        self._chunks.append(b"id: %d\ndata: x\n\n" % event_number)
         self._is_complete = is_last
         self._changed.set()
 
-    def break_off(self, error):
-        """Take it from the engine that the answer ends here."""
+    def interrupt(self, error):
+        """Fail the response, which the engine has ended early."""
         self.ended_by_target = True
         self._fail(error)
 
     def _fail(self, error):
-        """Let whoever reads get an error."""
+        """Raise an error to the reader."""
         self._error = self._error or error
         self._changed.set()
 
@@ -136,7 +136,7 @@
 
     :param name: name of the daemon.
     :param fleet: :class:`~cowslipcourse.entry.fleet.FleetView` of the daemon.
-    :param heads: :class:`Heads`
+    :param heads: :class:`GroupHeads`
     """
 
     def __init__(self, name, fleet, heads):
@@ -152,14 +152,14 @@
         connection = None
         try:
             engine = self._heads.world.engines.get(entry.id)
-            if engine is None and entry.address in self._heads.world.crashed:
-                await asyncio.sleep(2 * LINK_S)
-                raise TargetUnreachable("refused", sent=False)
+            if engine is None and entry.address in self._heads.world.crashed_addresses:
+                await asyncio.sleep(2 * LINK_DELAY_S)
+                raise TargetUnreachable("connection refused", sent=False)
             if engine is None or engine.is_unreachable:
                 await asyncio.sleep(CONNECT_TIMEOUT_S)
-                raise TargetUnreachable("dark", sent=False)
-            await asyncio.sleep(LINK_S)
-            connection = run.connection = self._send(call, engine, last_event_id)
+                raise TargetUnreachable("the engine is unreachable", sent=False)
+            await asyncio.sleep(LINK_DELAY_S)
+            connection = run.connection = self._submit(call, engine, last_event_id)
             yield Attempt(entry, connection, asyncio.get_running_loop().time())
         finally:
             self._fleet.request_ended(entry.id)
@@ -167,36 +167,38 @@
                 run.ended_by_target = connection.ended_by_target
                 connection.request.is_cancelled = True
 
-    def _send(self, call, engine, last_event_id):
+    def _submit(self, call, engine, last_event_id):
         if engine.is_closing_head:
-            return _EmulatedConnection(not_executed_head(FULL))
+            return _EmulatedConnection(not_executed_head(FULL_STATUS))
         if not engine.is_open_head:
             return _EmulatedConnection(ResponseHead(MISDIRECTED_REQUEST, ()))
         batch = self._heads.batch(engine)
         if batch.is_full:
-            return _EmulatedConnection(not_executed_head(FULL))
-        if call.size.ends_targets:
-            self._heads.crashing.note_arrival(call.fingerprint, self._name)
+            return _EmulatedConnection(not_executed_head(FULL_STATUS))
+        if call.size.crashes_targets:
+            self._heads.crash_oracle.record_arrival(call.fingerprint, self._name)
         waited_s = call.waited_s(asyncio.get_running_loop().time())
         connection = _EmulatedConnection(ResponseHead(200, ()))
-        passed = last_event_id or call.caller_headers.last_event_id or 0
+        delivered_events = last_event_id or call.caller_headers.last_event_id or 0
         connection.request = BatchedRequest(
-            call.size.prompt_tokens + passed * call.size.event_tokens,
-            passed + 1,
+            call.size.prompt_tokens + delivered_events * call.size.event_tokens,
+            delivered_events + 1,
             call.size.events,
             urgency(call.route, call.workspace, waited_s),
             connection.deliver,
-            connection.break_off,
-            self._crash(call, connection) if call.size.ends_targets else None,
+            connection.interrupt,
+            self._crash_callback(call, connection)
+            if call.size.crashes_targets
+            else None,
         )
         batch.submit(connection.request)
         return connection
 
-    def _crash(self, call, connection):
-        """Return what happens when a request begins that ends its engine."""
+    def _crash_callback(self, call, connection):
+        """Return the callback for the start of a request that crashes its engine."""
 
-        def begin():
-            connection.begin()
-            self._heads.crashing.note_end(call.fingerprint, CRASH_S)
+        def start():
+            connection.start()
+            self._heads.crash_oracle.record_crash(call.fingerprint, CRASH_DELAY_S)
 
-        return begin
+        return start
--- a/cowslipcourse/emulator/crashes.py
+++ b/cowslipcourse/emulator/crashes.py
@@ -1,4 +1,4 @@
-"""An oracle that counts where a request goes which ends the engines that run it."""
+"""Oracle that counts the arrivals of requests that crash the engines that run them."""
 
 import asyncio
 from typing import NamedTuple
@@ -6,13 +6,14 @@
 __all__ = ["CrashFigures", "CrashOracle"]
 
 MAX_CRASHES_BEFORE_DETECTION = 3
-"""Engines that a request may end before the system must have seen it."""
+"""Crashes caused by one request after which the system must have detected it."""
 VERDICT_SPREAD_S = 3.0
-"""Time for which a daemon must have been undisturbed, and for the news to reach it."""
+"""Time allowed for a verdict to reach all daemons; daemons that were disturbed within
+this time are not checked."""
 
 
 class CrashFigures(NamedTuple):
-    """What became of one request that ends engines.
+    """Crashes caused by one request, and its late arrivals.
 
     :param crash_count: number of engines that it crashed.
     :param late_arrival_count: arrivals at engines more than :data:`VERDICT_SPREAD_S`
@@ -24,42 +25,46 @@
 
 
 class CrashOracle:
-    """Notes arrivals at engines, the ends of engines, and disturbed daemons."""
+    """Records arrivals at engines, crashes of engines, and disturbed daemons."""
 
     def __init__(self):
         self._arrivals = {}
-        self._ends = {}
+        self._crash_times = {}
         self._disturbed_until = {}
 
-    def note_arrival(self, fingerprint, daemon):
-        """Note that a request reaches an engine."""
+    def record_arrival(self, fingerprint, daemon):
+        """Record that a request reaches an engine."""
         at = asyncio.get_running_loop().time()
-        self._arrivals.setdefault(fingerprint, []).append((at, self._is_calm(daemon)))
-
-    def note_end(self, fingerprint, in_s):
-        """Note that a request ends an engine after some seconds."""
-        at = asyncio.get_running_loop().time() + in_s
-        self._ends.setdefault(fingerprint, []).append(at)
-
-    def note_disturbance(self, daemon, for_s):
-        """Note that a daemon is disturbed for a time from now on."""
-        until = asyncio.get_running_loop().time() + for_s
-        known = self._disturbed_until.get(daemon, float("-inf"))
-        self._disturbed_until[daemon] = max(until, known)
-
-    def _is_calm(self, daemon):
+        self._arrivals.setdefault(fingerprint, []).append(
+            (at, self._is_undisturbed(daemon))
+        )
+
+    def record_crash(self, fingerprint, delay_s):
+        """Record that a request crashes an engine after ``delay_s`` seconds."""
+        at = asyncio.get_running_loop().time() + delay_s
+        self._crash_times.setdefault(fingerprint, []).append(at)
+
+    def record_disturbance(self, daemon, duration_s):
+        """Record that a daemon is disturbed for ``duration_s`` seconds from now on."""
+        until = asyncio.get_running_loop().time() + duration_s
+        current_until = self._disturbed_until.get(daemon, float("-inf"))
+        self._disturbed_until[daemon] = max(until, current_until)
+
+    def _is_undisturbed(self, daemon):
         until = self._disturbed_until.get(daemon, float("-inf"))
         return asyncio.get_running_loop().time() > until + VERDICT_SPREAD_S
 
     def figures(self):
         """Return the :class:`CrashFigures` of each request."""
-        return [self._figures(fingerprint) for fingerprint in self._ends]
+        return [self._request_figures(fingerprint) for fingerprint in self._crash_times]
 
-    def _figures(self, fingerprint):
-        ends = sorted(self._ends[fingerprint])
-        if len(ends) < MAX_CRASHES_BEFORE_DETECTION:
-            return CrashFigures(len(ends), 0)
-        allowed_until = ends[MAX_CRASHES_BEFORE_DETECTION - 1] + VERDICT_SPREAD_S
+    def _request_figures(self, fingerprint):
+        crash_times = sorted(self._crash_times[fingerprint])
+        if len(crash_times) < MAX_CRASHES_BEFORE_DETECTION:
+            return CrashFigures(len(crash_times), 0)
+        allowed_until = crash_times[MAX_CRASHES_BEFORE_DETECTION - 1] + VERDICT_SPREAD_S
         arrivals = self._arrivals[fingerprint]
-        later = sum(calm and at > allowed_until for at, calm in arrivals)
-        return CrashFigures(len(ends), later)
+        late_arrival_count = sum(
+            is_undisturbed and at > allowed_until for at, is_undisturbed in arrivals
+        )
+        return CrashFigures(len(crash_times), late_arrival_count)
--- a/cowslipcourse/emulator/daemons.py
+++ b/cowslipcourse/emulator/daemons.py
@@ -1,4 +1,4 @@
-"""Daemons with the real decision code and no network."""
+"""Emulated daemons: the production decision code without a network."""
 
 import random
 
@@ -15,74 +15,81 @@
 
 __all__ = ["DataCentreScope", "EmulatedDaemon", "SingleCoordinatorScope"]
 
-ADDRESS = "127.0.0.1:1"
+UNUSED_ADDRESS = "127.0.0.1:1"
 
 
-def _settings(name, data_centre):
-    listen = dict.fromkeys(("front", "directory", "ready", "peer"), ADDRESS)
+def _entry_settings(name, data_centre):
+    listen = dict.fromkeys(("front", "directory", "ready", "peer"), UNUSED_ADDRESS)
     return EntrySettings(
-        name=name, data_centre=data_centre, listen=listen, store={"address": ADDRESS}
+        name=name,
+        data_centre=data_centre,
+        listen=listen,
+        store={"address": UNUSED_ADDRESS},
     )
 
 
 class SingleCoordinatorScope:
     """Meets :class:`~cowslipcourse.entry.scope.CoordinationScope`.
 
-    One daemon keeps all domains.
+    One daemon coordinates all domains.
 
-    :param acts: callable that tells whether it is this one.
+    :param is_coordinator: callable that returns whether it is this daemon.
     """
 
     coordinator_count = 1
 
-    def __init__(self, acts):
-        self._acts = acts
+    def __init__(self, is_coordinator):
+        self._is_coordinator = is_coordinator
 
     def coordinates(self, data_centre):
-        """Whether this daemon keeps the groups, wherever they are."""
-        return self._acts()
+        """Whether this daemon coordinates the groups of all data centres."""
+        return self._is_coordinator()
 
 
 class DataCentreScope:
-    """Meets :class:`~cowslipcourse.entry.scope.CoordinationScope`: a part of the site.
+    """Meets :class:`~cowslipcourse.entry.scope.CoordinationScope` for a part of a site.
 
-    :param tended: names of the data centres whose groups this daemon keeps.
-    :param coordinator_count: number of daemons that keep groups.
+    :param coordinated_data_centres: names of the data centres whose groups this daemon
+        coordinates.
+    :param coordinator_count: number of daemons that coordinate groups.
     """
 
-    def __init__(self, tended, coordinator_count):
-        self.tended = frozenset(tended)
+    def __init__(self, coordinated_data_centres, coordinator_count):
+        self.coordinated_data_centres = frozenset(coordinated_data_centres)
         self.coordinator_count = coordinator_count
 
     def coordinates(self, data_centre):
-        """Whether this daemon keeps the groups of a data centre."""
-        return data_centre in self.tended
+        """Whether this daemon coordinates the groups of a data centre."""
+        return data_centre in self.coordinated_data_centres
 
 
 class EmulatedDaemon:
-    """What a daemon decides with: views, forwarder, silence watch, coordinator.
+    """A daemon's fleet view, forwarder, silence detector and coordinator.
 
     :param name: name of the daemon.
-    :param data_centre: where it runs.
+    :param data_centre: data centre in which it runs.
     :param table: :class:`~cowslipcourse.routes.RouteTable`
-    :param heads: :class:`~cowslipcourse.emulator.connections.Heads`
+    :param heads: :class:`~cowslipcourse.emulator.connections.GroupHeads`
     :param network: :class:`~cowslipcourse.emulator.messages.MessageNetwork`
-    :param tell: called with news for all daemons.
-    :param scope: :class:`DataCentreScope` that it keeps the groups of.
-    :param seed: of its choices.
+    :param broadcast: called with each :class:`~cowslipcourse.peers.GroupUpdate` to
+        send to all daemons.
+    :param scope: :class:`DataCentreScope` that it coordinates.
+    :param seed: seed of its random choices.
     """
 
-    def __init__(self, name, data_centre, table, heads, network, tell, scope, seed):
-        settings = _settings(name, data_centre)
+    def __init__(
+        self, name, data_centre, table, heads, network, broadcast, scope, seed
+    ):
+        settings = _entry_settings(name, data_centre)
         self.fleet = FleetView()
         self.coordinators = ()
-        self._silence = SilenceDetector(self.fleet, self._on_suspect)
+        self._silence_detector = SilenceDetector(self.fleet, self._on_suspect)
         context = DaemonContext(
             settings,
             self.fleet,
             EmulatedAttemptSender(name, self.fleet, heads),
             SharedRetryBudget(settings.retries),
-            self._silence,
+            self._silence_detector,
             None,
             random.Random(seed),
         )
@@ -91,7 +98,7 @@
         self._context = context
         self._network = network
         self._heads = heads
-        self.forget()
+        self.reset_quarantine()
         self.forwarder = Forwarder(context)
         self.coordinator = Coordinator(
             context,
@@ -99,34 +106,38 @@
             heads.world,
             settings.control,
             scope,
-            tell,
+            broadcast,
         )
-        self.acts = bool(scope.tended)
+        self.is_coordinator = bool(scope.coordinated_data_centres)
 
-    def forget(self):
-        """Lose what it knows of requests that end engines, as in a new start."""
+    def reset_quarantine(self):
+        """Discard what it knows of requests that crash engines, as a restart does."""
         heads = self._heads
         peers = self._network.peers_of(self.name)
-        ends = TargetExitDetector(self.fleet.is_expected, heads.refuses)
-        kept = VerdictStore(heads.world, heads.now)
-        self._context.quarantine = Quarantine(peers, ends, kept)
+        exit_detector = TargetExitDetector(
+            self.fleet.is_expected, heads.refuses_connections
+        )
+        verdict_store = VerdictStore(heads.world, heads.now)
+        self._context.quarantine = Quarantine(peers, exit_detector, verdict_store)
         self._network.attach(self.name, self._context.quarantine)
 
     def coroutines(self):
-        """Return the coroutines that keep it going."""
-        acting = (self.coordinator.run(),) if self.acts else ()
-        return (self._silence.run(), *acting)
-
-    def see_list(self, changed, gone):
-        """Take changes of the list of targets."""
-        self.fleet.apply(changed, gone)
-        if self.acts:
+        """Return the coroutines that run for as long as the daemon does."""
+        coordinator_coroutines = (
+            (self.coordinator.run(),) if self.is_coordinator else ()
+        )
+        return (self._silence_detector.run(), *coordinator_coroutines)
+
+    def update_entries(self, changed, removed):
+        """Apply changes of the list of targets."""
+        self.fleet.apply(changed, removed)
+        if self.is_coordinator:
             self.coordinator.domains.update_entries(changed)
-            self.coordinator.domains.mark_unlisted(gone)
+            self.coordinator.domains.mark_unlisted(removed)
 
-    def take_news(self, news):
-        """Take in what a coordinator has decided about a group."""
-        self.fleet.apply_group_update(news, self._heads.now())
+    def apply_group_update(self, update):
+        """Apply a group update from a coordinator."""
+        self.fleet.apply_group_update(update, self._heads.now())
 
     def _on_suspect(self):
         now = self._heads.now()
--- a/cowslipcourse/emulator/main.py
+++ b/cowslipcourse/emulator/main.py
@@ -13,7 +13,7 @@
 from cowslipcourse import __version__
 from cowslipcourse.emulator.clock import run_in_virtual_time
 from cowslipcourse.emulator.policies import active_policy
-from cowslipcourse.emulator.report import RunFigures, compare, figures, table
+from cowslipcourse.emulator.report import RunFigures, compare, format_table, run_figures
 from cowslipcourse.emulator.site import simulate
 from cowslipcourse.emulator.site_file import ExperimentSettings
 from cowslipcourse.exceptions import CowslipError, Problem, SettingsError
@@ -22,27 +22,27 @@
 __all__ = ["main", "run_experiment"]
 
 EXIT_USAGE = 2
-SHOWN = ("credit", "nines", "worst_windows", "worst_kind", "on_time", "failed")
+SHOWN_FIGURES = ("credit", "nines", "worst_windows", "worst_kind", "on_time", "failed")
 
 
 def run_experiment(settings, policies=None, seeds=None):
     """Yield the :class:`~cowslipcourse.emulator.report.RunFigures` of each run.
 
     :param settings: :class:`~cowslipcourse.emulator.site_file.ExperimentSettings`
-    :param policies: names, in place of the file's.
-    :param seeds: iterable of seeds, in place of the file's number.
+    :param policies: names of policies, in place of those in the settings.
+    :param seeds: iterable of seeds, in place of those in the settings.
     """
     for policy in policies or settings.policies:
         for seed in seeds if seeds is not None else range(settings.seeds):
             with active_policy(policy):
                 result = run_in_virtual_time(simulate(settings, seed))
-            yield figures(settings, policy, seed, result)
+            yield run_figures(settings, policy, seed, result)
 
 
 def _read_runs(path):
-    """Return the runs in a file of results.
+    """Return the runs in a results file.
 
-    :raises SettingsError: it has none, or a line cannot be read.
+    :raises SettingsError: the file has no runs, or a line cannot be read.
     """
     try:
         lines = Path(path).read_bytes().splitlines()
@@ -55,12 +55,12 @@
 
 
 class _ExperimentCommand(Command):
-    """Turns failures into lines and exit codes."""
+    """Prints errors and turns them into exit codes."""
 
     def handle(self):
-        """Do the command's work."""
+        """Run the command and return its exit code."""
         try:
-            return self.work()
+            return self.run_command()
         except CowslipError as error:
             self.line_error(str(error))
             return EXIT_USAGE
@@ -77,20 +77,22 @@
         option("policy", None, "Policy in place of the file's.", flag=False),
     ]
 
-    def work(self):
-        """Run and print a table."""
+    def run_command(self):
+        """Run the experiment and print a table."""
         settings = load_settings(self.argument("file"), ExperimentSettings)
-        chosen = self.option("policy")
-        for policy in (chosen,) if chosen else settings.policies:
+        policy_override = self.option("policy")
+        for policy in (policy_override,) if policy_override else settings.policies:
             active_policy(policy)
         runs = []
-        for run in run_experiment(settings, (chosen,) if chosen else None):
+        for run in run_experiment(
+            settings, (policy_override,) if policy_override else None
+        ):
             runs.append(run)
             self.line(f"{run['policy']} {run['seed']}: credit {run['credit']:.4f}")
         if self.option("output"):
             lines = b"\n".join(msgspec.json.encode(run) for run in runs)
             Path(self.option("output")).write_bytes(lines + b"\n")
-        for line in table(runs, SHOWN):
+        for line in format_table(runs, SHOWN_FIGURES):
             self.line(line)
         return 0
 
@@ -105,20 +107,25 @@
         argument("second", "Results to compare with."),
     ]
 
-    def work(self):
-        """Print the differences of each policy that both files have."""
+    def run_command(self):
+        """Print the differences for each policy that both files have."""
         first = _read_runs(self.argument("first"))
         second = _read_runs(self.argument("second"))
-        both = [p for p in _policies(first) if p in _policies(second)]
-        pairs = [(p, p) for p in both] or [(_policies(first)[0], _policies(second)[0])]
-        for before, after in pairs:
-            self.line(f"{before} -> {after}")
-            old = [run for run in first if run["policy"] == before]
-            new = [run for run in second if run["policy"] == after]
-            for found in compare(old, new, SHOWN):
+        common_policies = [
+            policy for policy in _policies(first) if policy in _policies(second)
+        ]
+        pairs = [(policy, policy) for policy in common_policies] or [
+            (_policies(first)[0], _policies(second)[0])
+        ]
+        for first_policy, second_policy in pairs:
+            self.line(f"{first_policy} -> {second_policy}")
+            first_runs = [run for run in first if run["policy"] == first_policy]
+            second_runs = [run for run in second if run["policy"] == second_policy]
+            for difference in compare(first_runs, second_runs, SHOWN_FIGURES):
                 self.line(
-                    f"  {found.figure:14} {found.mean:+.4f}"
-                    f" [{found.low:+.4f}, {found.high:+.4f}] over {found.pairs} pairs"
+                    f"  {difference.figure:14} {difference.mean:+.4f}"
+                    f" [{difference.low:+.4f}, {difference.high:+.4f}]"
+                    f" over {difference.pairs} pairs"
                 )
         return 0
 
--- a/cowslipcourse/emulator/messages.py
+++ b/cowslipcourse/emulator/messages.py
@@ -1,11 +1,11 @@
-"""Messages between emulated daemons: late, lost, and cut off."""
+"""Emulated messages between daemons, with delay, loss and isolation."""
 
 import asyncio
 
 __all__ = ["MessageNetwork"]
 
 
-class _Peers:
+class _EmulatedPeers:
     """Meets :class:`~cowslipcourse.quarantining.QuarantinePeers`."""
 
     def __init__(self, network, name):
@@ -13,28 +13,28 @@
         self.address = name
 
     def alive_addresses(self):
-        """Return the names of the other daemons that it hears."""
-        return self._network.heard_by(self.address)
+        """Return the names of the other daemons that can be reached."""
+        return self._network.reachable_names(self.address)
 
     def all_addresses(self):
         """Return the names of all other daemons."""
         return [name for name in self._network.names if name != self.address]
 
     def repeat_addresses(self):
-        """Return all others if it is the first that it knows of."""
+        """Return all others if this name sorts before those of reachable daemons."""
         others = self.all_addresses()
         is_first = all(self.address < name for name in self.alive_addresses())
         return others if is_first else []
 
     def send(self, message, addresses):
-        """Send a message."""
+        """Send a message to other daemons."""
         for address in addresses:
             if address != self.address:
                 self._network.send(message, self.address, address)
 
 
 class MessageNetwork:
-    """Brings messages to daemons' quarantines.
+    """Delivers messages to the quarantines of daemons.
 
     :param settings: :class:`~cowslipcourse.emulator.site_file.SiteSettings`
     :param rng: :class:`random.Random`
@@ -44,9 +44,9 @@
         self._settings = settings
         self._rng = rng
         self._quarantines = {}
-        self._running = {}
-        self._cut_until = {}
-        self.sent = 0
+        self._tasks = {}
+        self._isolated_until = {}
+        self.sent_count = 0
 
     @property
     def names(self):
@@ -54,44 +54,51 @@
         return list(self._quarantines)
 
     def peers_of(self, name):
-        """Return how a daemon reaches the others."""
-        return _Peers(self, name)
+        """Return the messaging interface of a daemon."""
+        return _EmulatedPeers(self, name)
 
     def attach(self, name, quarantine):
-        """Run a daemon's quarantine from now on, in place of an earlier one."""
-        if name in self._running:
-            self._running[name].cancel()
+        """Run a daemon's quarantine, in place of an earlier one."""
+        if name in self._tasks:
+            self._tasks[name].cancel()
         self._quarantines[name] = quarantine
-        self._running[name] = asyncio.create_task(quarantine.run())
+        self._tasks[name] = asyncio.create_task(quarantine.run())
 
-    def cut(self, name, for_s):
-        """Cut a daemon off for a time."""
-        self._cut_until[name] = asyncio.get_running_loop().time() + for_s
+    def isolate(self, name, duration_s):
+        """Isolate a daemon for ``duration_s`` seconds."""
+        self._isolated_until[name] = asyncio.get_running_loop().time() + duration_s
 
-    def _is_cut(self, name):
-        until = self._cut_until.get(name, float("-inf"))
-        return asyncio.get_running_loop().time() < until
+    def _is_isolated(self, name):
+        isolated_until = self._isolated_until.get(name, float("-inf"))
+        return asyncio.get_running_loop().time() < isolated_until
 
-    def heard_by(self, name):
-        """Return the names of the daemons that one hears."""
-        if self._is_cut(name):
+    def reachable_names(self, name):
+        """Return the names of the daemons that a daemon can reach."""
+        if self._is_isolated(name):
             return []
-        return [each for each in self.names if each != name and not self._is_cut(each)]
+        return [
+            other
+            for other in self.names
+            if other != name and not self._is_isolated(other)
+        ]
 
     def send(self, message, sender, receiver):
-        """Bring a message to its receiver, or lose it."""
-        self.sent += 1
-        if self._is_cut(sender) or self._rng.random() < self._settings.message_loss:
+        """Deliver a message to its receiver after a delay, or lose it."""
+        self.sent_count += 1
+        if (
+            self._is_isolated(sender)
+            or self._rng.random() < self._settings.message_loss
+        ):
             return
-        late_s = self._rng.uniform(0, self._settings.message_late_s)
+        delay_s = self._rng.uniform(0, self._settings.message_late_s)
         loop = asyncio.get_running_loop()
-        loop.call_later(late_s, self._deliver, message, receiver)
+        loop.call_later(delay_s, self._deliver, message, receiver)
 
     def _deliver(self, message, receiver):
-        if not self._is_cut(receiver):
+        if not self._is_isolated(receiver):
             self._quarantines[receiver].handle_message(message)
 
     def stop(self):
-        """End all quarantines."""
-        for running in self._running.values():
-            running.cancel()
+        """Cancel the tasks of all quarantines."""
+        for task in self._tasks.values():
+            task.cancel()
--- a/cowslipcourse/emulator/report.py
+++ b/cowslipcourse/emulator/report.py
@@ -8,19 +8,19 @@
 
 from cowslipcourse.emulator.callers import Outcome
 
-__all__ = ["Difference", "RunFigures", "compare", "figures", "table"]
+__all__ = ["Difference", "RunFigures", "compare", "format_table", "run_figures"]
 
 WINDOW_S = 2.0
-WORST_WINDOWS = 2
-BEST_UNSERVED = 0.001
-"""Share of unserved requests that counts as full nines."""
-MOST_NINES = 1.0
-RESAMPLES = 2000
-INTERVAL = 0.95
+WORST_WINDOW_COUNT = 2
+MIN_UNSERVED_FRACTION = 0.001
+"""Fraction of unserved requests at which the nines reach their maximum."""
+MAX_NINES = 1.0
+BOOTSTRAP_RESAMPLES = 2000
+CONFIDENCE_LEVEL = 0.95
 
 
 class RunFigures(TypedDict):
-    """Figures of one run, as a line of the results."""
+    """Figures of one run; one line of the results file."""
 
     experiment: str
     policy: str
@@ -45,10 +45,10 @@
     """A paired difference between two policies.
 
     :param figure: name of the figure.
-    :param pairs: number of seeds that both have.
-    :param mean: mean of second minus first.
-    :param low: lower end of the interval in which the mean lies by 95%.
-    :param high: upper end.
+    :param pairs: number of seeds that both policies have.
+    :param mean: mean of the second minus the first.
+    :param low: lower bound of the 95% confidence interval of the mean.
+    :param high: upper bound of the interval.
     """
 
     figure: str
@@ -58,7 +58,7 @@
     high: float
 
 
-def figures(settings, policy, seed, result):
+def run_figures(settings, policy, seed, result):
     """Return the :class:`RunFigures` of a run.
 
     :param result: :class:`~cowslipcourse.emulator.site.SiteResult`
@@ -66,60 +66,74 @@
     kinds = {kind.name: kind for kind in settings.site.kinds}
     records = result.records
     outcomes = Counter(record.outcome for record in records)
-    number = max(1, len(records))
-    unserved = (outcomes[Outcome.REFUSED] + outcomes[Outcome.FAILED]) / number
+    record_count = max(1, len(records))
+    unserved_fraction = (
+        outcomes[Outcome.REFUSED] + outcomes[Outcome.FAILED]
+    ) / record_count
     by_window, by_kind = {}, {}
     for record in records:
         by_window.setdefault(int(record.at_s / WINDOW_S), []).append(record)
         by_kind.setdefault(record.kind, []).append(record)
-    windows = sorted(_credit(kinds, found) for found in by_window.values())
+    windows = sorted(
+        _credit(kinds, group_records) for group_records in by_window.values()
+    )
     return RunFigures(
         experiment=settings.name,
         policy=policy,
         seed=seed,
         requests=len(records),
-        on_time=outcomes[Outcome.ON_TIME] / number,
-        late=outcomes[Outcome.LATE] / number,
-        refused=outcomes[Outcome.REFUSED] / number,
-        failed=outcomes[Outcome.FAILED] / number,
+        on_time=outcomes[Outcome.ON_TIME] / record_count,
+        late=outcomes[Outcome.LATE] / record_count,
+        refused=outcomes[Outcome.REFUSED] / record_count,
+        failed=outcomes[Outcome.FAILED] / record_count,
         credit=_credit(kinds, records),
-        worst_windows=statistics.fmean(windows[:WORST_WINDOWS] or [0.0]),
-        worst_kind=min((_credit(kinds, f) for f in by_kind.values()), default=0.0),
-        nines=_nines(unserved),
+        worst_windows=statistics.fmean(windows[:WORST_WINDOW_COUNT] or [0.0]),
+        worst_kind=min(
+            (_credit(kinds, kind_records) for kind_records in by_kind.values()),
+            default=0.0,
+        ),
+        nines=_nines(unserved_fraction),
         idle_engine_s=result.idle_engine_s,
         open_groups=result.open_groups,
         violations=len(result.violations),
         first_groups=result.first_groups,
-        kinds={kind: _credit(kinds, found) for kind, found in by_kind.items()},
+        kinds={
+            kind: _credit(kinds, group_records)
+            for kind, group_records in by_kind.items()
+        },
     )
 
 
 def _credit(kinds, records):
-    """Return the share of the worth that was earned."""
-    owed = sum(kinds[record.kind].worth for record in records)
-    earned = sum(_earned(kinds[record.kind], record) for record in records)
-    return earned / owed if owed else 1.0
+    """Return the earned fraction of the possible credit."""
+    possible_credit = sum(kinds[record.kind].worth for record in records)
+    earned_credit = sum(
+        _earned_credit(kinds[record.kind], record) for record in records
+    )
+    return earned_credit / possible_credit if possible_credit else 1.0
 
 
-def _earned(kind, record):
+def _earned_credit(kind, record):
     if record.outcome == Outcome.ON_TIME:
         return kind.worth
     return kind.late_worth if record.outcome == Outcome.LATE else 0.0
 
 
-def _nines(unserved):
-    if unserved <= 0:
-        return MOST_NINES
-    return min(MOST_NINES, math.log10(unserved) / math.log10(BEST_UNSERVED))
+def _nines(unserved_fraction):
+    if unserved_fraction <= 0:
+        return MAX_NINES
+    return min(
+        MAX_NINES, math.log10(unserved_fraction) / math.log10(MIN_UNSERVED_FRACTION)
+    )
 
 
 def compare(first, second, names):
     """Return the :class:`Difference` of each figure, over the seeds that both have.
 
-    The interval is a bootstrap of the paired differences.
+    The confidence interval is a bootstrap of the paired differences.
 
     :param first: list of :class:`RunFigures` of one policy.
-    :param second: the same of another one.
+    :param second: list of :class:`RunFigures` of another policy.
     :param names: names of figures.
     """
     by_seed = {run["seed"]: run for run in first}
@@ -131,15 +145,19 @@
     values = [after[name] - before[name] for before, after in pairs]
     rng = random.Random(len(values))
     means = sorted(
-        statistics.fmean(rng.choices(values, k=len(values))) for _ in range(RESAMPLES)
+        statistics.fmean(rng.choices(values, k=len(values)))
+        for _ in range(BOOTSTRAP_RESAMPLES)
+    )
+    tail = (1 - CONFIDENCE_LEVEL) / 2
+    low, high = (
+        means[int(tail * BOOTSTRAP_RESAMPLES)],
+        means[int((1 - tail) * BOOTSTRAP_RESAMPLES) - 1],
     )
-    tail = (1 - INTERVAL) / 2
-    low, high = means[int(tail * RESAMPLES)], means[int((1 - tail) * RESAMPLES) - 1]
     return Difference(name, len(values), statistics.fmean(values), low, high)
 
 
-def table(runs, names):
-    """Return lines with the mean of each figure by policy.
+def format_table(runs, names):
+    """Return the lines of a table with the mean of each figure by policy.
 
     :param runs: list of :class:`RunFigures`
     :param names: names of figures.
@@ -148,8 +166,8 @@
     width = max(len(policy) for policy in policies)
     lines = [" ".join(["policy".ljust(width), *(name.rjust(13) for name in names)])]
     for policy in policies:
-        own = [run for run in runs if run["policy"] == policy]
-        means = [statistics.fmean(run[name] for run in own) for name in names]
+        policy_runs = [run for run in runs if run["policy"] == policy]
+        means = [statistics.fmean(run[name] for run in policy_runs) for name in names]
         cells = [f"{mean:13.4f}" for mean in means]
         lines.append(" ".join([policy.ljust(width), *cells]))
     return lines
--- a/cowslipcourse/emulator/site.py
+++ b/cowslipcourse/emulator/site.py
@@ -6,7 +6,7 @@
 from typing import NamedTuple
 
 from cowslipcourse.emulator.callers import Callers, CallRecord
-from cowslipcourse.emulator.connections import LINK_S, Heads
+from cowslipcourse.emulator.connections import LINK_DELAY_S, GroupHeads
 from cowslipcourse.emulator.crashes import CrashFigures
 from cowslipcourse.emulator.daemons import DataCentreScope, EmulatedDaemon
 from cowslipcourse.emulator.engines import OPEN_DELAY_S, SERVICE
@@ -22,15 +22,15 @@
 
 __all__ = ["EmulatedSite", "SiteResult", "simulate"]
 
-LIST_S = 0.25
-"""Interval at which reporters hand on changes of the list."""
-HEARTBEAT_S = 0.25
-LEAD_LOADS = 0.1
-"""Factor on the times of loads before the traffic starts."""
-SPREAD_S = 0.5
-"""Time within which all engines of a domain are listed, if they come late."""
-LOOK_S = 0.5
-"""Interval at which idle engines and open groups are counted."""
+LIST_INTERVAL_S = 0.25
+"""Interval at which changes of the list of targets are published."""
+HEARTBEAT_INTERVAL_S = 0.25
+LEAD_LOAD_FACTOR = 0.1
+"""Factor on the durations of loads before the traffic starts."""
+REGISTRATION_SPREAD_S = 0.5
+"""Time within which all engines of a domain are listed, if domains are listed late."""
+SAMPLING_INTERVAL_S = 0.5
+"""Interval at which idle engines and open groups are sampled."""
 NO_FAULTS = Faults(
     late_order_fraction=0,
     lost_order_fraction=0,
@@ -41,16 +41,19 @@
 
 
 class SiteResult(NamedTuple):
-    """What one run gave.
+    """Results of one run.
 
     :param records: :class:`~cowslipcourse.emulator.callers.CallRecord` list.
-    :param idle_engine_s: seconds that live engines spent in no open group.
-    :param open_groups: mean number of open groups by model.
-    :param first_groups: number of them by model when the traffic began.
-    :param violations: what the oracle of the groups saw, as texts.
+    :param idle_engine_s: total time in seconds that reachable engines spent outside
+        serving groups.
+    :param open_groups: mean number of serving groups by model.
+    :param first_groups: number of serving groups by model in the first sample of the
+        traffic.
+    :param violations: violations found by the oracle of the groups, as texts.
     :param crashes: :class:`~cowslipcourse.emulator.crashes.CrashFigures` list, one for
-        each request that ended engines.
-    :param wrongly_quarantined: refusals of requests that end no engine, as if they did.
+        each request that crashed engines.
+    :param wrongly_quarantined: number of times that a request which crashes no engine
+        was refused as quarantined.
     """
 
     records: list[CallRecord]
@@ -63,93 +66,98 @@
 
 
 class EmulatedSite:
-    """Everything of one run.
+    """An emulated site for one run.
 
     :param settings: :class:`~cowslipcourse.emulator.site_file.ExperimentSettings`
-    :param seed: of all luck in the run.
+    :param seed: seed of all random choices in the run.
     """
 
     def __init__(self, settings, seed):
         self._settings = settings
-        # Each part has luck of its own: what one policy changes in one part must not
-        # change the luck of the others, or runs of the same seed could not be paired.
-        self._fault_luck = random.Random(f"faults-{seed}")
-        caller_luck = random.Random(f"callers-{seed}")
-        daemon_luck = random.Random(f"daemons-{seed}")
+        # Each part has a random generator of its own, so that what a policy changes in
+        # one part does not change the draws of the others. Otherwise runs of the same
+        # seed could not be compared in pairs.
+        self._fault_rng = random.Random(f"faults-{seed}")
+        caller_rng = random.Random(f"callers-{seed}")
+        daemon_rng = random.Random(f"daemons-{seed}")
         site = settings.site
         models = [EngineModel(**model.model_dump()) for model in site.models]
-        quick = [m._replace(load_s=m.load_s * LEAD_LOADS) for m in models]
+        lead_models = [m._replace(load_s=m.load_s * LEAD_LOAD_FACTOR) for m in models]
         self._models = {model.name: model for model in models}
-        world_luck = random.Random(f"engines-{seed}")
+        engine_rng = random.Random(f"engines-{seed}")
         self._world = World(
-            world_luck,
+            engine_rng,
             NO_FAULTS,
-            quick,
+            lead_models,
             site.domains,
             remembers_models=True,
             loads_take_time=True,
         )
-        self._start_luck = random.Random(f"starts-{seed}")
+        self._start_rng = random.Random(f"starts-{seed}")
         if not site.register_s:
             for domain in site.domains:
                 self._start_engines(domain)
-        spec = _spec(site, models)
+        spec = _service_spec(site, models)
         table = RouteTable(1, (), (spec,), CallerLimits(), {})
-        self._heads = Heads(self._world, spec)
-        places = sorted(set(site.domains.values()))
-        message_luck = random.Random(f"messages-{seed}")
-        self._network = MessageNetwork(site, message_luck)
+        self._heads = GroupHeads(self._world, spec)
+        data_centres = sorted(set(site.domains.values()))
+        message_rng = random.Random(f"messages-{seed}")
+        self._network = MessageNetwork(site, message_rng)
         self._daemons = [
             EmulatedDaemon(
                 f"daemon-{number}",
-                places[number % len(places)],
+                data_centres[number % len(data_centres)],
                 table,
                 self._heads,
                 self._network,
-                self._tell,
-                _scope(number, places, site.daemons),
-                daemon_luck.random(),
+                self._broadcast,
+                _coordination_scope(number, data_centres, site.daemons),
+                daemon_rng.random(),
             )
             for number in range(site.daemons)
         ]
-        acting = tuple(d.coordinator for d in self._daemons if d.acts)
+        coordinators = tuple(d.coordinator for d in self._daemons if d.is_coordinator)
         for daemon in self._daemons:
-            daemon.coordinators = acting
-        self._caller_luck = caller_luck
+            daemon.coordinators = coordinators
+        self._caller_rng = caller_rng
         self._callers = None
-        self._gone_at = {}
-        self._began_at = None
+        self._unreachable_since = {}
+        self._traffic_started_at = None
         self._idle_engine_s = 0.0
-        self._open_groups = {name: [] for name in self._models}
+        self._open_group_counts = {name: [] for name in self._models}
 
     def _start_engines(self, domain):
         for _ in range(self._settings.site.engines_a_domain):
             self._world.add_engine(domain)
 
-    def _start_engines_later(self):
-        """Let the engines be listed domain by domain."""
+    def _schedule_engine_starts(self):
+        """Schedule the listing of engines, domain by domain."""
         site, loop = self._settings.site, asyncio.get_running_loop()
         for domain in site.domains:
-            first = self._start_luck.uniform(0.0, site.register_s)
+            first_delay_s = self._start_rng.uniform(0.0, site.register_s)
             for _ in range(site.engines_a_domain):
-                later = first + self._start_luck.uniform(0.0, SPREAD_S)
-                loop.call_later(later, self._world.add_engine, domain)
+                delay_s = first_delay_s + self._start_rng.uniform(
+                    0.0, REGISTRATION_SPREAD_S
+                )
+                loop.call_later(delay_s, self._world.add_engine, domain)
 
     async def simulate(self):
-        """Play the run and return its :class:`SiteResult`."""
+        """Run the site and return its :class:`SiteResult`."""
         if self._settings.site.register_s:
-            self._start_engines_later()
-        running = [self._world.run(), self._heads.run(), self._list()]
-        running += [self._heartbeats(), self._count()]
+            self._schedule_engine_starts()
+        coroutines = [self._world.run(), self._heads.run(), self._run_list()]
+        coroutines += [self._run_heartbeats(), self._run_sampling()]
         for daemon in self._daemons:
-            running += daemon.coroutines()
-        tasks = [asyncio.create_task(coroutine) for coroutine in running]
+            coroutines += daemon.coroutines()
+        tasks = [asyncio.create_task(coroutine) for coroutine in coroutines]
         await asyncio.sleep(self._settings.site.lead_s)
         self._world.models = self._models
-        self._began_at = asyncio.get_running_loop().time()
-        tasks += [asyncio.create_task(self._strike(f)) for f in self._settings.faults]
+        self._traffic_started_at = asyncio.get_running_loop().time()
+        tasks += [
+            asyncio.create_task(self._inject_fault(f)) for f in self._settings.faults
+        ]
         site = self._settings.site
-        callers = Callers(self._daemons, site, self._burst_factor, self._caller_luck)
+        callers = Callers(self._daemons, site, self._burst_factor, self._caller_rng)
         self._callers = callers
         await callers.run(self._settings.seconds)
         self._network.stop()
@@ -158,180 +166,202 @@
         for result in await asyncio.gather(*tasks, return_exceptions=True):
             if isinstance(result, Exception):
                 raise result
-        means = {m: sum(n) / max(1, len(n)) for m, n in self._open_groups.items()}
+        means = {m: sum(n) / max(1, len(n)) for m, n in self._open_group_counts.items()}
         records = callers.records
         return SiteResult(
             records,
             self._idle_engine_s,
             means,
-            {model: numbers[0] for model, numbers in self._open_groups.items()},
+            {model: numbers[0] for model, numbers in self._open_group_counts.items()},
             self._world.violations,
-            self._heads.crashing.figures(),
+            self._heads.crash_oracle.figures(),
             callers.wrongly_quarantined,
         )
 
-    # What travels.
+    # Messages between daemons, and the list of targets.
 
-    def _tell(self, news):
+    def _broadcast(self, update):
         loop = asyncio.get_running_loop()
         for daemon in self._daemons:
-            loop.call_later(2 * LINK_S, daemon.take_news, news)
+            loop.call_later(2 * LINK_DELAY_S, daemon.apply_group_update, update)
 
-    async def _heartbeats(self):
-        """Bring each daemon what the others had in flight a moment ago."""
+    async def _run_heartbeats(self):
+        """Send each daemon the in-flight counts of the others, delayed by one interval."""
         while True:
-            told = [dict(daemon.fleet.in_flight) for daemon in self._daemons]
-            await asyncio.sleep(HEARTBEAT_S)
-            for own, daemon in enumerate(self._daemons):
+            in_flight_by_daemon = [
+                dict(daemon.fleet.in_flight) for daemon in self._daemons
+            ]
+            await asyncio.sleep(HEARTBEAT_INTERVAL_S)
+            for daemon_index, daemon in enumerate(self._daemons):
                 total = {}
-                for other, in_flight in enumerate(told):
-                    if other != own:
+                for other_index, in_flight in enumerate(in_flight_by_daemon):
+                    if other_index != daemon_index:
                         for target, number in in_flight.items():
                             total[target] = total.get(target, 0) + number
                 daemon.fleet.set_peers_in_flight(total)
 
-    async def _list(self):
-        """Bring all daemons the list as it was a moment ago."""
+    async def _run_list(self):
+        """Send all daemons changes of the list as of ``list_lag_s`` ago."""
         loop = asyncio.get_running_loop()
-        site, history, known, lapsing = self._settings.site, deque(), {}, {}
+        site, history, last_listed, unreachable_entries = (
+            self._settings.site,
+            deque(),
+            {},
+            {},
+        )
         while True:
             now = loop.time()
-            live = {entry.id: entry for entry in self._world.entries()}
-            lapsing = {
+            reachable = {entry.id: entry for entry in self._world.entries()}
+            unreachable_entries = {
                 engine: entry
-                for engine, entry in {**lapsing, **known}.items()
-                if engine not in live and now < self._lost_at(engine) + site.lapse_s
+                for engine, entry in {**unreachable_entries, **last_listed}.items()
+                if engine not in reachable
+                and now < self._record_unreachable_since(engine) + site.lapse_s
             }
-            history.append((now, {**lapsing, **live}))
+            history.append((now, {**unreachable_entries, **reachable}))
             while len(history) > 1 and history[1][0] <= now - site.list_lag_s:
                 history.popleft()
             listed = history[0][1]
-            changed = [e for i, e in listed.items() if known.get(i) != e]
-            gone = tuple(engine for engine in known if engine not in listed)
-            if changed or gone:
+            changed = [e for i, e in listed.items() if last_listed.get(i) != e]
+            removed = tuple(engine for engine in last_listed if engine not in listed)
+            if changed or removed:
                 for daemon in self._daemons:
-                    daemon.see_list(changed, gone)
-            known = listed
-            await asyncio.sleep(LIST_S)
+                    daemon.update_entries(changed, removed)
+            last_listed = listed
+            await asyncio.sleep(LIST_INTERVAL_S)
 
-    def _lost_at(self, engine):
-        return self._gone_at.setdefault(engine, asyncio.get_running_loop().time())
+    def _record_unreachable_since(self, engine):
+        return self._unreachable_since.setdefault(
+            engine, asyncio.get_running_loop().time()
+        )
 
-    async def _count(self):
+    async def _run_sampling(self):
         while True:
-            await asyncio.sleep(LOOK_S)
-            if self._began_at is None:
+            await asyncio.sleep(SAMPLING_INTERVAL_S)
+            if self._traffic_started_at is None:
                 continue
-            serving = dict.fromkeys(self._models, 0)
-            busy = 0
+            open_group_counts = dict.fromkeys(self._models, 0)
+            serving_engine_count = 0
             for engine in self._world.engines.values():
                 if engine.is_unreachable:
                     continue
                 if engine.is_open_head and self._world.is_complete(engine):
-                    serving[engine.membership.model] += 1
-                    busy += len(engine.members)
-            live = sum(not e.is_unreachable for e in self._world.engines.values())
-            self._idle_engine_s += max(0, live - busy) * LOOK_S
-            for model, number in serving.items():
-                self._open_groups[model].append(number)
+                    open_group_counts[engine.membership.model] += 1
+                    serving_engine_count += len(engine.members)
+            reachable_count = sum(
+                not e.is_unreachable for e in self._world.engines.values()
+            )
+            self._idle_engine_s += (
+                max(0, reachable_count - serving_engine_count) * SAMPLING_INTERVAL_S
+            )
+            for model, number in open_group_counts.items():
+                self._open_group_counts[model].append(number)
 
     # Faults.
 
-    async def _strike(self, fault):
+    async def _inject_fault(self, fault):
         for at_s in fault.times():
-            now_s = asyncio.get_running_loop().time() - self._began_at
+            now_s = asyncio.get_running_loop().time() - self._traffic_started_at
             await asyncio.sleep(max(0.0, at_s - now_s))
             getattr(self, f"_{fault.kind}")(fault)
 
-    def _joined(self, count):
-        """Return engines that are in groups; the same luck strikes the same ones.
+    def _pick_group_engines(self, count):
+        """Return up to ``count`` random engines that are in groups.
 
-        Each engine has a luck of its own, so that two policies lose the same engines
-        although their groups differ.
+        The order is drawn per engine id, so that faults affect the same engines under
+        two policies although their groups differ.
         """
-        turn = self._fault_luck.random()
-        joined = [e for e in self._world.engines.values() if e.membership is not None]
-        joined.sort(key=lambda e: random.Random(f"{turn}-{e.id}").random())
-        return joined[:count]
+        order_seed = self._fault_rng.random()
+        group_engines = [
+            e for e in self._world.engines.values() if e.membership is not None
+        ]
+        group_engines.sort(key=lambda e: random.Random(f"{order_seed}-{e.id}").random())
+        return group_engines[:count]
 
     def _lose(self, fault):
-        for engine in self._joined(fault.count):
+        for engine in self._pick_group_engines(fault.count):
             engine.is_unreachable = True
             del self._world.engines[engine.id]
 
     def _end(self, fault):
-        for engine in self._joined(fault.count):
+        for engine in self._pick_group_engines(fault.count):
             self._world.crash(engine)
 
     def _restart(self, fault):
-        for engine in self._joined(fault.count):
+        for engine in self._pick_group_engines(fault.count):
             self._world.restart(engine)
 
     def _domain(self, fault):
         domains = sorted(self._settings.site.domains)
         if fault.model:
             domains = [d for d in domains if fault.model in self._models_of(d)]
-        struck = self._fault_luck.sample(domains, min(fault.count, len(domains)))
+        affected_domains = self._fault_rng.sample(
+            domains, min(fault.count, len(domains))
+        )
         for engine in list(self._world.engines.values()):
-            if engine.domain in struck:
+            if engine.domain in affected_domains:
                 engine.is_unreachable = True
                 loop = asyncio.get_running_loop()
-                loop.call_later(fault.for_s, self._come_back, engine)
+                loop.call_later(fault.for_s, self._restart_unreachable, engine)
 
     def _models_of(self, domain):
-        """Return the models that the groups of a domain serve."""
+        """Return the models that the open groups of a domain serve."""
         return {
             engine.membership.model
             for engine in self._world.engines.values()
             if engine.domain == domain and engine.is_open_head
         }
 
-    def _come_back(self, engine):
+    def _restart_unreachable(self, engine):
         if self._world.engines.get(engine.id) is engine:
             self._world.restart_under_new_id(engine)
 
     def _add(self, fault):
-        domain = self._fault_luck.choice(sorted(self._settings.site.domains))
+        domain = self._fault_rng.choice(sorted(self._settings.site.domains))
         for _ in range(fault.count):
             self._world.add_engine(domain)
 
     def _crash(self, fault):
-        self._callers.crash(fault)
+        self._callers.send_crashing_requests(fault)
 
     def _silence(self, fault):
-        """Cut some daemons off from the others for a while."""
-        for daemon in self._fault_luck.sample(self._daemons, fault.count):
-            self._network.cut(daemon.name, fault.for_s)
-            self._heads.crashing.note_disturbance(daemon.name, fault.for_s)
+        """Isolate some daemons from the others for a while."""
+        for daemon in self._fault_rng.sample(self._daemons, fault.count):
+            self._network.isolate(daemon.name, fault.for_s)
+            self._heads.crash_oracle.record_disturbance(daemon.name, fault.for_s)
 
     def _forget(self, fault):
-        """Start some daemons anew, as far as others' messages go."""
-        for daemon in self._fault_luck.sample(self._daemons, fault.count):
-            daemon.forget()
-            self._heads.crashing.note_disturbance(daemon.name, 0.0)
+        """Reset the quarantines of some daemons, as a restart does."""
+        for daemon in self._fault_rng.sample(self._daemons, fault.count):
+            daemon.reset_quarantine()
+            self._heads.crash_oracle.record_disturbance(daemon.name, 0.0)
 
     def _burst(self, fault):
-        """Nothing is to be done when a burst begins: callers ask for the factor."""
+        """Do nothing when a burst begins; callers query :meth:`_burst_factor`."""
 
     def _burst_factor(self, kind, at_s):
-        """Return the factor on the rate of a kind of request at a time."""
+        """Return the factor on the request rate of a kind at a time."""
         factor = 1.0
         for fault in self._settings.faults:
-            is_meant = fault.kind == "burst" and fault.request in ("", kind)
-            if is_meant and any(t <= at_s < t + fault.for_s for t in fault.times()):
+            affects_kind = fault.kind == "burst" and fault.request in ("", kind)
+            if affects_kind and any(t <= at_s < t + fault.for_s for t in fault.times()):
                 factor *= fault.factor
         return factor
 
 
-def _scope(number, places, daemons):
-    """Return the :class:`DataCentreScope` of a daemon: those whose first one it is."""
-    own = [places[number]] if number < len(places) else []
+def _coordination_scope(number, data_centres, daemon_count):
+    """Return the :class:`DataCentreScope` of a daemon.
+
+    Each daemon coordinates the data centre of its number, and the first one also those
+    beyond the number of daemons.
+    """
+    coordinated = [data_centres[number]] if number < len(data_centres) else []
     if number == 0:
-        own += places[daemons:]
-    return DataCentreScope(own, min(len(places), daemons))
+        coordinated += data_centres[daemon_count:]
+    return DataCentreScope(coordinated, min(len(data_centres), daemon_count))
 
 
-def _spec(site, models):
+def _service_spec(site, models):
     times = EngineTimes(
         site.step_s,
         site.step_per_request_s,
@@ -350,5 +380,5 @@
 
 
 async def simulate(settings, seed):
-    """Play one run of an experiment and return its :class:`SiteResult`."""
+    """Simulate one run of an experiment and return its :class:`SiteResult`."""
     return await EmulatedSite(settings, seed).simulate()
--- a/cowslipcourse/emulator/site_file.py
+++ b/cowslipcourse/emulator/site_file.py
@@ -1,4 +1,4 @@
-"""Experiments as files: a site, its load, its faults, policies and seeds."""
+"""Settings of experiments: the site, its load, faults, policies and seeds."""
 
 from typing import Literal
 
@@ -23,10 +23,14 @@
 class KindSettings(Section):
     """A kind of request.
 
-    :param per_s: requests a second.
-    :param spread: standard deviation of prompts and answers, as a share of their mean.
-    :param worth: worth of an answer on time.
-    :param late_worth: worth of a late one.
+    :param per_s: mean arrival rate in requests per second.
+    :param events: mean number of events of an answer.
+    :param spread: standard deviation of the sizes of prompts and answers, as a fraction
+        of their means.
+    :param aim_s: objective for the time to the first event.
+    :param pause_s: objective for the longest pause between events.
+    :param worth: credit for an answer on time.
+    :param late_worth: credit for a late answer.
     """
 
     name: str
@@ -46,14 +50,16 @@
 class SiteSettings(Section):
     """Engines, daemons and load.
 
-    :param domains: data centre of each fabric domain, by domain.
-    :param engines_a_domain: engines in each at the start.
+    :param domains: data centre by fabric domain.
+    :param engines_a_domain: number of engines in each domain at the start.
     :param list_lag_s: age of the list of targets when daemons read it.
-    :param lapse_s: silence after which an engine is dropped from the list.
-    :param message_loss: share of messages between daemons that are lost.
-    :param message_late_s: longest time that one takes.
-    :param lead_s: seconds before the traffic starts; loads take a tenth then.
-    :param register_s: time over which the domains' engines are listed at the start.
+    :param lapse_s: time after which an unreachable engine is dropped from the list.
+    :param message_loss: fraction of messages between daemons that are lost.
+    :param message_late_s: maximum delay of a message between daemons.
+    :param lead_s: time before the traffic starts, during which loads take a tenth of
+        their usual time.
+    :param register_s: time over which the engines of the domains are listed at the
+        start; all are listed at once if 0.
     """
 
     domains: dict[str, str]
@@ -77,23 +83,25 @@
 
 
 class FaultSettings(Section):
-    """Something that happens, once or again and again.
-
-    :param kind: ``lose`` engines of groups for good, ``end`` their processes, which
-        start again after a while, make them ``restart`` under their ids, darken a whole
-        ``domain`` for a while, after which its engines come back under other ids,
-        ``add`` empty engines, let a ``burst`` of requests come, ``crash`` engines by
-        one request that comes at ``count`` daemons each time, ``silence`` daemons
-        towards the others, or let them ``forget`` what they know of such requests, as
-        in a new start.
-    :param at_s: first time, from the start of the traffic.
-    :param every_s: time between two; 0 for once.
-    :param until_s: no more after that.
-    :param count: engines or domains that are struck, or engines that are added.
-    :param for_s: how long it lasts, where it lasts.
-    :param factor: of a burst.
-    :param request: kind of request of a burst or crash; empty for all or the first.
-    :param model: only domains are darkened whose groups serve it; empty for any.
+    """A fault or another event, which occurs once or repeatedly.
+
+    :param kind: ``lose`` removes engines of groups for good. ``end`` crashes their
+        processes, which restart after a while. ``restart`` restarts them under the same
+        ids. ``domain`` makes a whole domain unreachable for a while, after which its
+        engines return under new ids. ``add`` adds engines without weights. ``burst``
+        raises the request rate. ``crash`` sends a request that crashes engines to
+        ``count`` daemons. ``silence`` isolates daemons from the others. ``forget``
+        makes daemons discard what they know of such requests, as a restart does.
+    :param at_s: first occurrence, from the start of the traffic.
+    :param every_s: interval between occurrences; 0 for a single one.
+    :param until_s: latest time of an occurrence.
+    :param count: number of engines, domains or daemons affected, or of engines added.
+    :param for_s: duration, for kinds that last.
+    :param factor: factor of a burst on the request rate.
+    :param request: kind of request of a burst or crash; if empty, all kinds for a
+        burst and the first kind for a crash.
+    :param model: restricts ``domain`` to domains whose groups serve this model; empty
+        for any.
     """
 
     kind: Literal[
@@ -109,18 +117,18 @@
     model: str = ""
 
     def times(self):
-        """Return the times at which it begins, in seconds."""
+        """Return the times of all occurrences, in seconds."""
         if not self.every_s:
             return [self.at_s]
-        number = int(max(0.0, self.until_s - self.at_s) / self.every_s) + 1
-        return [self.at_s + each * self.every_s for each in range(number)]
+        occurrence_count = int(max(0.0, self.until_s - self.at_s) / self.every_s) + 1
+        return [self.at_s + index * self.every_s for index in range(occurrence_count)]
 
 
 class ExperimentSettings(Section):
-    """File of an experiment.
+    """Settings of an experiment.
 
-    :param seconds: length of the traffic.
-    :param seeds: number of runs of each policy; run N of each has the same luck.
+    :param seconds: duration of the traffic.
+    :param seeds: number of runs of each policy; run N of every policy has seed N.
     :param policies: names from :mod:`cowslipcourse.emulator.policies`.
     """
 
@@ -134,12 +142,12 @@
     def problems(self):
         """See :class:`~cowslipcourse.settings_file.Section`."""
         models = {model.name for model in self.site.models}
-        wrong = [
+        model_problems = [
             ("faults.model", f"no model {fault.model!r}")
             for fault in self.faults
             if fault.model not in {"", *models}
         ]
-        return wrong + [
+        return model_problems + [
             ("site.kinds.model", f"no model {kind.model!r}")
             for kind in self.site.kinds
             if kind.model not in models
--- a/cowslipcourse/emulator/world.py
+++ b/cowslipcourse/emulator/world.py
@@ -1,8 +1,9 @@
-"""A store and engines in fake time, with an oracle that watches the groups.
+"""Emulated store and engines, with an oracle that checks the groups.
 
-The oracle knows two rules only. A group must not run a request unless every member
-has been ready under its name, epoch and list. An engine must not take a join of another
-group while the head of its own is open, or stands still and is not broken yet.
+The oracle checks two invariants. A group must not run a request unless every member has
+been ready with the same group name, epoch and member list. An engine must not accept a
+join of another group while the head of its current group is open, which includes a
+stalled head that has not broken yet, or closing.
 """
 
 import asyncio
@@ -28,19 +29,19 @@
 __all__ = ["Faults", "World"]
 
 CRASH_RESTART_S = 3.2
-"""Time from the end of an engine's process until its next life is listed."""
+"""Time from the crash of an engine's process until its next incarnation is listed."""
 
-COPY_S = 0.25
-"""Interval at which the store's rows are copied."""
-MOST_COPIES = 40
-"""Copies that are kept: ten seconds of them."""
+SNAPSHOT_INTERVAL_S = 0.25
+"""Interval at which snapshots of the store are taken."""
+MAX_SNAPSHOTS = 40
+"""Number of snapshots that are kept, which cover ten seconds."""
 
-BORN_MS = 1_790_000_000_000
-"""Time of day at which the first engine starts; each life has a number of its own."""
+FIRST_START_MS = 1_790_000_000_000
+"""Base of the incarnation numbers of engines, a time of day in milliseconds."""
 
 
 class Faults(NamedTuple):
-    """How often things go wrong.
+    """Probabilities of faults.
 
     :param late_order_fraction: fraction of orders executed 2 to 12 s late and not
         acknowledged.
@@ -63,19 +64,21 @@
 
 
 class World:
-    """Store, engines and faults; meets ``RowStore`` and ``EngineControl``.
+    """Emulated store and engines with faults; meets ``RowStore`` and ``EngineControl``.
 
     :param rng: :class:`random.Random`
     :param faults: :class:`Faults`
-    :param models: :class:`~cowslipcourse.routes.EngineModel` list that they serve.
-    :param data_centres: data centre by domain; one for all if it is left out.
-    :param remembers_models: whether an engine joins quickly, too, if it has left its
-        last group of the model. The users' engines do; the duels' runs began without.
-    :param loads_take_time: whether weights reach a host some time after the order.
+    :param models: :class:`~cowslipcourse.routes.EngineModel` list of the engines.
+    :param data_centres: data centre by domain; all domains share one if omitted.
+    :param remembers_models: whether an engine also rejoins quickly after it has left
+        its last group of the model, as production engines do. Runs that compare
+        variants of the coordinator leave it off.
+    :param loads_take_time: whether staged weights reach a host some time after the
+        order, instead of at once.
     """
 
     reports_eras = True
-    """Whether versions are points, as the store client makes them."""
+    """Whether versions include the store's era, as those of the store client do."""
 
     def __init__(
         self,
@@ -95,137 +98,148 @@
         self._rows = {}
         self._version = 0
         self._era = 0
-        self._copies = deque(maxlen=MOST_COPIES)
-        self._away_until = 0.0
-        self._joined = {}
-        self._ready = set()
+        self._snapshots = deque(maxlen=MAX_SNAPSHOTS)
+        self._store_unavailable_until = 0.0
+        self._members_by_epoch = {}
+        self._ready_members = set()
         self._data_centres = data_centres or {}
         self.remembers_models = remembers_models
         self.loads_take_time = loads_take_time
         self.reports_incarnations = True
-        self._born = 0
-        self._lives = 0
+        self._engine_count = 0
+        self._incarnation_count = 0
         self.past_entries = []
-        self.crashed = set()
+        self.crashed_addresses = set()
 
     def data_centre_of(self, domain):
-        """Return the data centre that a domain is in."""
+        """Return the data centre of a domain."""
         return self._data_centres.get(domain, "dc")
 
     def add_engine(self, domain, staged=()):
         """Start an engine and return it."""
-        self._born += 1
-        return self._start(f"e{self._born}", domain, staged)
+        self._engine_count += 1
+        return self._start(f"e{self._engine_count}", domain, staged)
 
     def _start(self, engine_id, domain, staged, address=None):
-        self._lives += 1
-        born = BORN_MS + self._lives
+        self._incarnation_count += 1
+        incarnation = FIRST_START_MS + self._incarnation_count
         address = address or f"{engine_id}:1"
-        engine = Engine(self, engine_id, domain, staged, born, address)
+        engine = Engine(self, engine_id, domain, staged, incarnation, address)
         self.engines[engine_id] = engine
         return engine
 
     def restart_under_new_id(self, engine):
-        """Start an engine again at its address under another id."""
+        """Restart an engine at its address under a new id."""
         self.past_entries.append(engine.entry())
         self.engines.pop(engine.id, None)
-        self._born += 1
-        new_id = f"e{self._born}"
+        self._engine_count += 1
+        new_id = f"e{self._engine_count}"
         return self._start(new_id, engine.domain, engine.staged, engine.address)
 
-    def _at(self, address):
-        """Return the engine that answers at an address, or ``None``."""
+    def _engine_at(self, address):
+        """Return the reachable engine at an address, or ``None``."""
         for engine in self.engines.values():
             if engine.address == address and not engine.is_unreachable:
                 return engine
         return None
 
     def restart(self, engine):
-        """Start an engine again under its id: its host keeps the weights, no more."""
+        """Restart an engine under its id; only the weights on its host are kept."""
         self.past_entries.append(engine.entry())
         return self._start(engine.id, engine.domain, engine.staged)
 
     def crash(self, engine):
-        """End an engine's process; another life comes to its host after a while."""
+        """Crash an engine; its host restarts it after :data:`CRASH_RESTART_S`."""
         self.engines.pop(engine.id, None)
-        self.crashed.add(engine.address)
+        self.crashed_addresses.add(engine.address)
         loop = asyncio.get_running_loop()
-        loop.call_later(CRASH_RESTART_S, self._come_back, engine)
+        loop.call_later(CRASH_RESTART_S, self._restart_crashed, engine)
 
-    def _come_back(self, engine):
-        self.crashed.discard(engine.address)
+    def _restart_crashed(self, engine):
+        self.crashed_addresses.discard(engine.address)
         self.restart_under_new_id(engine)
 
     def entries(self):
-        """Return the platform's list: engines that are not dark."""
+        """Return the platform's list, which holds the reachable engines."""
         return [e.entry() for e in self.engines.values() if not e.is_unreachable]
 
     async def run(self):
-        """Let requests come to every open group, for ever."""
+        """Update all engines and take snapshots of the store; runs forever."""
         loop = asyncio.get_running_loop()
         while True:
             await asyncio.sleep(0.02)
-            self._copy(loop.time())
+            self._take_snapshot(loop.time())
             for engine in list(self.engines.values()):
-                engine.look(loop.time())
-                engine.note_report(loop.time())
+                engine.update(loop.time())
+                engine.record_report(loop.time())
 
     # The oracle.
 
-    def note_ready(self, engine):
-        """Remember that an engine was ready in its group."""
-        found = engine.membership
-        life = engine.id, engine.incarnation
-        self._ready.add((life, found.group, found.epoch, engine.members))
+    def record_ready(self, engine):
+        """Record that an engine was ready in its group."""
+        membership = engine.membership
+        engine_incarnation = engine.id, engine.incarnation
+        self._ready_members.add(
+            (engine_incarnation, membership.group, membership.epoch, engine.members)
+        )
 
-    def lives_of(self, members):
-        """Return the present lives of engines by id; those that are gone have none."""
+    def incarnations_of(self, members):
+        """Return the incarnations by id of those engines that still exist."""
         return {m: self.engines[m].incarnation for m in members if m in self.engines}
 
     def is_complete(self, head):
-        """Whether a head and all members are in their group and live.
+        """Whether a head and all members run and are in its group.
 
-        A member that has started again since the head opened is lost to the group, even
-        if a late order to its earlier life joins it again: nothing moves then.
+        A member that has restarted since the head opened is lost to the group, even if
+        a late order to its earlier incarnation joins it again: the group stalls then.
         """
-        found = head.membership
-        if self.lives_of(head.members) != head.opened_lives:
+        membership = head.membership
+        if self.incarnations_of(head.members) != head.opened_incarnations:
             return False
         engines = [self.engines.get(member) for member in head.members]
         return all(
-            engine is not None and engine._is_in(found.group, found.epoch)
+            engine is not None and engine._is_in(membership.group, membership.epoch)
             for engine in engines
         )
 
-    def check_whole(self, head):
-        """Check a group that runs a request."""
-        found = head.membership
-        size = self.models[found.model].size
-        lives = [(m, self.engines[m].incarnation) for m in head.members]
-        ready = all(
-            (life, found.group, found.epoch, head.members) in self._ready
-            for life in lives
+    def check_running_group(self, head):
+        """Check that a group that runs requests has all members, and all were ready."""
+        membership = head.membership
+        size = self.models[membership.model].size
+        engine_incarnations = [(m, self.engines[m].incarnation) for m in head.members]
+        all_ready = all(
+            (engine_incarnation, membership.group, membership.epoch, head.members)
+            in self._ready_members
+            for engine_incarnation in engine_incarnations
         )
-        if len(set(head.members)) != size or not ready:
-            self.violations.append(f"partial: {found} {head.members}")
-        self.served.add((found.group, found.epoch))
+        if len(set(head.members)) != size or not all_ready:
+            self.violations.append(
+                f"group runs incomplete: {membership}, members {head.members}"
+            )
+        self.served.add((membership.group, membership.epoch))
 
     def check_join(self, engine, order):
-        """Check an engine that is about to take a join."""
-        meant = self._joined.setdefault((order.group, order.epoch), order.members)
-        if meant != order.members:
-            self.violations.append(f"epoch given out twice: {meant} {order}")
-        found = engine.membership
-        if found is None or found.group == order.group:
+        """Check an engine that is about to join a group."""
+        first_members = self._members_by_epoch.setdefault(
+            (order.group, order.epoch), order.members
+        )
+        if first_members != order.members:
+            self.violations.append(
+                f"epoch assigned twice: first members {first_members}, order {order}"
+            )
+        membership = engine.membership
+        if membership is None or membership.group == order.group:
             return
         head = self.engines.get(engine.members[0])
         if (
             head is not None
             and (head.is_open_head or head.is_closing_head)
             and (head.membership.group, head.membership.epoch)
-            == (found.group, found.epoch)
+            == (membership.group, membership.epoch)
         ):
-            self.violations.append(f"two: {engine.id} {found} {order}")
+            self.violations.append(
+                f"second group joined: {engine.id}, in {membership}, order {order}"
+            )
 
     # The store.
 
@@ -236,58 +250,67 @@
 
     async def read_table(self, table):
         """See :class:`~cowslipcourse.ports.RowStore`."""
-        await self._store_call()
+        await self._enter_store_call()
         rows = [
-            row._replace(version=self._point(row.version))
+            row._replace(version=self._packed_version(row.version))
             for (name, _), row in self._rows.items()
             if name == table
         ]
-        return RowChanges(tuple(rows), self._point(self._version))
+        return RowChanges(tuple(rows), self._packed_version(self._version))
 
-    def _point(self, version):
+    def _packed_version(self, version):
         return pack_version(self.era, version)
 
-    def _copy(self, now):
-        if not self._copies or now - self._copies[-1][0] >= COPY_S:
-            self._copies.append((now, dict(self._rows), self._version))
+    def _take_snapshot(self, now):
+        if not self._snapshots or now - self._snapshots[-1][0] >= SNAPSHOT_INTERVAL_S:
+            self._snapshots.append((now, dict(self._rows), self._version))
 
-    def restore_older_copy(self, age_s, away_s):
-        """Let the store be away, and come back as it was some seconds before.
+    def restore_older_copy(self, age_s, downtime_s):
+        """Take the store down and restore it from an older snapshot.
 
-        :param age_s: age of the copy in seconds; the oldest one kept if that is less.
-        :param away_s: seconds for which no call is answered.
+        :param age_s: minimum age of the snapshot in seconds; the oldest snapshot is
+            restored if none is that old.
+        :param downtime_s: seconds for which all calls fail.
         """
         now = asyncio.get_running_loop().time()
-        older = [copy for copy in self._copies if copy[0] <= now - age_s]
-        _, rows, version = older[-1] if older else self._copies[0]
+        older_snapshots = [
+            snapshot for snapshot in self._snapshots if snapshot[0] <= now - age_s
+        ]
+        _, rows, version = (
+            older_snapshots[-1] if older_snapshots else self._snapshots[0]
+        )
         self._rows, self._version = dict(rows), version
         self._era += 1
-        self._copies.clear()
-        self._away_until = now + away_s
+        self._snapshots.clear()
+        self._store_unavailable_until = now + downtime_s
 
     async def write(self, row_write):
         """See :class:`~cowslipcourse.ports.RowStore`."""
-        await self._store_call()
+        await self._enter_store_call()
         key = row_write.table, row_write.key
-        known = self._rows[key].version if key in self._rows else 0
+        current_version = self._rows[key].version if key in self._rows else 0
         expected = row_write.expected_version
-        if expected is not None and unpack_version(expected) != known:
+        if expected is not None and unpack_version(expected) != current_version:
             raise ConditionFailed([row_write.key])
         self._version += 1
         self._rows[key] = StoredRow(row_write.key, row_write.value, self._version)
-        version = self._point(self._version)
+        version = self._packed_version(self._version)
         if self.rng.random() < self.faults.store_failure_fraction:
-            raise ReplyLost("the answer was lost")
+            raise ReplyLost("the reply was lost")
         if expected and era_of(expected) != era_of(version):
-            raise ReplyLost("the store has come back older since the row was read")
+            raise ReplyLost(
+                "the store was restored from an older copy since the row was read"
+            )
         await self._pause()
         return version
 
-    async def _store_call(self):
+    async def _enter_store_call(self):
         await asyncio.sleep(0.004)
         await self._pause()
-        is_away = asyncio.get_running_loop().time() < self._away_until
-        if is_away or self.rng.random() < self.faults.store_failure_fraction:
+        is_unavailable = (
+            asyncio.get_running_loop().time() < self._store_unavailable_until
+        )
+        if is_unavailable or self.rng.random() < self.faults.store_failure_fraction:
             raise StoreUnavailable("busy")
 
     async def _pause(self):
@@ -299,12 +322,12 @@
     async def report(self, entry):
         """See :class:`~cowslipcourse.ports.EngineControl`."""
         await asyncio.sleep(0.003)
-        # Whoever has the address answers: a report does not say whose it is.
-        engine = self._at(entry.address)
+        # The engine at the address answers, as reports do not name their engine.
+        engine = self._engine_at(entry.address)
         if engine is None:
             await asyncio.sleep(0.15)
-            raise TargetUnreachable("dark")
-        report = engine.lagging_report()
+            raise TargetUnreachable("the engine is unreachable")
+        report = engine.delayed_report()
         await self._pause()
         return report
 
@@ -312,22 +335,22 @@
         """See :class:`~cowslipcourse.ports.EngineControl`."""
         await self._pause()
         await asyncio.sleep(0.003)
-        luck = self.rng.random()
-        if luck < self.faults.late_order_fraction:
+        draw = self.rng.random()
+        if draw < self.faults.late_order_fraction:
             loop = asyncio.get_running_loop()
-            loop.call_later(self.rng.uniform(2, 12), self._carry_out, entry, order)
+            loop.call_later(self.rng.uniform(2, 12), self._execute_order, entry, order)
             raise TargetUnreachable("no answer")
-        if luck < self.faults.late_order_fraction + self.faults.lost_order_fraction:
-            raise TargetUnreachable("lost")
-        answer = self._carry_out(entry, order)
-        unanswered = self.rng.random() < self.faults.unanswered_order_fraction
-        if answer is None or unanswered:
+        if draw < self.faults.late_order_fraction + self.faults.lost_order_fraction:
+            raise TargetUnreachable("the order was lost")
+        result = self._execute_order(entry, order)
+        is_unanswered = self.rng.random() < self.faults.unanswered_order_fraction
+        if result is None or is_unanswered:
             raise TargetUnreachable("no answer")
         await self._pause()
-        return answer
+        return result
 
-    def _carry_out(self, entry, order):
-        engine = self._at(entry.address)
+    def _execute_order(self, entry, order):
+        engine = self._engine_at(entry.address)
         if engine is None:
             return None
         if engine.id != entry.id:
