--- a/cowslipcourse/emulator/batches.py
+++ b/cowslipcourse/emulator/batches.py
@@ -12,7 +12,7 @@
 from cowslipcourse.exceptions import IncompleteResponse
 from cowslipcourse.ports import GroupState
 
-__all__ = ["CRASH_S", "BatchedRequest", "GroupBatch"]
+__all__ = ["CRASH_DELAY_S", "BatchedRequest", "GroupBatch"]
 
 QUEUE_TO_SLOTS_RATIO = 1.0
 """Maximum number of requests that wait at a head, relative to its slots."""
@@ -31,8 +31,8 @@
     :param urgency: urgency from 0, the most urgent.
     :param deliver: called with the number of each event and whether it is the last.
     :param interrupt: called with an error if the request is interrupted.
-    :param on_crash_start: called when the request starts to run, if it crashes the engine
-        that runs it.
+    :param on_crash_start: called when the request starts to run, if it crashes the
+        engine that runs it.
     """
 
     def __init__(
--- a/cowslipcourse/emulator/callers.py
+++ b/cowslipcourse/emulator/callers.py
@@ -176,7 +176,7 @@
             self.records.append(CallRecord(kind.name, at_s, outcome, attempt_count))
 
     async def _send_once(self, kind, size, responder, deadline, content):
-        """Return ``(None, 0)`` after a complete answer, else the outcome and wait in s."""
+        """Return ``(None, 0)`` after a complete answer, else outcome and wait in s."""
         loop = asyncio.get_running_loop()
         remaining_s = deadline - loop.time()
         call = Call(
--- a/cowslipcourse/emulator/connections.py
+++ b/cowslipcourse/emulator/connections.py
@@ -12,7 +12,7 @@
 from cowslipcourse.exchange import ResponseHead
 from cowslipcourse.platform.edge import MISDIRECTED_REQUEST, not_executed_head
 
-__all__ = ["EmulatedAttemptSender", "Heads"]
+__all__ = ["EmulatedAttemptSender", "GroupHeads"]
 
 LINK_DELAY_S = 0.001
 """One-way delay between a daemon and an engine."""
--- a/cowslipcourse/emulator/site.py
+++ b/cowslipcourse/emulator/site.py
@@ -186,7 +186,7 @@
             loop.call_later(2 * LINK_DELAY_S, daemon.apply_group_update, update)
 
     async def _run_heartbeats(self):
-        """Send each daemon the in-flight counts of the others, delayed by one interval."""
+        """Send each daemon the in-flight counts of the others, one interval late."""
         while True:
             in_flight_by_daemon = [
                 dict(daemon.fleet.in_flight) for daemon in self._daemons
