--- a/measurements/routing.py
+++ b/measurements/routing.py
@@ -1,4 +1,6 @@
-"""Routing policies: first token and goodput, as ratios to random choice.
+"""Routing policies: time to first token, goodput and cache use in simulated load.
+
+Times to first token are also given as ratios to random choice with the same seeds.
 
 Run: ``.venv/bin/python -m measurements.routing``
 """
@@ -13,58 +15,72 @@
     RandomChoice,
     RoundRobin,
 )
-from measurements.load_driver import LoadShape, percentile, run_load
+from measurements.load_driver import LoadShape, percentile, simulate_load
 
 SEEDS = 20
 POLICIES = (RandomChoice, RoundRobin, LeastInFlight, LeastExpectedWait)
 SHAPES = {
-    "1 gateway": LoadShape(gateways=1),
-    "8 gateways": LoadShape(gateways=8),
-    "64 gateways": LoadShape(gateways=64),
-    "64 gateways, lag 0.2 s": LoadShape(gateways=64, lag_s=0.2),
-    "64 gateways, lag 5 s": LoadShape(gateways=64, lag_s=5.0),
-    "8 gateways, 2 stragglers at 3x": LoadShape(gateways=8, stragglers=2),
-    "8 gateways, 200 shared prefixes": LoadShape(gateways=8, prefixes=200),
-    "8 gateways, one target dies": LoadShape(gateways=8, dying=True, load=0.6),
+    "1 gateway": LoadShape(gateway_count=1),
+    "8 gateways": LoadShape(gateway_count=8),
+    "64 gateways": LoadShape(gateway_count=64),
+    "64 gateways, lag 0.2 s": LoadShape(gateway_count=64, report_lag_s=0.2),
+    "64 gateways, lag 5 s": LoadShape(gateway_count=64, report_lag_s=5.0),
+    "8 gateways, 2 stragglers at 3x": LoadShape(gateway_count=8, straggler_count=2),
+    "8 gateways, 200 shared prefixes": LoadShape(gateway_count=8, prefix_count=200),
+    "8 gateways, one target fails": LoadShape(
+        gateway_count=8, target_fails=True, load_factor=0.6
+    ),
 }
 
 
-def one(shape, policy_type, seed):
-    """Return the figures of one run."""
-    found = run_load(shape, policy_type, seed)
+def measure_run(shape, policy_type, seed):
+    """Return the measured values of one run.
+
+    :param shape: :class:`~measurements.load_driver.LoadShape`
+    :param policy_type: type of the routing policy.
+    :param seed: seed of the run.
+    """
+    result = simulate_load(shape, policy_type, seed)
     return (
-        percentile(found.first_s, 50),
-        percentile(found.first_s, 95),
-        percentile(found.first_s, 99),
-        found.in_time / found.offered,
-        found.prefill_tokens / max(1, found.prompt_tokens),
-        found.busiest,
+        percentile(result.first_token_s, 50),
+        percentile(result.first_token_s, 95),
+        percentile(result.first_token_s, 99),
+        result.in_time_count / result.offered_count,
+        result.prefill_tokens / max(1, result.prompt_tokens),
+        result.busiest_target_ratio,
     )
 
 
 def main():
-    """Print a table for each shape."""
+    """Print a table of all policies for each shape."""
     with ProcessPoolExecutor() as pool:
         for title, shape in SHAPES.items():
-            print(f"\n{title} (load {shape.load}, lag {shape.lag_s} s, {SEEDS} seeds)")
-            base = None
+            print(
+                f"\n{title} (load {shape.load_factor}, lag {shape.report_lag_s} s, "
+                f"{SEEDS} seeds)"
+            )
+            baseline = None
             for policy_type in POLICIES:
-                running = [
-                    pool.submit(one, shape, policy_type, s) for s in range(SEEDS)
+                futures = [
+                    pool.submit(measure_run, shape, policy_type, seed)
+                    for seed in range(SEEDS)
                 ]
-                figures = np.array([item.result() for item in running])
-                base = figures if base is None else base
-                ratio = figures[:, :3] / base[:, :3]
-                error = ratio.std(axis=0, ddof=1) / np.sqrt(SEEDS)
-                mean = figures.mean(axis=0)
-                ratios = "  ".join(
-                    f"x{r:.2f}+-{e:.2f}"
-                    for r, e in zip(ratio.mean(axis=0), error, strict=True)
+                values = np.array([future.result() for future in futures])
+                baseline = values if baseline is None else baseline
+                ratios_by_seed = values[:, :3] / baseline[:, :3]
+                standard_error = ratios_by_seed.std(axis=0, ddof=1) / np.sqrt(SEEDS)
+                mean = values.mean(axis=0)
+                ratios_text = "  ".join(
+                    f"x{ratio:.2f}+-{error:.2f}"
+                    for ratio, error in zip(
+                        ratios_by_seed.mean(axis=0), standard_error, strict=True
+                    )
                 )
                 print(
-                    f"  {policy_type.__name__:18} first p50/95/99 "
-                    f"{mean[0]:.2f} {mean[1]:.2f} {mean[2]:.2f} s ({ratios})  in time "
-                    f"{mean[3]:.1%}  prefill {mean[4]:.0%}  busiest {mean[5]:.2f}",
+                    f"  {policy_type.__name__:18} first token p50/95/99 "
+                    f"{mean[0]:.2f} {mean[1]:.2f} {mean[2]:.2f} s ({ratios_text})  "
+                    f"in time {mean[3]:.1%}  prefill {mean[4]:.0%}  "
+                    f"busiest {mean[5]:.2f}",
                     flush=True,
                 )
 
