--- a/cowslipcourse/cli/edit_commands.py
+++ b/cowslipcourse/cli/edit_commands.py
@@ -48,16 +48,16 @@
     return {"kind": kind, "name": name, "value": value}
 
 
-def _configuration_changes(current, target_configuration):
+def _configuration_changes(current_configuration, target_configuration):
     """Return the changes that turn one configuration into another.
 
-    :param current: values by kind and name.
+    :param current_configuration: values by kind and name.
     :param target_configuration: the same, as it is to become.
     """
     changes = []
     for kind in KINDS:
         current_objects, target_objects = (
-            current.get(kind, {}),
+            current_configuration.get(kind, {}),
             target_configuration.get(kind, {}),
         )
         for name in sorted({*current_objects, *target_objects}):
@@ -161,15 +161,19 @@
         path = self.argument("path")
         changes = parse_documents(_read_configuration_files(path))
         response = self.client.get("/v1/configuration")
-        current = response["configuration"]
+        current_configuration = response["configuration"]
         target_configuration = (
-            {} if self.option("prune") else {k: dict(v) for k, v in current.items()}
+            {}
+            if self.option("prune")
+            else {k: dict(v) for k, v in current_configuration.items()}
         )
         for object_ref, value in changes:
             target_configuration.setdefault(object_ref.kind, {})[object_ref.name] = (
                 value.model_dump(mode="json")
             )
-        configuration_changes = _configuration_changes(current, target_configuration)
+        configuration_changes = _configuration_changes(
+            current_configuration, target_configuration
+        )
         return self.send_edit(configuration_changes, response["revision"], path)
 
 
--- a/cowslipcourse/exceptions.py
+++ b/cowslipcourse/exceptions.py
@@ -443,7 +443,7 @@
 
 
 class CallerDisconnected(RequestError):
-    """The caller closed its connection before the answer was complete."""
+    """The caller closed its connection before the response was complete."""
 
     code = "caller-gone"
     status = 499
--- a/cowslipcourse/gateway/claims.py
+++ b/cowslipcourse/gateway/claims.py
@@ -111,7 +111,7 @@
         )
 
     async def _read_back(self, row_key, claim, future):
-        """Set the result to the claim in the table, which is in force."""
+        """Set the result to the claim in the table, whatever the commit replied."""
         for attempt in range(MAX_READ_BACK_ATTEMPTS):
             try:
                 row = await self._table.read(row_key)
