--- a/features/steps/ending_steps.py
+++ b/features/steps/ending_steps.py
@@ -6,12 +6,12 @@
 import aiohttp
 from behave import then, when
 
-from features.steps.platform_steps import _call, _play, _ready, _until
-from features.support.platform_site import ENDS, HOST, KEY, stream_events
+from features.steps.platform_steps import _all_ready, _call, _run_in_loop, _wait_until
+from features.support.platform_site import CRASH_PREFIX, HOST, KEY, stream_events
 
 CALM_S = 3.0
 AGAIN_S = 0.5
-PATHS = {"stream": f"/draft/{ENDS}x", "booking": f"/book/{ENDS}x"}
+PATHS = {"stream": f"/draft/{CRASH_PREFIX}x", "booking": f"/book/{CRASH_PREFIX}x"}
 
 
 async def _ending_call(session, front, path, number):
@@ -33,7 +33,7 @@
 
 
 async def _at_all(context, session, path):
-    fronts = context.platform.fronts.values()
+    fronts = context.platform.front_addresses.values()
     calls = []
     for front in fronts:
         context.number += 1
@@ -53,7 +53,7 @@
 
     async def others(session):
         number = 0
-        fronts = list(site.fronts.values())
+        fronts = list(site.front_addresses.values())
         while True:
             number += 1
             name = f"o{number}"
@@ -79,7 +79,7 @@
                 task.cancel()
             await asyncio.gather(*beside, return_exceptions=True)
 
-    _play(context, act())
+    _run_in_loop(context, act())
 
 
 @then(
@@ -107,15 +107,15 @@
             site.processes[name].wait()
         for name in list(site.processes):
             site.start_daemon(name)
-        await _until(lambda: _ready(site), "daemons that serve")
-        context.ends_before = len(site.ends)
+        await _wait_until(lambda: _all_ready(site), "daemons that serve")
+        context.ends_before = len(site.crashes)
         async with aiohttp.ClientSession() as session:
             context.last = await _at_all(context, session, context.path)
 
-    _play(context, act())
+    _run_in_loop(context, act())
 
 
 @then("it is refused by all of them, and no target ends")
 def step_refused(context):
     assert [status for status, _, _ in context.last] == [503] * 3, context.last
-    assert len(context.platform.ends) == context.ends_before
+    assert len(context.platform.crashes) == context.ends_before
--- a/features/steps/era_steps.py
+++ b/features/steps/era_steps.py
@@ -77,7 +77,7 @@
 def _restore(rows, copy):
     """Restore rows from a copy and write until the version before is reached again."""
     version = rows.version
-    rows.come_back(copy)
+    rows.restore(copy)
     while rows.version < version:
         rows.put(TABLE, "other", b"3")
 
@@ -110,7 +110,7 @@
 
     async def use_client(client):
         version = await client.write(RowWrite(TABLE, "b", b"2"))
-        context.rows.come_back(copy)
+        context.rows.restore(copy)
         context.rows.put(TABLE, "b", b"by another")
         for _ in range(2):
             write = RowWrite(TABLE, "b", b"4", version)
--- a/features/steps/platform_steps.py
+++ b/features/steps/platform_steps.py
@@ -1,4 +1,4 @@
-"""Steps over daemons as separate processes on a small platform."""
+"""Steps for daemon processes on a small platform."""
 
 import asyncio
 import itertools
@@ -15,25 +15,25 @@
 from features.support.platform_site import HOST, KEY, PlatformSite, stream_events
 from harness.ports import free_ports
 
-PATIENCE_S = 20.0
-LOOK_S = 0.1
-WRITTEN = ("groups", "daemons", "quarantine")
-"""Tables that the system writes to."""
-_attempts = itertools.count(1)
+WAIT_TIMEOUT_S = 20.0
+POLL_INTERVAL_S = 0.1
+SYSTEM_TABLES = ("groups", "daemons", "quarantine")
+"""Tables that the daemons write."""
+_attempt_numbers = itertools.count(1)
 
 
-async def _until(condition, what):
-    for _ in range(int(PATIENCE_S / LOOK_S)):
+async def _wait_until(condition, what):
+    for _ in range(int(WAIT_TIMEOUT_S / POLL_INTERVAL_S)):
         if await condition():
             return
-        await asyncio.sleep(LOOK_S)
-    raise AssertionError(f"waited in vain: {what}")
+        await asyncio.sleep(POLL_INTERVAL_S)
+    raise AssertionError(f"condition did not hold in time: {what}")
 
 
 async def _call(session, front, path, key=KEY, method="POST"):
     headers = {
         "Host": HOST,
-        "X-Attempt-Id": f"t{next(_attempts)}",
+        "X-Attempt-Id": f"t{next(_attempt_numbers)}",
         "X-Model": "large",
         "X-Time-Budget-Ms": "8000",
         "Authorization": f"Bearer {key}",
@@ -44,7 +44,7 @@
         return response.status, await response.read(), headers["X-Attempt-Id"]
 
 
-def _open_groups(site, model=None):
+def _serving_heads(site, model=None):
     """Return the heads of serving groups by group name."""
     return {
         engine.membership.group: engine
@@ -56,25 +56,25 @@
     }
 
 
-async def _ready(site):
+async def _all_ready(site):
     async with aiohttp.ClientSession() as session:
-        for front in site.fronts.values():
+        for front in site.front_addresses.values():
             try:
                 status, _, _ = await _call(session, front, "/draft/x")
             except aiohttp.ClientError:
                 return False
             if status != 200:
                 return False
-    return len(_open_groups(site)) >= 4
+    return len(_serving_heads(site)) >= 4
 
 
-def _play(context, act):
-    """Run a scenario's acts in one loop: the platform lives in it."""
-    context.runner.run(act)
+def _run_in_loop(context, actions):
+    """Run a coroutine in the scenario's event loop, which the platform runs in."""
+    context.runner.run(actions)
 
 
 @given("a platform with three daemons, whose groups serve")
-def step_platform(context):
+def step_serving_platform(context):
     context.runner = asyncio.Runner()
     context.site = None
     context.platform = PlatformSite()
@@ -85,16 +85,16 @@
 
     context.resources.callback(clean_up)
 
-    async def act():
+    async def actions():
         await context.platform.start()
-        await _until(lambda: _ready(context.platform), "groups that serve")
+        await _wait_until(lambda: _all_ready(context.platform), "groups that serve")
 
-    _play(context, act())
+    _run_in_loop(context, actions())
 
 
-async def _stream_many(site, number, fronts, meanwhile=None):
+async def _stream_many(site, caller_count, fronts, during_streams=None):
     async with aiohttp.ClientSession() as session:
-        names = [f"s{next(_attempts)}" for _ in range(number)]
+        names = [f"s{next(_attempt_numbers)}" for _ in range(caller_count)]
         calls = [
             asyncio.create_task(
                 _call(
@@ -103,43 +103,49 @@
             )
             for index, name in enumerate(names)
         ]
-        if meanwhile is not None:
+        if during_streams is not None:
             await asyncio.sleep(0.2)
-            await meanwhile()
+            await during_streams()
         answers = await asyncio.gather(*calls)
     return list(zip(names, answers, strict=True))
 
 
-@when("{number:d} callers stream")
-def step_stream(context, number):
+@when("{caller_count:d} callers stream")
+def step_stream(context, caller_count):
     site = context.platform
-    fronts = list(site.fronts.values())
-    context.answers = context.runner.run(_stream_many(site, number, fronts))
+    fronts = list(site.front_addresses.values())
+    context.stream_answers = context.runner.run(
+        _stream_many(site, caller_count, fronts)
+    )
 
 
 def _kill_member(context):
-    async def act():
-        head = next(iter(_open_groups(context.platform, "large").values()))
-        context.group = head.membership.group
-        context.epoch = head.membership.epoch
+    async def actions():
+        head = next(iter(_serving_heads(context.platform, "large").values()))
+        context.lost_group = head.membership.group
+        context.lost_epoch = head.membership.epoch
         del context.platform.world.engines[head.members[-1]]
 
-    return act
+    return actions
 
 
-@when("{number:d} callers stream and the store comes back as it was before")
-def step_store_comes_back(context, number):
+@when("{caller_count:d} callers stream and the store comes back as it was before")
+def step_store_comes_back(context, caller_count):
     site = context.platform
-    context.groups = {(g, h.membership.epoch) for g, h in _open_groups(site).items()}
+    context.epochs_before = {
+        (g, h.membership.epoch) for g, h in _serving_heads(site).items()
+    }
 
-    async def come_back():
-        first = {k: row for k, row in site.store.rows.items() if k[0] not in WRITTEN}
-        for lost in site.store.come_back((first, len(first))):
-            site.store.write_again(*lost)
+    async def restore():
+        first = {
+            k: row for k, row in site.store.rows.items() if k[0] not in SYSTEM_TABLES
+        }
+        for lost in site.store.restore((first, len(first))):
+            site.store.rewrite_lost_row(*lost)
 
-    fronts = list(site.fronts.values())
-    acts = _stream_many(site, number, fronts, come_back)
-    context.answers = context.runner.run(acts)
+    fronts = list(site.front_addresses.values())
+    streams = _stream_many(site, caller_count, fronts, restore)
+    context.stream_answers = context.runner.run(streams)
 
 
 @then("the store holds the registrations of all daemons again")
@@ -150,7 +156,7 @@
         registered = {key for table, key in site.store.rows if table == "daemons"}
         return registered == set(site.processes)
 
-    _play(context, _until(are_written, "registrations in the store"))
+    _run_in_loop(context, _wait_until(are_written, "registrations in the store"))
 
 
 @then("the same groups serve and the store holds their plans again")
@@ -163,53 +169,57 @@
             "d2",
         }
 
-    _play(context, _until(are_written, "plans in the store"))
-    serving = {(g, h.membership.epoch) for g, h in _open_groups(site).items()}
-    assert serving == context.groups, (serving, context.groups)
+    _run_in_loop(context, _wait_until(are_written, "plans in the store"))
+    serving = {(g, h.membership.epoch) for g, h in _serving_heads(site).items()}
+    assert serving == context.epochs_before, (serving, context.epochs_before)
 
 
-@when("{number:d} callers stream and a member of a serving group dies meanwhile")
-def step_member_dies(context, number):
-    fronts = list(context.platform.fronts.values())
-    context.answers = context.runner.run(
-        _stream_many(context.platform, number, fronts, _kill_member(context))
+@when("{caller_count:d} callers stream and a member of a serving group dies meanwhile")
+def step_member_dies(context, caller_count):
+    fronts = list(context.platform.front_addresses.values())
+    context.stream_answers = context.runner.run(
+        _stream_many(context.platform, caller_count, fronts, _kill_member(context))
     )
 
 
 @when(
-    "{number:d} callers stream at the others and a member of a serving group "
+    "{caller_count:d} callers stream at the others and a member of a serving group "
     "dies meanwhile"
 )
-def step_member_dies_others(context, number):
+def step_member_dies_others(context, caller_count):
     site = context.platform
-    fronts = [site.fronts[name] for name in site.fronts if name != context.killed]
-    context.answers = context.runner.run(
-        _stream_many(site, number, fronts, _kill_member(context))
+    fronts = [
+        site.front_addresses[name]
+        for name in site.front_addresses
+        if name != context.killed_daemon
+    ]
+    context.stream_answers = context.runner.run(
+        _stream_many(site, caller_count, fronts, _kill_member(context))
     )
 
 
 @when("the coordinator is killed")
 def step_kill_coordinator(context):
-    async def act():
-        await _until(lambda: _is_there(context.platform), "a coordinator")
-        context.killed = context.platform.coordinator()
-        context.platform.kill(context.killed)
+    async def actions():
+        await _wait_until(lambda: _has_coordinator(context.platform), "a coordinator")
+        context.killed_daemon = context.platform.coordinator()
+        context.platform.kill(context.killed_daemon)
 
-    _play(context, act())
+    _run_in_loop(context, actions())
 
 
-async def _is_there(site):
+async def _has_coordinator(site):
     return site.coordinator() is not None
 
 
-@when("{number:d} callers stream and a daemon is told to stop meanwhile")
-def step_told_to_stop(context, number):
+@when("{caller_count:d} callers stream and a daemon is told to stop meanwhile")
+def step_stop_under_streams(context, caller_count):
     async def stop():
         context.platform.kill("a2", signal.SIGTERM)
 
-    fronts = list(context.platform.fronts.values())
-    context.answers = context.runner.run(
-        _stream_many(context.platform, number, fronts, stop)
+    fronts = list(context.platform.front_addresses.values())
+    context.stream_answers = context.runner.run(
+        _stream_many(context.platform, caller_count, fronts, stop)
     )
 
 
@@ -218,17 +228,20 @@
     async def ended():
         return context.platform.processes["a2"].poll() is not None
 
-    _play(context, _until(ended, "the end of a2"))
+    _run_in_loop(context, _wait_until(ended, "the end of a2"))
     assert context.platform.processes["a2"].returncode == 0
 
 
 @when("callers keep idle connections to a daemon that is told to stop")
 def step_idle_stop(context):
-    async def act():
+    async def actions():
         site = context.platform
         async with aiohttp.ClientSession() as session:
             await asyncio.gather(
-                *(_call(session, site.fronts["a2"], "/draft/x") for _ in range(5))
+                *(
+                    _call(session, site.front_addresses["a2"], "/draft/x")
+                    for _ in range(5)
+                )
             )
             began_at = asyncio.get_running_loop().time()
             site.kill("a2", signal.SIGTERM)
@@ -236,29 +249,29 @@
             async def ended():
                 return site.processes["a2"].poll() is not None
 
-            await _until(ended, "the end of a2")
-            context.took_s = asyncio.get_running_loop().time() - began_at
+            await _wait_until(ended, "the end of a2")
+            context.stop_duration_s = asyncio.get_running_loop().time() - began_at
 
-    _play(context, act())
+    _run_in_loop(context, actions())
 
 
-@then("the daemon ends with exit code 0 within {seconds:f} s")
-def step_ended_within(context, seconds):
+@then("the daemon ends with exit code 0 within {limit_s:f} s")
+def step_ended_within(context, limit_s):
     assert context.platform.processes["a2"].returncode == 0
-    assert context.took_s < seconds, context.took_s
+    assert context.stop_duration_s < limit_s, context.stop_duration_s
 
 
 @then("every stream is whole")
-def step_whole(context):
-    for name, (status, body, _) in context.answers:
+def step_whole_streams(context):
+    for name, (status, body, _) in context.stream_answers:
         assert status == 200, (name, status, body)
         assert body == b"".join(stream_events(name)), (name, body)
 
 
 @then("a lookup is answered, an unknown key and an unknown path are refused")
 def step_refusals(context):
-    async def act():
-        front = context.platform.fronts["a1"]
+    async def actions():
+        front = context.platform.front_addresses["a1"]
         async with aiohttp.ClientSession() as session:
             statuses = [
                 (await _call(session, front, path, key, "GET"))[0]
@@ -266,11 +279,11 @@
             ]
         assert statuses == [200, 401, 404], statuses
 
-    _play(context, act())
+    _run_in_loop(context, actions())
 
 
 @then("no engine ran anything in a partial group or in two groups")
-def step_oracle(context):
+def step_no_partial_execution(context):
     violations = context.platform.world.violations
     assert not violations, violations[:3]
 
@@ -278,62 +291,66 @@
 @then("the group serves again with another member")
 def step_serves_again(context):
     async def repaired():
-        head = _open_groups(context.platform).get(context.group)
-        return head is not None and head.membership.epoch > context.epoch
+        head = _serving_heads(context.platform).get(context.lost_group)
+        return head is not None and head.membership.epoch > context.lost_epoch
 
-    _play(context, _until(repaired, f"a repaired {context.group}"))
+    _run_in_loop(context, _wait_until(repaired, f"a repaired {context.lost_group}"))
 
 
 @when("the key is replaced by another")
-def step_key(context):
-    async def act():
+def step_replace_key(context):
+    async def actions():
         context.platform.keys = ["key-2"]
         context.platform.write_configuration()
 
-    _play(context, act())
+    _run_in_loop(context, actions())
 
 
 @then("soon no daemon takes the old key and all take the new one")
 def step_new_key(context):
     async def in_force():
         async with aiohttp.ClientSession() as session:
-            for front in context.platform.fronts.values():
+            for front in context.platform.front_addresses.values():
                 old = await _call(session, front, "/look/x", KEY, "GET")
                 new = await _call(session, front, "/look/x", "key-2", "GET")
                 if (old[0], new[0]) != (401, 200):
                     return False
         return True
 
-    _play(context, _until(in_force, "the new key"))
+    _run_in_loop(context, _wait_until(in_force, "the new key"))
 
 
 @when("the store goes away")
 def step_store_away(context):
-    async def act():
-        context.platform.store.is_away = True
+    async def actions():
+        context.platform.store.is_down = True
         await asyncio.sleep(1.0)
 
-    _play(context, act())
+    _run_in_loop(context, actions())
 
 
-@when("{number:d} bookings are made and one plain target closes every connection")
-def step_bookings(context, number):
-    async def act():
+@when(
+    "{booking_count:d} bookings are made and one plain target closes every connection"
+)
+def step_make_bookings(context, booking_count):
+    async def actions():
         site = context.platform
         await site._servers[-1].stop(0.1)
-        fronts = itertools.cycle(site.fronts.values())
+        fronts = itertools.cycle(site.front_addresses.values())
         async with aiohttp.ClientSession() as session:
             context.bookings = [
                 await _call(session, next(fronts), f"/book/{index}")
-                for index in range(number)
+                for index in range(booking_count)
             ]
 
-    _play(context, act())
+    _run_in_loop(context, actions())
 
 
 @then("no booking ran twice and none that was told not run has run")
 def step_booked_once(context):
-    ran = [run.attempt for run in context.platform.runs if "/book/" in run.path]
+    ran = [
+        run.attempt_id for run in context.platform.executions if "/book/" in run.path
+    ]
     assert len(ran) == len(set(ran))
     for status, body, attempt in context.bookings:
         assert status in (200, 502, 503), (status, body)
@@ -344,7 +361,7 @@
     assert any(status == 200 for status, _, _ in context.bookings)
 
 
-_FIRST_LINES = """
+_STARTUP_PROGRAM = """
 import runpy, signal, sys, types
 main = types.ModuleType("cowslipcourse.entry.main")
 main.main = lambda: print(signal.getsignal(signal.SIGHUP) is signal.SIG_IGN)
@@ -355,26 +372,26 @@
 
 @when("the program has run no more than its first lines")
 def step_first_lines(context):
-    command = [sys.executable, "-c", _FIRST_LINES]
-    context.printed = subprocess.check_output(command, text=True)
+    command = [sys.executable, "-c", _STARTUP_PROGRAM]
+    context.program_output = subprocess.check_output(command, text=True)
 
 
 @then("SIGHUP is ignored")
-def step_ignored(context):
-    assert context.printed == "True\n", context.printed
+def step_sighup_ignored(context):
+    assert context.program_output == "True\n", context.program_output
 
 
-@given("another program listens on the address for {which} of a daemon")
-def step_address_taken(context, which):
+@given("another program listens on the address for {listener_name} of a daemon")
+def step_address_taken(context, listener_name):
     names = ("front", "directory", "ready", "peer")
     ports = dict(zip(names, free_ports(len(names)), strict=True))
-    kind = socket.SOCK_DGRAM if which == "peer" else socket.SOCK_STREAM
-    context.taker = socket.socket(type=kind)
-    context.add_cleanup(context.taker.close)
-    context.taker.bind(("127.0.0.1", ports[which]))
+    kind = socket.SOCK_DGRAM if listener_name == "peer" else socket.SOCK_STREAM
+    context.listener = socket.socket(type=kind)
+    context.add_cleanup(context.listener.close)
+    context.listener.bind(("127.0.0.1", ports[listener_name]))
     if kind == socket.SOCK_STREAM:
-        context.taker.listen()
-    context.taken = f"127.0.0.1:{ports[which]}"
+        context.listener.listen()
+    context.taken_address = f"127.0.0.1:{ports[listener_name]}"
     listen = "".join(f'{name} = "127.0.0.1:{ports[name]}"\n' for name in names)
     context.settings_text = (
         f'name = "a1"\ndata_centre = "n"\n[listen]\n{listen}'
@@ -388,15 +405,15 @@
         path = Path(folder) / "a1.toml"
         path.write_text(context.settings_text)
         command = [sys.executable, "-m", "cowslipcourse.entry", "run", str(path)]
-        context.ended = subprocess.run(
-            command, capture_output=True, text=True, timeout=PATIENCE_S, check=False
+        context.finished_process = subprocess.run(
+            command, capture_output=True, text=True, timeout=WAIT_TIMEOUT_S, check=False
         )
 
 
 @then("it ends with exit code {code:d} and logs that the address is taken")
-def step_says_taken(context, code):
-    assert context.ended.returncode == code, context.ended
-    lines = context.ended.stdout.splitlines()
-    said = [line for line in lines if "code=address-taken" in line]
-    assert len(said) == 1, context.ended
-    assert context.taken in said[0], said
+def step_taken_logged(context, code):
+    assert context.finished_process.returncode == code, context.finished_process
+    lines = context.finished_process.stdout.splitlines()
+    matches = [line for line in lines if "code=address-taken" in line]
+    assert len(matches) == 1, context.finished_process
+    assert context.taken_address in matches[0], matches
--- a/features/steps/quarantine_steps.py
+++ b/features/steps/quarantine_steps.py
@@ -95,7 +95,7 @@
 
 def _check_arrivals(platform, max_arrivals, seconds):
     """Check the arrivals of a request at the real targets that it crashes."""
-    ends = sorted(end.at for end in platform.ends)
+    ends = sorted(end.at for end in platform.crashes)
     assert len(ends) >= COUNTED_ENDS, ends
     due_at = ends[COUNTED_ENDS - 1] + seconds
     late_arrivals = [arrival for arrival in platform.arrivals if arrival.at > due_at]
--- a/features/support/platform_site.py
+++ b/features/support/platform_site.py
@@ -1,7 +1,8 @@
-"""The users' platform in small: store, engines and plain services over HTTP.
+"""A small version of the users' platform: store, engines and plain services over HTTP.
 
-Daemons run as separate processes against it. Groups follow
-:mod:`features.support.engine_world`, so its oracle watches here too.
+Daemons run as separate processes against it. The engines are those of the emulated
+:class:`~cowslipcourse.emulator.World`, which also records violations of the rules of
+groups.
 """
 
 import asyncio
@@ -31,34 +32,34 @@
 from harness.ports import free_ports
 
 __all__ = [
-    "ENDS",
+    "CRASH_PREFIX",
     "HOST",
     "KEY",
     "Arrival",
-    "PlainRun",
+    "PlainExecution",
     "PlatformSite",
     "stream_events",
 ]
 
 HOST = "north.example"
 KEY = "key-1"
-PLAIN = "roster"
-EVENT_S = 0.02
-PLAIN_S = 0.01
-EVENTS = 25
-ENDS = "end-"
-"""Requests whose last part of the path begins so end each target that runs them."""
-END_S = 0.08
-"""Time for which a target still runs such a request."""
-BACK_S = 2.0
-"""Time from the end of a target until its next life listens."""
-LAPSE_S = 1.0
-"""Time for which the list still has the entry of a target that has ended."""
-QUICK = (
+PLAIN_SERVICE = "roster"
+EVENT_INTERVAL_S = 0.02
+PLAIN_EXECUTION_S = 0.01
+EVENT_COUNT = 25
+CRASH_PREFIX = "end-"
+"""Prefix of the last path segment of requests that crash each target that runs them."""
+CRASH_DELAY_S = 0.08
+"""Time for which a target runs such a request before it crashes."""
+RESTART_DELAY_S = 2.0
+"""Time from the crash of a target until its next incarnation listens."""
+ENTRY_LAPSE_S = 1.0
+"""Time for which the list still holds the entry of a crashed target."""
+FAST_MODELS = (
     LARGE._replace(load_s=1.0, warm_s=0.3),
     SMALL._replace(load_s=1.0, warm_s=0.3),
 )
-STATUS = {
+STATUS_BY_RESULT = {
     OrderResult.BEGUN: 202,
     OrderResult.DONE: 200,
     OrderResult.STATE_DIFFERS: 409,
@@ -67,39 +68,42 @@
 
 
 class Arrival(NamedTuple):
-    """A request that ends targets, at a target.
+    """The arrival or the crash of a target caused by a crashing request.
 
-    :param name: last part of its path.
-    :param attempt: the caller's attempt id.
-    :param at: loop time at which it came.
+    :param request_name: last segment of its path.
+    :param attempt_id: the caller's attempt id.
+    :param at: loop time in seconds.
     """
 
-    name: str
-    attempt: str
+    request_name: str
+    attempt_id: str
     at: float
 
 
-class PlainRun(NamedTuple):
-    """A request that a plain target ran.
+class PlainExecution(NamedTuple):
+    """The execution of a request by a plain target.
 
-    :param attempt: the caller's attempt id.
+    :param attempt_id: the caller's attempt id.
     :param path: path of the request.
     :param target: name of the target.
-    :param at: loop time at which it came.
+    :param at: loop time in seconds.
     """
 
-    attempt: str
+    attempt_id: str
     path: str
     target: str
     at: float
 
 
-def stream_events(name):
-    """Return the events of the stream that a path leads to."""
-    return [f"id: {n}\ndata: {name} {n}\n\n".encode() for n in range(1, EVENTS + 1)]
+def stream_events(request_name):
+    """Return the events of the stream for a last path segment."""
+    return [
+        f"id: {n}\ndata: {request_name} {n}\n\n".encode()
+        for n in range(1, EVENT_COUNT + 1)
+    ]
 
 
-def _route(name, prefix, kind, service, **more):
+def _route_entry(name, prefix, kind, service, **extra):
     route = {
         "name": name,
         "host": HOST,
@@ -110,61 +114,61 @@
         "sloMs": 500,
         "maxAttempts": 2,
     }
-    return route | more
+    return route | extra
 
 
 class PlatformSite:
-    """A platform and daemons before it, on loopback.
+    """A platform and the daemons in front of it, on loopback.
 
-    :param daemons: number of daemons.
+    :param daemon_count: number of daemons.
     :param domains: names of fabric domains.
-    :param engines: engines in each.
+    :param engines: number of engines in each domain.
     """
 
-    def __init__(self, daemons=3, domains=("d1", "d2"), engines=8):
-        self.world = World(random.Random(1), _no_faults(), QUICK)
+    def __init__(self, daemon_count=3, domains=("d1", "d2"), engines=8):
+        self.world = World(random.Random(1), _no_faults(), FAST_MODELS)
         self.folder = Path(tempfile.mkdtemp(prefix="cowslip-platform-"))
         self.processes = {}
-        self.fronts = {}
-        self.directories = {}
-        self.runs = []
+        self.front_addresses = {}
+        self.directory_addresses = {}
+        self.executions = []
         self.keys = [KEY]
-        self.configuration = 1
+        self.configuration_version = 1
         self._builds = Builds()
-        self._daemons = daemons
-        self._shape = (domains, engines)
+        self._daemon_count = daemon_count
+        self._engine_layout = (domains, engines)
         self._servers = []
         self._addresses = {}
-        self._listed = {}
-        self._lapsing = {}
+        self._published_entries = {}
+        self._entry_lapse_at = {}
         self._target_servers = {}
-        self._names = itertools.count(1)
+        self._restart_numbers = itertools.count(1)
         self.arrivals = []
-        self.ends = []
+        self.crashes = []
         self._tasks = []
 
     async def start(self):
-        """Start everything and return once it listens."""
+        """Start everything; returns once the platform listens."""
         self.store = Store()
         port = free_ports(1)[0]
         self.store_address = f"127.0.0.1:{port}"
         await self._serve(self.store.app(), self.store_address)
-        domains, number = self._shape
+        domains, engine_count = self._engine_layout
         for domain in domains:
-            for _ in range(number):
+            for _ in range(engine_count):
                 await self.add_engine(domain)
         for name in ("p1", "p2"):
-            await self._add_plain(name)
+            await self._add_plain_target(name)
         self.write_configuration()
         self._tasks = [
             asyncio.create_task(self.world.run()),
             asyncio.create_task(self._publish()),
         ]
-        for number in range(self._daemons):
+        for number in range(self._daemon_count):
             self.start_daemon(f"a{number + 1}")
 
     async def stop(self):
-        """End the daemons by their ids and all servers."""
+        """Kill the daemons and stop all servers."""
         for process in self.processes.values():
             if process.poll() is None:
                 process.kill()
@@ -174,11 +178,11 @@
         for server in self._servers:
             await server.stop(0.1)
 
-    # The operator.
+    # Configuration
 
     def write_configuration(self):
         """Write the next version of the configuration."""
-        self.configuration += 1
+        self.configuration_version += 1
         engine = {
             "slots": 13,
             "formMs": 300,
@@ -192,22 +196,24 @@
                     "loadS": model.load_s,
                     "warmS": model.warm_s,
                 }
-                for model in QUICK
+                for model in FAST_MODELS
             ],
         }
         content = {
-            "version": self.configuration,
+            "version": self.configuration_version,
             "routes": [
-                _route("draft", "/draft/", "streaming", SERVICE, resumable=True),
-                _route("book", "/book/", "non_idempotent", PLAIN, maxAttempts=1),
-                _route("look", "/look/", "idempotent", PLAIN),
+                _route_entry("draft", "/draft/", "streaming", SERVICE, resumable=True),
+                _route_entry(
+                    "book", "/book/", "non_idempotent", PLAIN_SERVICE, maxAttempts=1
+                ),
+                _route_entry("look", "/look/", "idempotent", PLAIN_SERVICE),
             ],
-            "services": [{"name": SERVICE, "engine": engine}, {"name": PLAIN}],
+            "services": [{"name": SERVICE, "engine": engine}, {"name": PLAIN_SERVICE}],
             "tenants": [{"name": "crew", "apiKeys": self.keys}],
         }
         self.store.put("op", "config", json.dumps(content).encode())
 
-    # Targets.
+    # Targets
 
     async def _serve(self, app, address):
         server = WebServer(app, address)
@@ -224,7 +230,7 @@
         self._addresses[engine.id] = await self.published_address(address)
         report, order, stream = (
             functools.partial(call, engine.id)
-            for call in (self._report, self._order, self._stream)
+            for call in (self._handle_report, self._handle_order, self._handle_stream)
         )
         routes = [
             Route("/report", report),
@@ -234,64 +240,68 @@
         server = await self._serve(Starlette(routes=routes), address)
         self._target_servers[engine.id] = server
 
-    async def _run_to_the_end(self, name, attempt, target):
-        """Run a request that ends its target, for as long as the target lasts."""
+    async def _run_and_crash(self, request_name, attempt_id, target):
+        """Run a crashing request until it crashes its target."""
         now = asyncio.get_running_loop().time()
-        self.arrivals.append(Arrival(name, attempt, now))
-        await asyncio.sleep(END_S)
+        self.arrivals.append(Arrival(request_name, attempt_id, now))
+        await asyncio.sleep(CRASH_DELAY_S)
         if target in self._target_servers:
-            self.ends.append(Arrival(name, attempt, now + END_S))
-            self._end_target(target)
-        raise ConnectionResetError("the target has ended")
+            self.crashes.append(Arrival(request_name, attempt_id, now + CRASH_DELAY_S))
+            self._crash_target(target)
+        raise ConnectionResetError("the target has crashed")
 
-    def _end_target(self, target):
-        """End the process of a target; its next life comes after a while."""
+    def _crash_target(self, target):
+        """Crash a target, which restarts after ``RESTART_DELAY_S``."""
         server = self._target_servers.pop(target)
         self.stop_listening(target, server)
         engine = self.world.engines.pop(target, None)
-        coming = self._come_back(target, engine)
-        self._tasks.append(asyncio.create_task(coming))
+        restarting = self._restart_target(target, engine)
+        self._tasks.append(asyncio.create_task(restarting))
 
     def stop_listening(self, target, server):
-        """Let a target's host refuse connections, and reset those that are open."""
+        """Refuse new connections to a target and reset the open ones."""
         for listening in server._server.servers:
             listening.close()
         for connection in list(server._server.server_state.connections):
             connection.transport.abort()
 
-    async def _come_back(self, target, engine):
+    async def _restart_target(self, target, engine):
         if engine is None:
-            await asyncio.sleep(LAPSE_S)
+            await asyncio.sleep(ENTRY_LAPSE_S)
             self.store.drop("servers", target)
-            await asyncio.sleep(BACK_S - LAPSE_S)
-            await self._add_plain(f"{target}-{next(self._names)}")
+            await asyncio.sleep(RESTART_DELAY_S - ENTRY_LAPSE_S)
+            await self._add_plain_target(f"{target}-{next(self._restart_numbers)}")
             return
-        self._lapsing[target] = asyncio.get_running_loop().time() + LAPSE_S
-        await asyncio.sleep(BACK_S)
+        self._entry_lapse_at[target] = asyncio.get_running_loop().time() + ENTRY_LAPSE_S
+        await asyncio.sleep(RESTART_DELAY_S)
         await self._serve_engine(self.world.rename(engine))
 
-    async def _add_plain(self, name):
+    async def _add_plain_target(self, name):
         address = f"127.0.0.1:{free_ports(1)[0]}"
 
         async def run(request):
-            attempt = request.headers["x-attempt-id"]
-            path_name = request.path_params["name"]
-            if path_name.startswith(ENDS):
-                await self._run_to_the_end(path_name, attempt, name)
+            attempt_id = request.headers["x-attempt-id"]
+            request_name = request.path_params["name"]
+            if request_name.startswith(CRASH_PREFIX):
+                await self._run_and_crash(request_name, attempt_id, name)
             now = asyncio.get_running_loop().time()
-            self.runs.append(PlainRun(attempt, request.url.path, name, now))
-            await asyncio.sleep(PLAIN_S)
-            headers = {"x-attempt-id": attempt, "x-response-seal": name}
+            self.executions.append(
+                PlainExecution(attempt_id, request.url.path, name, now)
+            )
+            await asyncio.sleep(PLAIN_EXECUTION_S)
+            headers = {"x-attempt-id": attempt_id, "x-response-seal": name}
             return Response(b"done", headers=headers)
 
         path = Route("/{kind}/{name}", run, methods=["GET", "POST"])
         server = await self._serve(Starlette(routes=[path]), address)
         self._target_servers[name] = server
-        self.list_plain(name, await self.published_address(address))
+        self.publish_plain_target(name, await self.published_address(address))
 
-    def list_plain(self, name, address, state="ready"):
-        """Write the entry of a plain target."""
-        content = entry_content(service=PLAIN, address=address, state=state, slots=6)
+    def publish_plain_target(self, name, address, state="ready"):
+        """Write the list entry of a plain target."""
+        content = entry_content(
+            service=PLAIN_SERVICE, address=address, state=state, slots=6
+        )
         self.store.put("servers", name, content)
 
     async def published_address(self, address):
@@ -302,26 +312,26 @@
         """Return the address at which a daemon reaches the store."""
         return self.store_address
 
-    def _fields(self, engine):
-        found = engine.membership
+    def _membership_fields(self, engine):
+        membership = engine.membership
         fields = {
             "domain": engine.domain,
             "staged": list(engine.staged),
             "models": [],
             "born": engine.incarnation,
         }
-        if found is not None:
-            fields["models"] = [{"name": found.model}]
+        if membership is not None:
+            fields["models"] = [{"name": membership.model}]
             fields["group"] = {
-                "name": found.group,
-                "epoch": found.epoch,
-                "rank": found.rank,
-                "state": found.state.value,
+                "name": membership.group,
+                "epoch": membership.epoch,
+                "rank": membership.rank,
+                "state": membership.state.value,
             }
         return fields
 
     async def _publish(self):
-        """Keep the list of targets up to date."""
+        """Update the list of targets whenever an engine has changed."""
         while True:
             await asyncio.sleep(0.05)
             live = {
@@ -331,32 +341,36 @@
             }
             for engine_id, engine in live.items():
                 entry = entry_fields(
-                    SERVICE, self._addresses[engine_id], **self._fields(engine)
+                    SERVICE,
+                    self._addresses[engine_id],
+                    **self._membership_fields(engine),
                 )
-                if self._listed.get(engine_id) != entry:
-                    self._listed[engine_id] = entry
+                if self._published_entries.get(engine_id) != entry:
+                    self._published_entries[engine_id] = entry
                     self.store.put("servers", engine_id, json.dumps(entry).encode())
             now = asyncio.get_running_loop().time()
-            for engine_id in set(self._listed) - set(live):
-                if now < self._lapsing.get(engine_id, now):
+            for engine_id in set(self._published_entries) - set(live):
+                if now < self._entry_lapse_at.get(engine_id, now):
                     continue
-                del self._listed[engine_id]
+                del self._published_entries[engine_id]
                 self.store.drop("servers", engine_id)
 
-    async def _present(self, engine_id):
-        """Return the present life of an engine; nothing answers without one."""
+    async def _wait_for_engine(self, engine_id):
+        """Return the current incarnation of an engine, waiting until it answers."""
         while True:
             engine = self.world.engines.get(engine_id)
             if engine is not None and not engine.is_dark:
                 return engine
             await asyncio.sleep(0.1)
 
-    async def _report(self, engine_id, request):
-        engine = await self._present(engine_id)
-        return JSONResponse(self._fields(engine) | {"sequence": engine.order_count})
+    async def _handle_report(self, engine_id, request):
+        engine = await self._wait_for_engine(engine_id)
+        return JSONResponse(
+            self._membership_fields(engine) | {"sequence": engine.order_count}
+        )
 
-    async def _order(self, engine_id, request):
-        engine = await self._present(engine_id)
+    async def _handle_order(self, engine_id, request):
+        engine = await self._wait_for_engine(engine_id)
         body = await request.json()
         order = EngineOrder(
             OrderOperation(body["operation"]),
@@ -366,10 +380,10 @@
             body.get("model", ""),
             tuple(body.get("members", ())),
         )
-        return Response(status_code=STATUS[engine.take(order)])
+        return Response(status_code=STATUS_BY_RESULT[engine.take(order)])
 
-    async def _stream(self, engine_id, request):
-        engine = await self._present(engine_id)
+    async def _handle_stream(self, engine_id, request):
+        engine = await self._wait_for_engine(engine_id)
         headers = {"x-attempt-id": request.headers["x-attempt-id"]}
         if not engine.is_open_head:
             return Response(status_code=421, headers=headers)
@@ -379,14 +393,14 @@
         headers["x-response-seal"] = engine.id
 
         async def produce():
-            if name.startswith(ENDS):
-                attempt = headers["x-attempt-id"]
-                await self._run_to_the_end(name, attempt, engine_id)
+            if name.startswith(CRASH_PREFIX):
+                attempt_id = headers["x-attempt-id"]
+                await self._run_and_crash(name, attempt_id, engine_id)
             for event in events:
-                await asyncio.sleep(EVENT_S)
+                await asyncio.sleep(EVENT_INTERVAL_S)
                 while engine.membership is None or not self._serves(engine):
                     if self.world.engines.get(engine_id) is not engine:
-                        raise ConnectionResetError("the engine has started again")
+                        raise ConnectionResetError("the engine has restarted")
                     await asyncio.sleep(0.1)
                 yield event
 
@@ -401,12 +415,12 @@
         )
         return alive and self.world.is_whole(engine)
 
-    # Daemons.
+    # Daemons
 
     def start_daemon(self, name):
-        """Start a daemon as a process, with the same settings as before if it ran."""
+        """Start a daemon process; a restarted daemon keeps its settings."""
         path = self.folder / f"{name}.toml"
-        if name not in self.fronts:
+        if name not in self.front_addresses:
             self._write_settings(name, path)
         log = (self.folder / f"{name}.log").open("a")
         checkout = self._builds.next_checkout(name)
@@ -430,28 +444,28 @@
             f'ready = "{ready}"\npeer = "{peer}"\n'
             f'[store]\naddress = "{self.store_address_of(name)}"\n'
         )
-        self.fronts[name] = front
-        self.directories[name] = directory
+        self.front_addresses[name] = front
+        self.directory_addresses[name] = directory
 
     def logs(self):
-        """Return what the daemons wrote, by name."""
+        """Return the log of each daemon by name."""
         return {
             name: (self.folder / f"{name}.log").read_text() for name in self.processes
         }
 
     def coordinator(self):
-        """Return the name of the daemon that began to coordinate last."""
-        found = []
+        """Return the live daemon that most recently became coordinator, or ``None``."""
+        candidates = []
         for name, text in self.logs().items():
             lines = [line for line in text.splitlines() if "coordinating" in line]
             alive = self.processes[name].poll() is None
             if lines and "event=coordinating" in lines[-1] and alive:
-                found.append((lines[-1], name))
-        return max(found)[1] if found else None
+                candidates.append((lines[-1], name))
+        return max(candidates)[1] if candidates else None
 
-    def kill(self, name, with_signal=signal.SIGKILL):
+    def kill(self, name, signal_number=signal.SIGKILL):
         """Send a signal to a daemon."""
-        self.processes[name].send_signal(with_signal)
+        self.processes[name].send_signal(signal_number)
 
 
 def _no_faults():
--- a/features/support/platform_store.py
+++ b/features/support/platform_store.py
@@ -1,4 +1,4 @@
-"""The users' platform in small: tables with versions and a feed over HTTP."""
+"""A small version of the platform's store: versioned tables with a feed over HTTP."""
 
 import asyncio
 import base64
@@ -9,59 +9,61 @@
 
 __all__ = ["Store"]
 
-LOST_S = 5.0
-"""Longer than any caller waits for an answer."""
-PLATFORM = ("op", "servers")
-"""Tables that the system does not write to."""
+REPLY_DELAY_S = 5.0
+"""Delay of a response that counts as lost; longer than the time-out of any caller."""
+PLATFORM_TABLES = ("op", "servers")
+"""Tables that the platform writes and the daemons only read."""
 
 
 class Store:
-    """Tables with versions and a feed."""
+    """Store with versioned tables and a change feed."""
 
     def __init__(self):
         self.rows = {}
         self.version = 0
         self.era = None
-        self.is_away = False
+        self.is_down = False
         self.delay_s = 0.0
-        self.loses_answers = False
+        self.loses_replies = False
         self._changed = asyncio.Event()
 
     def put(self, table, key, value):
         """Write a row and wake the feeds."""
         self.version += 1
         self.rows[table, key] = (value, self.version)
-        self._wake()
+        self._notify_feeds()
 
     def drop(self, table, key):
         """Drop a row and wake the feeds."""
         self.version += 1
         self.rows[table, key] = (None, self.version)
-        self._wake()
+        self._notify_feeds()
 
     def copy(self):
-        """Return a copy to come back from."""
+        """Return a copy for :meth:`restore`."""
         return dict(self.rows), self.version
 
-    def come_back(self, copy):
-        """Begin the next era with a copy.
+    def restore(self, copy):
+        """Begin the next era with the rows of an earlier copy.
 
-        :returns: the platform's own rows that are to be written again, as
-            ``(table, key, value, version they have now)``.
+        :returns: the platform's own rows that were lost, as
+            ``(table, key, lost value, restored version)``.
         """
-        newer = {key: row for key, row in self.rows.items() if key[0] in PLATFORM}
+        platform_rows = {
+            key: row for key, row in self.rows.items() if key[0] in PLATFORM_TABLES
+        }
         self.rows, self.version = dict(copy[0]), copy[1]
         self.era = (self.era or 0) + 1
-        self._wake()
+        self._notify_feeds()
         lost = []
-        for (table, key), (value, _) in newer.items():
-            older, version = self.rows.get((table, key), (None, 0))
-            if older != value:
+        for (table, key), (value, _) in platform_rows.items():
+            restored_value, version = self.rows.get((table, key), (None, 0))
+            if restored_value != value:
                 lost.append((table, key, value, version))
         return lost
 
-    def write_again(self, table, key, value, version):
-        """Write a row that was lost, unless it has been written since."""
+    def rewrite_lost_row(self, table, key, value, version):
+        """Write a lost row again, unless it has been written since the restore."""
         if self.rows.get((table, key), (None, 0))[1] != version:
             return
         if value is None:
@@ -69,26 +71,26 @@
         else:
             self.put(table, key, value)
 
-    def _answer(self, content, status=200):
+    def _respond(self, content, status=200):
         headers = {} if self.era is None else {"Store-Era": str(self.era)}
         return JSONResponse(content, status, headers)
 
-    def _wake(self):
+    def _notify_feeds(self):
         self._changed.set()
         self._changed = asyncio.Event()
 
     def app(self):
-        """Return the application of the store's calls."""
+        """Return the ASGI application that serves the store."""
         return Starlette(
             routes=[
-                Route("/rows-get", self._get),
-                Route("/rows-feed", self._feed),
-                Route("/rows-tx", self._write, methods=["POST"]),
+                Route("/rows-get", self._handle_get),
+                Route("/rows-feed", self._handle_feed),
+                Route("/rows-tx", self._handle_write, methods=["POST"]),
             ]
         )
 
-    def _found(self, table, after):
-        found = [
+    def _rows_after(self, table, after):
+        rows = [
             {
                 "table": name,
                 "part": "",
@@ -100,46 +102,46 @@
             for (name, key), (value, version) in self.rows.items()
             if name == table and version > after
         ]
-        return sorted(found, key=lambda row: row["ver"])
+        return sorted(rows, key=lambda row: row["ver"])
 
-    async def _get(self, request):
+    async def _handle_get(self, request):
         await asyncio.sleep(self.delay_s)
-        if self.is_away:
+        if self.is_down:
             return Response(status_code=503)
-        found = self._found(request.query_params["table"], 0)
-        rows = [row for row in found if not row["deleted"]]
-        return self._answer({"rows": rows, "hasMore": False, "ver": self.version})
+        all_rows = self._rows_after(request.query_params["table"], 0)
+        rows = [row for row in all_rows if not row["deleted"]]
+        return self._respond({"rows": rows, "hasMore": False, "ver": self.version})
 
-    async def _feed(self, request):
+    async def _handle_feed(self, request):
         query = request.query_params
-        until = asyncio.get_running_loop().time() + int(query["waitMs"]) / 1000
+        deadline = asyncio.get_running_loop().time() + int(query["waitMs"]) / 1000
         while True:
-            if self.is_away:
+            if self.is_down:
                 return Response(status_code=503)
             after = int(query["after"])
             if after > self.version:
-                return self._answer({}, 410)
-            rows = self._found(query["table"], after)
-            left = until - asyncio.get_running_loop().time()
-            if rows or left <= 0:
-                return self._answer({"rows": rows, "ver": self.version})
+                return self._respond({}, 410)
+            rows = self._rows_after(query["table"], after)
+            remaining_s = deadline - asyncio.get_running_loop().time()
+            if rows or remaining_s <= 0:
+                return self._respond({"rows": rows, "ver": self.version})
             try:
-                await asyncio.wait_for(self._changed.wait(), left)
+                await asyncio.wait_for(self._changed.wait(), remaining_s)
             except TimeoutError:
                 continue
 
-    async def _write(self, request):
+    async def _handle_write(self, request):
         await asyncio.sleep(self.delay_s)
-        if self.is_away:
+        if self.is_down:
             return Response(status_code=503)
         body = await request.json()
         for row in body["expected"]:
             value, version = self.rows.get((row["table"], row["key"]), (None, 0))
             if (0 if value is None else version) != row["ver"]:
-                return self._answer({"rows": []}, 412)
+                return self._respond({"rows": []}, 412)
         for row in body["puts"]:
             self.put(row["table"], row["key"], base64.b64decode(row["value"]))
-        if self.loses_answers:
-            # The caller's time is over before this is.
-            await asyncio.sleep(LOST_S)
-        return self._answer({"ver": self.version})
+        if self.loses_replies:
+            # The caller times out before the response is sent.
+            await asyncio.sleep(REPLY_DELAY_S)
+        return self._respond({"ver": self.version})
--- a/measurements/daemon_cost.py
+++ b/measurements/daemon_cost.py
@@ -33,7 +33,7 @@
 
 
 async def _measure(number):
-    site = PlatformSite(daemons=number)
+    site = PlatformSite(daemon_count=number)
     await site.start()
     try:
         pids = [process.pid for process in site.processes.values()]
--- a/soak/__init__.py
+++ b/soak/__init__.py
@@ -1,1 +1,1 @@
-"""Randomized runs of the real programs under faults from outside; see docs/SOAK.md."""
+"""Randomized fault-injection tests of the real programs; see docs/SOAK.md."""
--- a/soak/callers.py
+++ b/soak/callers.py
@@ -1,4 +1,4 @@
-"""Callers: they ask for addresses, call, and note what they see."""
+"""Simulated callers that resolve daemons, send requests and record the responses."""
 
 import asyncio
 import itertools
@@ -10,18 +10,20 @@
 
 __all__ = ["Callers"]
 
-CALLERS = 10
-THINK_S = (0.02, 0.2)
-BUDGET_S = 6.0
+CALLER_COUNT = 10
+THINK_TIME_RANGE_S = (0.02, 0.2)
+TIME_BUDGET_S = 6.0
 DIRECTORY_TIMEOUT_S = 1.0
-KINDS = (CallKind.STREAM,) * 3 + (CallKind.BOOKING,) * 2 + (CallKind.LOOKUP,) * 2
-"""Streams last longest, so they are most of what is under way at any moment."""
-TURN_SHARE = 0.3
-"""Share of lookups that use the changing key."""
+CALL_KIND_MIX = (
+    (CallKind.STREAM,) * 3 + (CallKind.BOOKING,) * 2 + (CallKind.LOOKUP,) * 2
+)
+"""Mix of calls; streams last longest, so most calls in flight are streams."""
+ROTATING_KEY_PROBABILITY = 0.3
+"""Probability that a lookup uses the rotating key."""
 
 
 class Callers:
-    """Calls a site for as long as it runs.
+    """Sends random calls to a site until cancelled.
 
     :param site: :class:`~soak.site.SoakSite`
     :param rng: :class:`random.Random`
@@ -30,26 +32,28 @@
     def __init__(self, site, rng):
         self._site = site
         self._rng = rng
-        self._numbers = itertools.count(1)
+        self._call_numbers = itertools.count(1)
 
-    async def run(self):
-        """Call until cancelled."""
+    async def incarnation(self):
+        """Run all callers until cancelled."""
         async with asyncio.TaskGroup() as group:
-            for _ in range(CALLERS):
-                group.create_task(self._one())
+            for _ in range(CALLER_COUNT):
+                group.create_task(self._run_caller())
 
-    async def _one(self):
+    async def _run_caller(self):
         async with aiohttp.ClientSession() as session:
             while True:
-                await asyncio.sleep(self._rng.uniform(*THINK_S))
-                daemon = await self._ask_directory(session)
+                await asyncio.sleep(self._rng.uniform(*THINK_TIME_RANGE_S))
+                daemon = await self._resolve_daemon(session)
                 if daemon is not None:
-                    await self.call(session, daemon, self._rng.choice(KINDS))
+                    await self.call(session, daemon, self._rng.choice(CALL_KIND_MIX))
 
-    async def _ask_directory(self, session):
-        """Return the name of a daemon that a directory names, or ``None``."""
-        names = {front: name for name, front in self._site.fronts.items()}
-        directory = self._rng.choice(list(self._site.directories.values()))
+    async def _resolve_daemon(self, session):
+        """Return the name of a daemon that a directory lists, or ``None``."""
+        daemon_by_address = {
+            address: name for name, address in self._site.front_addresses.items()
+        }
+        directory = self._rng.choice(list(self._site.directory_addresses.values()))
         timeout = aiohttp.ClientTimeout(total=DIRECTORY_TIMEOUT_S)
         query = {"name": HOST, "region": "r", "zone": "n"}
         try:
@@ -60,46 +64,50 @@
                     return None
                 addresses = (await response.json())["addresses"]
         except (aiohttp.ClientError, TimeoutError):
-            # It is down or stands still: the next call asks another one.
+            # This directory does not answer; the next call chooses again.
             return None
-        return names[self._rng.choice(addresses)]
+        return daemon_by_address[self._rng.choice(addresses)]
 
-    async def call_ending(self, name):
-        """Let a request that ends its targets come at all daemons at once.
+    async def send_crashing_request(self, request_name):
+        """Send a request that crashes its targets to all daemons at once.
 
-        :param name: last part of its path.
+        :param request_name: last segment of its path.
         """
         async with aiohttp.ClientSession() as session:
-            daemons = list(self._site.fronts)
-            calls = [self.call(session, d, CallKind.STREAM, name) for d in daemons]
+            daemons = list(self._site.front_addresses)
+            calls = [
+                self.call(session, d, CallKind.STREAM, request_name) for d in daemons
+            ]
             await asyncio.gather(*calls)
 
-    async def call(self, session, daemon, kind, name=None):
-        """Make a call, note it and return its :class:`~soak.history.CallRecord`."""
+    async def call(self, session, daemon, kind, request_name=None):
+        """Send a call, record it and return its :class:`~soak.history.CallRecord`."""
         site, loop = self._site, asyncio.get_running_loop()
-        number = next(self._numbers)
-        name = name or f"n{number}"
-        turn = None
-        if kind == CallKind.LOOKUP and self._rng.random() < TURN_SHARE:
-            turn = self._rng.randint(0, max(site.history.configured_at, default=0))
-        key = KEY if turn is None else f"turn-{turn}"
+        number = next(self._call_numbers)
+        request_name = request_name or f"n{number}"
+        key_version = None
+        if kind == CallKind.LOOKUP and self._rng.random() < ROTATING_KEY_PROBABILITY:
+            key_version = self._rng.randint(
+                0, max(site.history.key_configured_at, default=0)
+            )
+        key = KEY if key_version is None else f"turn-{key_version}"
         headers = {
             "Host": HOST,
             "X-Attempt-Id": f"c{number}",
             "X-Model": self._rng.choice(("large", "small")),
-            "X-Time-Budget-Ms": str(int(BUDGET_S * 1000)),
+            "X-Time-Budget-Ms": str(int(TIME_BUDGET_S * 1000)),
             "Authorization": f"Bearer {key}",
         }
-        run, began_at = site.history.run_of(daemon), loop.time()
-        answer = await self._send(session, daemon, f"/{kind}/{name}", headers)
+        incarnation, began_at = site.history.incarnation_of(daemon), loop.time()
+        answer = await self._send(session, daemon, f"/{kind}/{request_name}", headers)
         status, body, was_sent = answer
         record = CallRecord(
             kind,
-            name,
+            request_name,
             f"c{number}",
             daemon,
-            run if run == site.history.run_of(daemon) else None,
-            turn,
+            incarnation if incarnation == site.history.incarnation_of(daemon) else None,
+            key_version,
             began_at,
             loop.time(),
             status,
@@ -110,9 +118,9 @@
         return record
 
     async def _send(self, session, daemon, path, headers):
-        """Return ``(status, whole body, whether it can have been read)``."""
+        """Return ``(status, complete body, whether the daemon may have read it)``."""
         address = self._site.front_proxies[daemon].address
-        timeout = aiohttp.ClientTimeout(total=BUDGET_S + 1.0)
+        timeout = aiohttp.ClientTimeout(total=TIME_BUDGET_S + 1.0)
         status = None
         try:
             async with session.post(
--- a/soak/checks.py
+++ b/soak/checks.py
@@ -1,150 +1,199 @@
-"""The promises, checked against what callers and targets saw."""
+"""Checks of the system's guarantees against the records of callers and targets."""
 
 from features.support.platform_site import stream_events
 from soak.history import CallKind
 
 __all__ = ["check"]
 
-NOT_RUN = (408, 421, 429, 503)
-"""Statuses that say that a request has not run and never will."""
-CONTACT_S = 3.0
-"""Calm before bounds hold, as on the users' platform."""
-APPLY_S = 2.0
-LEAVE_S = 2.0
-"""Bounds of configurations and of targets that leave, as on the users' platform."""
-ENDS_ALLOWED = 3
-LATER_ALLOWED = 3
-"""Targets that a request may end, and may reach once that has been known in time."""
+NOT_EXECUTED_STATUSES = (408, 421, 429, 503)
+"""Statuses that guarantee that a request has not run and never will."""
+SETTLE_TIME_S = 3.0
+"""Undisturbed time after which bounds hold, as on the users' platform."""
+APPLY_LIMIT_S = 2.0
+DRAIN_LIMIT_S = 2.0
+"""Bounds for applying a configuration and for draining a target."""
+CRASHES_ALLOWED = 3
+LATE_ARRIVALS_ALLOWED = 3
+"""Targets that a request may crash, and may reach after the bound has passed."""
 LOOP_MARGIN_S = 0.5
-"""The observer's own loop is late at times; times are taken on both sides."""
+"""Tolerance for delays of the observer's own event loop."""
 
 
 def check(site):
-    """Return what broke a promise, as a list of texts.
+    """Return the violated guarantees as a list of messages.
 
     :param site: :class:`~soak.site.SoakSite`
     """
     history = site.history
     return [
-        *(f"groups: {found}" for found in site.world.violations[:3]),
-        *(f"process ended by itself: {found}" for found in history.own_ends),
-        *(f"planned stop took too long: {found}" for found in history.slow_stops),
-        *(f"the soak itself: {found}" for found in history.broken_faults),
-        *_answers(history),
-        *_runs(site),
-        *_planned(history),
-        *_keys(history),
-        *_leaving(site),
-        *_ending(site),
+        *(f"groups: {violation}" for violation in site.world.violations[:3]),
+        *(
+            f"process exited unexpectedly: {violation}"
+            for violation in history.unexpected_exits
+        ),
+        *(
+            f"planned stop took too long: {violation}"
+            for violation in history.slow_stops
+        ),
+        *(
+            f"error in the soak test itself: {violation}"
+            for violation in history.failed_tasks
+        ),
+        *_check_bodies(history),
+        *_check_executions(site),
+        *_check_planned_work(history),
+        *_check_keys(history),
+        *_check_draining(site),
+        *_check_crashing_requests(site),
     ]
 
 
-def _answers(history):
-    """Check that a success is the whole answer to its own request."""
+def _check_bodies(history):
+    """Check that a successful response is complete and belongs to its request."""
     for call in history.calls:
         if call.status != 200 or call.body is None:
             continue
         expected = b"done"
         if call.kind == CallKind.STREAM:
-            expected = b"".join(stream_events(call.name))
+            expected = b"".join(stream_events(call.request_name))
         if call.body != expected:
-            yield f"wrong answer: {call}"
+            yield f"wrong response body: {call}"
 
 
-def _runs(site):
-    """Check that bookings run once at most, and that "not run" is true."""
-    runs = [run.attempt for run in site.runs]
+def _check_executions(site):
+    """Check that bookings run at most once, and that reports of "not run" are true."""
+    executions = [execution.attempt_id for execution in site.executions]
     for call in site.history.calls:
-        number = runs.count(call.attempt)
-        if call.kind == CallKind.BOOKING and number > 1:
-            yield f"ran {number} times: {call}"
-        if call.kind == CallKind.BOOKING and call.status in NOT_RUN and number:
-            yield f"told not run, but it ran: {call}"
-        if call.kind != CallKind.STREAM and call.status == 200 and not number:
-            yield f"success without a run: {call}"
-
-
-def _planned(history):
-    """Check that planned work alone cuts no request off."""
+        execution_count = executions.count(call.attempt_id)
+        if call.kind == CallKind.BOOKING and execution_count > 1:
+            yield f"ran {execution_count} times: {call}"
+        if (
+            call.kind == CallKind.BOOKING
+            and call.status in NOT_EXECUTED_STATUSES
+            and execution_count
+        ):
+            yield f"reported as not run, but it ran: {call}"
+        if call.kind != CallKind.STREAM and call.status == 200 and not execution_count:
+            yield f"success without an execution: {call}"
+
+
+def _check_planned_work(history):
+    """Check that planned maintenance alone interrupts no request."""
     for call in history.calls:
         if call.status is not None and call.body is not None and call.status < 500:
             continue
-        if not call.was_sent or call.status in NOT_RUN:
+        if not call.was_sent or call.status in NOT_EXECUTED_STATUSES:
             continue
-        span = call.began_at, call.ended_at, CONTACT_S
+        span = call.began_at, call.ended_at, SETTLE_TIME_S
         subjects = (call.daemon, "store", "targets")
-        if all(history.is_calm(each, *span, False) for each in subjects):
-            yield f"cut off by planned work: {call}"
+        if all(history.is_undisturbed(subject, *span, False) for subject in subjects):
+            yield f"interrupted by planned maintenance: {call}"
 
 
-def _keys(history):
-    """Check that configurations are in force in time and never revert."""
-    newest = {}
-    calls = [c for c in history.calls if c.turn is not None and c.run is not None]
+def _check_keys(history):
+    """Check that configurations take effect in time and are never reverted."""
+    accepted_versions = {}
+    calls = [
+        c
+        for c in history.calls
+        if c.key_version is not None and c.incarnation is not None
+    ]
     for call in sorted(calls, key=lambda call: call.began_at):
-        is_served = call.status == 200
-        if not is_served and call.status != 401:
+        is_accepted = call.status == 200
+        if not is_accepted and call.status != 401:
             continue
-        seen = [
-            (turn, at)
-            for turn, at in newest.get((call.daemon, call.run), [])
+        earlier = [
+            (key_version, at)
+            for key_version, at in accepted_versions.get(
+                (call.daemon, call.incarnation), []
+            )
             if at < call.began_at
         ]
-        if is_served and any(turn > call.turn for turn, _ in seen):
-            yield f"went back to an older configuration: {call}"
-        if is_served:
-            known = newest.setdefault((call.daemon, call.run), [])
-            known.append((call.turn, call.ended_at))
-        yield from _in_force(history, call, is_served)
-
-
-def _in_force(history, call, is_served):
-    due_at = call.began_at - APPLY_S - LOOP_MARGIN_S
+        if is_accepted and any(
+            key_version > call.key_version for key_version, _ in earlier
+        ):
+            yield f"reverted to an older configuration: {call}"
+        if is_accepted:
+            versions = accepted_versions.setdefault((call.daemon, call.incarnation), [])
+            versions.append((call.key_version, call.ended_at))
+        yield from _check_key_in_force(history, call, is_accepted)
+
+
+def _check_key_in_force(history, call, is_accepted):
+    due_at = call.began_at - APPLY_LIMIT_S - LOOP_MARGIN_S
     subjects = (call.daemon, "store")
-    span = call.began_at, call.ended_at, CONTACT_S
-    if not all(history.is_calm(each, *span) for each in subjects):
+    span = call.began_at, call.ended_at, SETTLE_TIME_S
+    if not all(history.is_undisturbed(subject, *span) for subject in subjects):
         return
-    due = max((t for t, at in history.configured_at.items() if at <= due_at), default=0)
-    begun = [t for t, at in history.configured_at.items() if at <= call.ended_at]
-    latest = max(begun, default=0)
-    if is_served and call.turn < due:
-        yield f"served by a key taken away: {call}"
-    if not is_served and call.turn == due == latest and due > 0:
-        yield f"refused a key in force: {call}"
-
-
-def _leaving(site):
-    """Check that a target that leaves gets nothing new."""
+    due_version = max(
+        (t for t, at in history.key_configured_at.items() if at <= due_at), default=0
+    )
+    started_versions = [
+        t for t, at in history.key_configured_at.items() if at <= call.ended_at
+    ]
+    latest_version = max(started_versions, default=0)
+    if is_accepted and call.key_version < due_version:
+        yield f"accepted a revoked key: {call}"
+    if (
+        not is_accepted
+        and call.key_version == due_version == latest_version
+        and due_version > 0
+    ):
+        yield f"refused a valid key: {call}"
+
+
+def _check_draining(site):
+    """Check that a draining target gets no new requests."""
     history = site.history
-    calls = {call.attempt: call for call in history.calls}
-    for run in site.runs:
-        left_at = history.left_at.get(run.target)
-        if left_at is None or run.at < left_at + LEAVE_S + LOOP_MARGIN_S:
+    calls = {call.attempt_id: call for call in history.calls}
+    for execution in site.executions:
+        draining_since = history.draining_since.get(execution.target)
+        if (
+            draining_since is None
+            or execution.at < draining_since + DRAIN_LIMIT_S + LOOP_MARGIN_S
+        ):
             continue
-        call = calls.get(run.attempt)
+        call = calls.get(execution.attempt_id)
         if call is None:
             continue
-        span = left_at, run.at, CONTACT_S
-        if all(history.is_calm(each, *span) for each in (call.daemon, "store")):
-            yield f"sent to a target that left {run.at - left_at:.1f} s ago: {call}"
-
-
-def _ending(site):
-    """Check that a request which ends its targets is kept from them in time."""
+        span = draining_since, execution.at, SETTLE_TIME_S
+        if all(
+            history.is_undisturbed(subject, *span) for subject in (call.daemon, "store")
+        ):
+            yield (
+                f"sent to a target that has been draining for "
+                f"{execution.at - draining_since:.1f} s: {call}"
+            )
+
+
+def _check_crashing_requests(site):
+    """Check that a request which crashes its targets is quarantined in time."""
     history = site.history
-    calls = {call.attempt: call for call in history.calls}
-    for name in {end.name for end in site.ends}:
-        ends = sorted(end.at for end in site.ends if end.name == name)
-        if len(ends) < ENDS_ALLOWED:
+    calls = {call.attempt_id: call for call in history.calls}
+    for request_name in {crash.request_name for crash in site.crashes}:
+        crashes = sorted(
+            crash.at for crash in site.crashes if crash.request_name == request_name
+        )
+        if len(crashes) < CRASHES_ALLOWED:
             continue
-        due_at = ends[ENDS_ALLOWED - 1] + CONTACT_S + LOOP_MARGIN_S
-        later = []
+        due_at = crashes[CRASHES_ALLOWED - 1] + SETTLE_TIME_S + LOOP_MARGIN_S
+        late_arrivals = []
         for arrival in site.arrivals:
-            call = calls.get(arrival.attempt)
-            if arrival.name != name or arrival.at < due_at or call is None:
+            call = calls.get(arrival.attempt_id)
+            if (
+                arrival.request_name != request_name
+                or arrival.at < due_at
+                or call is None
+            ):
                 continue
-            span = arrival.at, arrival.at, CONTACT_S
-            if all(history.is_calm(each, *span) for each in (call.daemon, "store")):
-                later.append(arrival)
-        if len(later) > LATER_ALLOWED:
-            yield f"ended {len(ends)} targets, {len(later)} later arrivals: {name}"
+            span = arrival.at, arrival.at, SETTLE_TIME_S
+            if all(
+                history.is_undisturbed(subject, *span)
+                for subject in (call.daemon, "store")
+            ):
+                late_arrivals.append(arrival)
+        if len(late_arrivals) > LATE_ARRIVALS_ALLOWED:
+            yield (
+                f"crashed {len(crashes)} targets, {len(late_arrivals)} late arrivals: "
+                f"{request_name}"
+            )
--- a/soak/history.py
+++ b/soak/history.py
@@ -1,4 +1,4 @@
-"""What was done to a site and what its callers saw, with times."""
+"""Record of a site's disturbances, configuration changes and calls."""
 
 import contextlib
 from typing import NamedTuple
@@ -7,7 +7,7 @@
 
 
 class CallKind:
-    """Kinds of calls; their values are the first parts of paths."""
+    """Kinds of calls; the values are the first segments of their paths."""
 
     STREAM = "draft"
     BOOKING = "book"
@@ -18,24 +18,26 @@
     """A call as its caller saw it.
 
     :param kind: one of :class:`CallKind`.
-    :param name: last part of its path; answers depend on it.
-    :param attempt: its attempt id.
-    :param daemon: name of the daemon that it went to.
-    :param run: run of that daemon's process, or ``None`` if it changed meanwhile.
-    :param turn: number of the changing key that it used; ``None`` for the lasting key.
-    :param began_at: loop time.
-    :param ended_at: loop time.
-    :param status: status of the answer; ``None`` if there was none.
-    :param body: body of an answer that was complete; ``None`` for a broken one.
-    :param was_sent: whether the daemon can have read it.
+    :param request_name: last segment of its path; it determines the response.
+    :param attempt_id: value of its ``X-Attempt-Id`` header.
+    :param daemon: name of the daemon that it was sent to.
+    :param incarnation: incarnation of that daemon's process, or ``None`` if it changed
+        during the call.
+    :param key_version: version of the rotating key that it used; ``None`` for the
+        permanent key.
+    :param began_at: loop time in seconds.
+    :param ended_at: loop time in seconds.
+    :param status: HTTP status; ``None`` if there was no response.
+    :param body: body of a complete response; ``None`` if it was incomplete.
+    :param was_sent: whether the daemon may have read it.
     """
 
     kind: str
-    name: str
-    attempt: str
+    request_name: str
+    attempt_id: str
     daemon: str
-    run: int | None
-    turn: int | None
+    incarnation: int | None
+    key_version: int | None
     began_at: float
     ended_at: float
     status: int | None
@@ -51,73 +53,82 @@
 
 
 class SiteHistory:
-    """Keeps disturbances, the operator's changes and calls.
+    """Records disturbances, the operator's changes and calls.
 
-    :param clock: callable that returns the loop's time.
+    :param clock: callable that returns the loop time in seconds.
     """
 
     def __init__(self, clock):
         self._now = clock
         self.calls = []
-        self.own_ends = []
+        self.unexpected_exits = []
         self.slow_stops = []
-        self.broken_faults = []
-        self.left_at = {}
-        self.configured_at = {}
-        self._runs = {}
+        self.failed_tasks = []
+        self.draining_since = {}
+        self.key_configured_at = {}
+        self._incarnations = {}
         self._disturbances = []
-        self._open = {}
+        self._active = {}
 
     @contextlib.contextmanager
     def disturbance(self, subject, is_planned=False):
-        """Note a disturbance that lasts as long as the context.
+        """Record a disturbance that lasts as long as the context.
 
         :param subject: name of a daemon, ``"store"`` or ``"targets"``.
-        :param is_planned: whether it is planned work, which must cut nothing.
+        :param is_planned: whether it is planned maintenance, which must interrupt no
+            request.
         """
         key = object()
-        self._open[key] = (subject, self._now(), is_planned)
+        self._active[key] = (subject, self._now(), is_planned)
         try:
             yield
         finally:
-            subject, began_at, is_planned = self._open.pop(key)
-            found = _Disturbance(subject, began_at, self._now(), is_planned)
-            self._disturbances.append(found)
+            subject, began_at, is_planned = self._active.pop(key)
+            finished = _Disturbance(subject, began_at, self._now(), is_planned)
+            self._disturbances.append(finished)
 
-    def started(self, daemon, ended_at):
-        """Note that a daemon's process was started.
+    def record_start(self, daemon, ended_at):
+        """Record that a daemon's process was started.
 
-        :param ended_at: loop time by which the one before it, if any, had ended.
+        :param ended_at: loop time in seconds by which its predecessor had ended.
         """
-        self._runs[daemon] = self.run_of(daemon) + 1
+        self._incarnations[daemon] = self.incarnation_of(daemon) + 1
         self._disturbances.append(_Disturbance(daemon, ended_at, self._now(), False))
 
-    def run_of(self, daemon):
-        """Return the number of a daemon's present run."""
-        return self._runs.get(daemon, 0)
+    def incarnation_of(self, daemon):
+        """Return the number of a daemon's current incarnation."""
+        return self._incarnations.get(daemon, 0)
 
-    def leaving(self, target):
-        """Note that the list says that a target is leaving."""
-        self.left_at[target] = self._now()
+    def record_draining(self, target):
+        """Record that a target is listed as draining."""
+        self.draining_since[target] = self._now()
 
-    def configured(self, turn):
-        """Note that the store has a configuration with another changing key."""
-        self.configured_at[turn] = self._now()
+    def record_key_configured(self, key_version):
+        """Record that the store has a configuration with a new rotating key."""
+        self.key_configured_at[key_version] = self._now()
 
-    def is_calm(self, subject, began_at, ended_at, for_s, planned_counts=True):
-        """Whether a subject was undisturbed in a span and for a while before it.
+    def is_undisturbed(
+        self, subject, began_at, ended_at, margin_s, includes_planned=True
+    ):
+        """Whether a subject was undisturbed in an interval and for a margin before it.
 
         :param subject: as in :meth:`disturbance`.
-        :param began_at: loop time.
-        :param ended_at: loop time.
-        :param for_s: seconds before the span that count too.
-        :param planned_counts: whether planned work is a disturbance.
+        :param began_at: loop time in seconds.
+        :param ended_at: loop time in seconds.
+        :param margin_s: seconds before the interval that count too.
+        :param includes_planned: whether planned maintenance is a disturbance.
         """
-        still = [(s, began, self._now(), p) for s, began, p in self._open.values()]
+        active = [
+            (active_subject, active_began_at, self._now(), is_planned)
+            for active_subject, active_began_at, is_planned in self._active.values()
+        ]
         return not any(
-            found == subject
-            and (planned_counts or not is_planned)
-            and begun <= ended_at
-            and ended >= began_at - for_s
-            for found, begun, ended, is_planned in (*self._disturbances, *still)
+            disturbed == subject
+            and (includes_planned or not is_planned)
+            and disturbed_from <= ended_at
+            and disturbed_until >= began_at - margin_s
+            for disturbed, disturbed_from, disturbed_until, is_planned in (
+                *self._disturbances,
+                *active,
+            )
         )
--- a/soak/proxy.py
+++ b/soak/proxy.py
@@ -1,4 +1,4 @@
-"""A TCP proxy on loopback that delays, resets, cuts and silences connections."""
+"""A TCP proxy on loopback that delays, blocks and resets connections."""
 
 import asyncio
 import contextlib
@@ -10,13 +10,13 @@
 
 CHUNK_BYTES = 65_536
 DELAY_S = 0.15
-"""More than any step of a sound exchange takes on loopback."""
-LOOK_S = 0.02
+"""Longer than any step of an undisturbed exchange takes on loopback."""
+POLL_INTERVAL_S = 0.02
 RESET_ON_CLOSE = struct.pack("ii", 1, 0)
 
 
 class LinkState(StrEnum):
-    """What the proxy does to the bytes."""
+    """How the proxy treats the bytes that it relays."""
 
     SOUND = "sound"
     DELAYED = "delayed"
@@ -25,13 +25,13 @@
 
 
 class LoopbackProxy:
-    """Listens at an address and passes on to another one.
+    """Listens on one address and relays to another.
 
-    Bytes that come while a direction is held back wait, as they do behind a partition;
-    ``ONE_WAY`` holds back the answers only.
+    Bytes that arrive while a direction is blocked are held, as in a network partition;
+    ``ONE_WAY`` blocks only the direction from the upstream.
 
     :param address: ``ip:port`` to listen on.
-    :param upstream: ``ip:port`` to pass on to.
+    :param upstream: ``ip:port`` to relay to.
     """
 
     def __init__(self, address, upstream):
@@ -43,12 +43,14 @@
         self._tasks = set()
 
     async def start(self):
-        """Listen."""
+        """Start to listen."""
         host, port = self.address.rsplit(":", 1)
-        self._server = await asyncio.start_server(self._serve, host, int(port))
+        self._server = await asyncio.start_server(
+            self._handle_connection, host, int(port)
+        )
 
     async def stop(self):
-        """Close everything."""
+        """Stop to listen and close all connections."""
         self._server.close()
         self.reset()
         for task in list(self._tasks):
@@ -56,49 +58,53 @@
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
     def reset(self):
-        """Reset the connections that are open now."""
+        """Reset all open connections."""
         for writer in list(self._writers):
-            raw = writer.get_extra_info("socket")
-            if raw is not None and raw.fileno() >= 0:
-                raw.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
+            raw_socket = writer.get_extra_info("socket")
+            if raw_socket is not None and raw_socket.fileno() >= 0:
+                raw_socket.setsockopt(
+                    socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE
+                )
             writer.transport.abort()
 
-    async def _serve(self, reader, writer):
+    async def _handle_connection(self, reader, writer):
         self._tasks.add(asyncio.current_task())
         self._writers.add(writer)
-        other = None
+        upstream_writer = None
         try:
-            await self._held_back(LinkState.SILENT)
+            await self._wait_while(LinkState.SILENT)
             host, port = self._upstream.rsplit(":", 1)
-            far_reader, other = await asyncio.open_connection(host, int(port))
-            self._writers.add(other)
+            upstream_reader, upstream_writer = await asyncio.open_connection(
+                host, int(port)
+            )
+            self._writers.add(upstream_writer)
             await asyncio.gather(
-                self._pass_on(reader, other, (LinkState.SILENT,)),
-                self._pass_on(
-                    far_reader, writer, (LinkState.SILENT, LinkState.ONE_WAY)
+                self._relay(reader, upstream_writer, (LinkState.SILENT,)),
+                self._relay(
+                    upstream_reader, writer, (LinkState.SILENT, LinkState.ONE_WAY)
                 ),
             )
         except OSError:
-            # The other side is gone: so is this connection.
+            # The other side has closed, so this connection is closed too.
             writer.transport.abort()
         finally:
             self._tasks.discard(asyncio.current_task())
-            for each in (writer, other):
-                if each is not None:
-                    self._writers.discard(each)
-                    each.close()
-
-    async def _pass_on(self, reader, writer, holding):
-        while content := await reader.read(CHUNK_BYTES):
-            await self._held_back(*holding)
+            for connection_writer in (writer, upstream_writer):
+                if connection_writer is not None:
+                    self._writers.discard(connection_writer)
+                    connection_writer.close()
+
+    async def _relay(self, reader, writer, blocking_states):
+        while chunk := await reader.read(CHUNK_BYTES):
+            await self._wait_while(*blocking_states)
             if self.state is LinkState.DELAYED:
                 await asyncio.sleep(DELAY_S)
-            writer.write(content)
+            writer.write(chunk)
             await writer.drain()
         with contextlib.suppress(OSError, RuntimeError):
-            # It may be closed already.
+            # The connection may already be closed.
             writer.write_eof()
 
-    async def _held_back(self, *states):
+    async def _wait_while(self, *states):
         while self.state in states:
-            await asyncio.sleep(LOOK_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
--- a/soak/schedule.py
+++ b/soak/schedule.py
@@ -1,19 +1,19 @@
-"""What goes wrong in a run, and when: drawn from a seed, in series that overlap."""
+"""Random schedule of the faults that a soak run injects."""
 
 from enum import StrEnum
 from typing import NamedTuple
 
 __all__ = ["DAEMON_FAULTS", "Fault", "FaultKind", "make_schedule"]
 
-LEAST_GAP_S = 0.1
-LONGEST_GAP_S = 1.2
-"""Gaps between the begins of faults: shorter than most faults last, so they overlap."""
-SERIES_SHARE = 0.3
-"""Share of faults that are followed by another of their kind."""
+MIN_GAP_S = 0.1
+MAX_GAP_S = 1.2
+"""Range of the time between fault starts; shorter than most faults, so they overlap."""
+REPEAT_KIND_PROBABILITY = 0.3
+"""Probability that a fault is followed by another one of its kind."""
 
 
 class FaultKind(StrEnum):
-    """What is done from outside."""
+    """Kinds of faults that are injected from outside."""
 
     KILL = "kill"
     PAUSE = "pause"
@@ -42,74 +42,78 @@
     STORE_OLDER = "store-older"
 
 
-K = FaultKind
+_Kind = FaultKind
 DAEMON_FAULTS = frozenset(
     (
-        K.KILL,
-        K.PAUSE,
-        K.STOP,
-        K.RELOAD,
-        K.CALLERS_RESET,
-        K.CALLERS_DELAYED,
-        K.STORE_LINK_SILENT,
-        K.STORE_LINK_ONE_WAY,
-        K.STORE_LINK_RESET,
+        _Kind.KILL,
+        _Kind.PAUSE,
+        _Kind.STOP,
+        _Kind.RELOAD,
+        _Kind.CALLERS_RESET,
+        _Kind.CALLERS_DELAYED,
+        _Kind.STORE_LINK_SILENT,
+        _Kind.STORE_LINK_ONE_WAY,
+        _Kind.STORE_LINK_RESET,
     )
 )
-LATER_KINDS = frozenset((K.ENGINE_STARTS_AGAIN, K.ENTRY_SPOILED))
-LATER_KINDS_FROM = 1000
-"""First seed that draws the kinds added later: earlier seeds stay as they are."""
-ENDED_FROM = 2000
-OLDER_FROM = 3000
-"""The same for the kinds that came after those, one by one."""
+RESTART_KINDS = frozenset((_Kind.ENGINE_STARTS_AGAIN, _Kind.ENTRY_SPOILED))
+RESTART_KINDS_MIN_SEED = 1000
+"""First seed that draws these kinds; schedules of smaller seeds must not change."""
+TARGETS_ENDED_MIN_SEED = 2000
+STORE_OLDER_MIN_SEED = 3000
+"""First seeds that draw ``TARGETS_ENDED`` and ``STORE_OLDER``, for the same reason."""
 _WEIGHTS = dict.fromkeys(FaultKind, 2.0) | {
-    K.KILL_ALL: 0.3,
-    K.ENGINE_LOST: 5,
-    K.ENGINE_DARK: 4,
-    K.ENGINE_ADDED: 4,
-    K.KEY_CHANGES: 4,
-    K.ENGINE_STARTS_AGAIN: 6,
-    K.ENTRY_SPOILED: 4,
-    K.TARGETS_ENDED: 10,
-    K.STORE_OLDER: 8,
+    _Kind.KILL_ALL: 0.3,
+    _Kind.ENGINE_LOST: 5,
+    _Kind.ENGINE_DARK: 4,
+    _Kind.ENGINE_ADDED: 4,
+    _Kind.KEY_CHANGES: 4,
+    _Kind.ENGINE_STARTS_AGAIN: 6,
+    _Kind.ENTRY_SPOILED: 4,
+    _Kind.TARGETS_ENDED: 10,
+    _Kind.STORE_OLDER: 8,
 }
 
 
 class Fault(NamedTuple):
-    """Something that is done to the site.
+    """A fault that is injected into the site.
 
-    :param at_s: seconds from the start of the faults.
+    :param at_s: seconds since the start of fault injection.
     :param kind: :class:`FaultKind`
-    :param luck: between 0 and 1; picks the victim.
-    :param for_s: seconds that it lasts, where it lasts.
+    :param victim_fraction: number from 0 to 1 that selects the victim.
+    :param duration_s: duration in seconds, for kinds that last.
     """
 
     at_s: float
     kind: FaultKind
-    luck: float
-    for_s: float
+    victim_fraction: float
+    duration_s: float
 
 
 def make_schedule(rng, duration_s, seed):
-    """Return the list of :class:`Fault` of a run, by time.
+    """Return the :class:`Fault` list of a run, sorted by time.
 
     :param rng: :class:`random.Random`
-    :param duration_s: seconds within which faults begin and end.
-    :param seed: decides which kinds are drawn.
+    :param duration_s: seconds within which all faults begin and end.
+    :param seed: seed of the run; determines which kinds can be drawn.
     """
-    left_out = set(LATER_KINDS) if seed < LATER_KINDS_FROM else set()
-    if seed < ENDED_FROM:
-        left_out.add(K.TARGETS_ENDED)
-    if seed < OLDER_FROM:
-        left_out.add(K.STORE_OLDER)
-    drawn = {kind: w for kind, w in _WEIGHTS.items() if kind not in left_out}
-    kinds, weights = zip(*drawn.items(), strict=True)
+    excluded = set(RESTART_KINDS) if seed < RESTART_KINDS_MIN_SEED else set()
+    if seed < TARGETS_ENDED_MIN_SEED:
+        excluded.add(_Kind.TARGETS_ENDED)
+    if seed < STORE_OLDER_MIN_SEED:
+        excluded.add(_Kind.STORE_OLDER)
+    weight_by_kind = {
+        kind: weight for kind, weight in _WEIGHTS.items() if kind not in excluded
+    }
+    kinds, weights = zip(*weight_by_kind.items(), strict=True)
     faults, at_s, kind = [], 0.0, None
     while True:
-        at_s += rng.uniform(LEAST_GAP_S, LONGEST_GAP_S)
+        at_s += rng.uniform(MIN_GAP_S, MAX_GAP_S)
         if at_s >= duration_s:
             return faults
-        if kind is None or rng.random() > SERIES_SHARE:
+        if kind is None or rng.random() > REPEAT_KIND_PROBABILITY:
             kind = rng.choices(kinds, weights)[0]
-        for_s = min(rng.uniform(0.3, 5.0), duration_s - at_s)
-        faults.append(Fault(round(at_s, 2), kind, rng.random(), round(for_s, 2)))
+        fault_duration_s = min(rng.uniform(0.3, 5.0), duration_s - at_s)
+        faults.append(
+            Fault(round(at_s, 2), kind, rng.random(), round(fault_duration_s, 2))
+        )
