--- a/features/steps/soak_steps.py
+++ b/features/steps/soak_steps.py
@@ -159,7 +159,7 @@
     context.site = SimpleNamespace(
         history=SiteHistory(context.clock.time),
         executions=[],
-        ends=[],
+        crashes=[],
         arrivals=[],
         world=SimpleNamespace(violations=[]),
     )
--- a/soak/history.py
+++ b/soak/history.py
@@ -119,8 +119,8 @@
         :param includes_planned: whether planned maintenance is a disturbance.
         """
         active = [
-            (active_subject, active_began_at, self._now(), is_planned)
-            for active_subject, active_began_at, is_planned in self._active.values()
+            (active_subject, active_began_at, self._now(), planned)
+            for active_subject, active_began_at, planned in self._active.values()
         ]
         return not any(
             disturbed == subject
