--- a/features/support/platform_site.py
+++ b/features/support/platform_site.py
@@ -274,7 +274,7 @@
             return
         self._entry_lapse_at[target] = asyncio.get_running_loop().time() + ENTRY_LAPSE_S
         await asyncio.sleep(RESTART_DELAY_S)
-        await self._serve_engine(self.world.rename(engine))
+        await self._serve_engine(self.world.restart_under_new_id(engine))
 
     async def _add_plain_target(self, name):
         address = f"127.0.0.1:{free_ports(1)[0]}"
@@ -337,7 +337,7 @@
             live = {
                 engine.id: engine
                 for engine in self.world.engines.values()
-                if engine.id in self._addresses and not engine.is_dark
+                if engine.id in self._addresses and not engine.is_unreachable
             }
             for engine_id, engine in live.items():
                 entry = entry_fields(
@@ -359,7 +359,7 @@
         """Return the current incarnation of an engine, waiting until it answers."""
         while True:
             engine = self.world.engines.get(engine_id)
-            if engine is not None and not engine.is_dark:
+            if engine is not None and not engine.is_unreachable:
                 return engine
             await asyncio.sleep(0.1)
 
@@ -380,7 +380,7 @@
             body.get("model", ""),
             tuple(body.get("members", ())),
         )
-        return Response(status_code=STATUS_BY_RESULT[engine.take(order)])
+        return Response(status_code=STATUS_BY_RESULT[engine.execute(order)])
 
     async def _handle_stream(self, engine_id, request):
         engine = await self._wait_for_engine(engine_id)
@@ -410,10 +410,11 @@
 
     def _serves(self, engine):
         alive = all(
-            member in self.world.engines and not self.world.engines[member].is_dark
+            member in self.world.engines
+            and not self.world.engines[member].is_unreachable
             for member in engine.members
         )
-        return alive and self.world.is_whole(engine)
+        return alive and self.world.is_complete(engine)
 
     # Daemons
 
@@ -469,4 +470,10 @@
 
 
 def _no_faults():
-    return Faults(late=0, lost=0, unanswered=0, pause=0, store=0)
+    return Faults(
+        late_order_fraction=0,
+        lost_order_fraction=0,
+        unanswered_order_fraction=0,
+        pause_fraction=0,
+        store_failure_fraction=0,
+    )
