--- a/soak/callers.py
+++ b/soak/callers.py
@@ -34,7 +34,7 @@
         self._rng = rng
         self._call_numbers = itertools.count(1)
 
-    async def incarnation(self):
+    async def run(self):
         """Run all callers until cancelled."""
         async with asyncio.TaskGroup() as group:
             for _ in range(CALLER_COUNT):
