--- a/features/steps/quarantine_steps.py
+++ b/features/steps/quarantine_steps.py
@@ -97,7 +97,7 @@
 
 def _check_arrivals(platform, max_arrivals, seconds):
     """Check the arrivals of a request at the real targets that it crashes."""
-    crash_times = sorted(end.at for end in platform.ends)
+    crash_times = sorted(crash.at for crash in platform.crashes)
     assert len(crash_times) >= MAX_CRASHES_BEFORE_DETECTION, crash_times
     due_at = crash_times[MAX_CRASHES_BEFORE_DETECTION - 1] + seconds
     late_arrivals = [arrival for arrival in platform.arrivals if arrival.at > due_at]
