--- a/features/steps/ending_steps.py
+++ b/features/steps/ending_steps.py
@@ -6,12 +6,12 @@
 import aiohttp
 from behave import then, when
 
-from features.steps.platform_steps import _call, _play, _ready, _until
-from features.support.platform_site import ENDS, HOST, KEY, stream_events
+from features.steps.platform_steps import _all_ready, _call, _run_in_loop, _wait_until
+from features.support.platform_site import CRASH_PREFIX, HOST, KEY, stream_events
 
 FINAL_WINDOW_S = 3.0
 RESEND_INTERVAL_S = 0.5
-PATHS = {"stream": f"/draft/{ENDS}x", "booking": f"/book/{ENDS}x"}
+PATHS = {"stream": f"/draft/{CRASH_PREFIX}x", "booking": f"/book/{CRASH_PREFIX}x"}
 
 
 async def _send_crashing_request(session, front, path, request_number):
@@ -33,7 +33,7 @@
 
 
 async def _send_to_all_daemons(context, session, path):
-    fronts = context.platform.fronts.values()
+    fronts = context.platform.front_addresses.values()
     calls = []
     for front in fronts:
         context.request_number += 1
@@ -55,7 +55,7 @@
 
     async def send_other_requests(session):
         request_number = 0
-        fronts = list(site.fronts.values())
+        fronts = list(site.front_addresses.values())
         while True:
             request_number += 1
             name = f"o{request_number}"
@@ -85,7 +85,7 @@
                 task.cancel()
             await asyncio.gather(*caller_tasks, return_exceptions=True)
 
-    _play(context, send_requests())
+    _run_in_loop(context, send_requests())
 
 
 @then("its last callers learn within 0.5 s that it has not run, and when it is {rest}")
@@ -115,14 +115,14 @@
             site.processes[name].wait()
         for name in list(site.processes):
             site.start_daemon(name)
-        await _until(lambda: _ready(site), "daemons that serve")
-        context.crashes_before = len(site.ends)
+        await _wait_until(lambda: _all_ready(site), "daemons that serve")
+        context.crashes_before = len(site.crashes)
         async with aiohttp.ClientSession() as session:
             context.last_responses = await _send_to_all_daemons(
                 context, session, context.path
             )
 
-    _play(context, send_requests())
+    _run_in_loop(context, send_requests())
 
 
 @then("all of them refuse it, and no target crashes")
@@ -130,4 +130,4 @@
     assert [status for status, _, _ in context.last_responses] == [503] * 3, (
         context.last_responses
     )
-    assert len(context.platform.ends) == context.crashes_before
+    assert len(context.platform.crashes) == context.crashes_before
