--- a/cowslipcourse/emulator/callers.py
+++ b/cowslipcourse/emulator/callers.py
@@ -46,8 +46,8 @@
 
 class _RequestSize(NamedTuple):
     prompt_tokens: int
-    events: int
-    event_tokens: int
+    event_count: int
+    tokens_per_event: int
     crashes_targets: bool = False
 
 
@@ -209,10 +209,10 @@
         return (None, 0.0) if responder.is_complete else (Outcome.FAILED, 0.0)
 
     def _draw_size(self, kind, rng):
-        prompt = _draw_log_normal(rng, kind.prompt_tokens, kind.spread)
-        events = _draw_log_normal(rng, kind.events, kind.spread)
+        prompt_tokens = _draw_log_normal(rng, kind.prompt_tokens, kind.spread)
+        event_count = _draw_log_normal(rng, kind.events, kind.spread)
         return _RequestSize(
-            prompt, min(events, MAX_EVENTS), self._settings.steps_per_event
+            prompt_tokens, min(event_count, MAX_EVENTS), self._settings.steps_per_event
         )
 
 
--- a/cowslipcourse/emulator/connections.py
+++ b/cowslipcourse/emulator/connections.py
@@ -181,9 +181,9 @@
         connection = _EmulatedConnection(ResponseHead(200, ()))
         delivered_events = last_event_id or call.caller_headers.last_event_id or 0
         connection.request = BatchedRequest(
-            call.size.prompt_tokens + delivered_events * call.size.event_tokens,
+            call.size.prompt_tokens + delivered_events * call.size.tokens_per_event,
             delivered_events + 1,
-            call.size.events,
+            call.size.event_count,
             urgency(call.route, call.workspace, waited_s),
             connection.deliver,
             connection.interrupt,
--- a/cowslipcourse/standin/app.py
+++ b/cowslipcourse/standin/app.py
@@ -1,4 +1,4 @@
-"""HTTP faces of the stand-in; ``docs/wire-formats.md`` documents them."""
+"""HTTP endpoints of the stand-in, documented in ``docs/wire-formats.md``."""
 
 import asyncio
 
@@ -13,15 +13,15 @@
 
 __all__ = ["make_app"]
 
-LONG_S = 3600.0
+FROZEN_SLEEP_S = 3600.0
 
 
-class _Broken(Exception):
-    """The connection is to be broken without an answer."""
+class _ConnectionDropped(Exception):
+    """Raised to close the connection without a response."""
 
 
-class BreakConnections:
-    """ASGI layer that turns :class:`_Broken` into a closed connection."""
+class ConnectionDropMiddleware:
+    """ASGI middleware that closes the connection on :class:`_ConnectionDropped`."""
 
     def __init__(self, app):
         self._app = app
@@ -30,7 +30,7 @@
         """See the ASGI specification."""
         try:
             await self._app(scope, receive, send)
-        except _Broken:
+        except _ConnectionDropped:
             # An incomplete body makes the server close the connection.
             headers = [(b"content-length", b"1000000")]
             start = {"type": "http.response.start", "status": 500, "headers": headers}
@@ -38,12 +38,12 @@
             await send({"type": "http.response.body", "body": b"", "more_body": True})
 
 
-async def _json(request):
+async def _decode_json(request):
     return msgspec.json.decode(await request.body())
 
 
-class StoreFace:
-    """The platform's services."""
+class PlatformEndpoints:
+    """Endpoints of the platform: table, object store and VM list."""
 
     def __init__(self, world):
         self._world = world
@@ -64,7 +64,7 @@
         return json_response(self._world.table.read(request.query_params["key"]))
 
     async def scan(self, request):
-        """Read rows by prefix."""
+        """Read the rows whose key starts with a prefix."""
         refusal = await self._admit(request)
         if refusal is not None:
             return refusal
@@ -72,14 +72,14 @@
 
     async def commit(self, request):
         """Apply a transaction."""
-        content = await _json(request)
+        content = await _decode_json(request)
         refusal = await self._admit(request, write=True)
         if refusal is not None:
             return refusal
         table = self._world.table
         version, conflicts = table.commit(content["conditions"], content["writes"])
         if table.consume_reply_loss():
-            raise _Broken
+            raise _ConnectionDropped
         if conflicts:
             return json_response({"conflicts": conflicts}, 409)
         return json_response({"version": version})
@@ -102,8 +102,8 @@
         return json_response(self._world.listed())
 
 
-class TargetFace:
-    """Engines and plain services."""
+class TargetEndpoints:
+    """Endpoints of engines and plain services."""
 
     def __init__(self, world):
         self._world = world
@@ -111,19 +111,19 @@
     async def _target(self, request):
         target = self._world.find(request.path_params["vm"])
         if target is None or target.faults["dead"]:
-            raise _Broken
+            raise _ConnectionDropped
         if target.faults["frozen"]:
-            await asyncio.sleep(LONG_S)
+            await asyncio.sleep(FROZEN_SLEEP_S)
         return target
 
     async def status(self, request):
-        """Return what the target says of itself."""
+        """Return the status that the target reports."""
         return json_response((await self._target(request)).status())
 
     async def orders(self, request):
-        """Take an order."""
+        """Submit an order to an engine."""
         target = await self._target(request)
-        content = await _json(request)
+        content = await _decode_json(request)
         delay_s = target.faults.get("order_delay_s", 0.0)
         if delay_s:
             await asyncio.sleep(delay_s)
@@ -142,18 +142,18 @@
         except Refused as error:
             return json_response({"reason": str(error)}, 409)
         if target.consume_early_break():
-            raise _Broken
+            raise _ConnectionDropped
         headers = {
             "x-attempt": sequence.attempt,
             "x-group": target.assignment["group"],
             "x-epoch": str(target.assignment["epoch"]),
         }
         return StreamingResponse(
-            _events(target, sequence), 200, headers, "text/event-stream"
+            _event_stream(target, sequence), 200, headers, "text/event-stream"
         )
 
     async def cancel(self, request):
-        """Stop an answer."""
+        """Cancel an answer."""
         target = await self._target(request)
         target.cancel(request.query_params["attempt"])
         return json_response({})
@@ -163,38 +163,38 @@
         body = await request.body()
         target = await self._target(request)
         attempt = request.headers.get("x-attempt", "")
-        if _take(target.faults, "drop_unread"):
-            raise _Broken
+        if _consume_fault(target.faults, "drop_unread"):
+            raise _ConnectionDropped
         try:
-            answer = await target.call(request.path_params["operation"], attempt, body)
+            result = await target.call(request.path_params["operation"], attempt, body)
         except Refused as error:
             headers = {"x-not-started": "1", "x-attempt": attempt}
             return json_response({"reason": str(error)}, 409, headers)
-        if _take(target.faults, "drop_before_answer"):
-            raise _Broken
-        if _take(target.faults, "wrong_attempt"):
+        if _consume_fault(target.faults, "drop_before_answer"):
+            raise _ConnectionDropped
+        if _consume_fault(target.faults, "wrong_attempt"):
             attempt = "another-attempt"
-        return json_response(answer, 200, {"x-attempt": attempt})
+        return json_response(result, 200, {"x-attempt": attempt})
 
 
-def _take(faults, name):
+def _consume_fault(faults, name):
     if not faults.get(name):
         return False
     faults[name] -= 1
     return True
 
 
-async def _events(target, sequence):
+async def _event_stream(target, sequence):
     try:
         while True:
             event = await sequence.events.get()
             if event is None or target.faults["dead"]:
-                raise _Broken
+                raise _ConnectionDropped
             while not sequence.events.empty():
                 following = sequence.events.get_nowait()
                 if following is None:
                     yield event
-                    raise _Broken
+                    raise _ConnectionDropped
                 event += following
             yield event
             if b"data: [DONE]" in event:
@@ -203,32 +203,32 @@
         target.cancel(sequence.attempt)
 
 
-class ControlFace:
-    """Knobs and histories, for tests and people."""
+class ControlEndpoints:
+    """Fault knobs and histories, for tests and operators."""
 
     def __init__(self, world):
         self._world = world
 
     async def faults(self, request):
-        """Show or turn knobs: ``{"scope": name, "set": {knob: value}}``."""
+        """Return or set fault knobs: ``{"scope": name, "set": {knob: value}}``."""
         if request.method == "GET":
             faults = self._world.faults_of(request.query_params["scope"])
             return json_response(faults)
-        content = await _json(request)
+        content = await _decode_json(request)
         try:
             faults = self._world.faults_of(content["scope"])
         except (KeyError, AttributeError):
             return json_response({"reason": "unknown scope"}, 404)
         faults.update(content["set"])
         if content["set"].get("dead") and hasattr(
-            self._world.find(content["scope"]), "drop_all"
+            self._world.find(content["scope"]), "break_streams"
         ):
-            self._world.find(content["scope"]).drop_all()
+            self._world.find(content["scope"]).break_streams()
         return json_response(faults)
 
     async def vm(self, request):
-        """Do something to a VM: leave, stay, restart or remove."""
-        content = await _json(request)
+        """Change a VM: ``leave``, ``stay``, ``restart`` or ``remove``."""
+        content = await _decode_json(request)
         try:
             self._world.change_vm(content["vm"], content["action"])
         except KeyError as error:
@@ -236,7 +236,7 @@
         return json_response({})
 
     async def history(self, request):
-        """Return what the targets did, by VM."""
+        """Return the histories of all targets by VM, and counts of the stores."""
         names = [*self._world.targets, *self._world.removed]
         return json_response(
             {
@@ -247,11 +247,11 @@
         )
 
     async def engines(self, request):
-        """Return the true state of each target."""
-        found = {}
+        """Return the current state and the faults of each target."""
+        target_states = {}
         for name, target in self._world.targets.items():
-            found[name] = {**target.status(), "faults": target.faults}
-        return json_response(found)
+            target_states[name] = {**target.status(), "faults": target.faults}
+        return json_response(target_states)
 
 
 def make_app(world):
@@ -259,13 +259,17 @@
 
     :param world: :class:`~cowslipcourse.standin.world.World`
     """
-    store, target, control = StoreFace(world), TargetFace(world), ControlFace(world)
+    platform, target, control = (
+        PlatformEndpoints(world),
+        TargetEndpoints(world),
+        ControlEndpoints(world),
+    )
     routes = [
-        Route("/table/row", store.row),
-        Route("/table/scan", store.scan),
-        Route("/table/commit", store.commit, methods=["POST"]),
-        Route("/objects/{name:path}", store.objects, methods=["GET", "PUT"]),
-        Route("/vms", store.vms),
+        Route("/table/row", platform.row),
+        Route("/table/scan", platform.scan),
+        Route("/table/commit", platform.commit, methods=["POST"]),
+        Route("/objects/{name:path}", platform.objects, methods=["GET", "PUT"]),
+        Route("/vms", platform.vms),
         Route("/vm/{vm}/status", target.status),
         Route("/vm/{vm}/orders", target.orders, methods=["POST"]),
         Route("/vm/{vm}/generate", target.generate, methods=["POST"]),
@@ -276,4 +280,4 @@
         Route("/control/history", control.history),
         Route("/control/engines", control.engines),
     ]
-    return BreakConnections(Starlette(routes=routes))
+    return ConnectionDropMiddleware(Starlette(routes=routes))
--- a/cowslipcourse/standin/main.py
+++ b/cowslipcourse/standin/main.py
@@ -1,4 +1,4 @@
-"""Program ``cowslip-standin``."""
+"""Program ``cowslip-standin``: run the emulated platform and targets."""
 
 import asyncio
 import sys
@@ -13,7 +13,7 @@
 
 
 class Standin:
-    """One stand-in process.
+    """A stand-in process.
 
     :param settings: :class:`~cowslipcourse.settings.StandinSettings`
     """
@@ -22,7 +22,7 @@
         self._settings = settings
 
     async def run(self, stopping):
-        """Serve until told to stop."""
+        """Serve until ``stopping`` is set."""
         world = World(self._settings)
         refresh = asyncio.create_task(world.refresh_list())
         server = WebServer(make_app(world), self._settings.address)
--- a/cowslipcourse/standin/service.py
+++ b/cowslipcourse/standin/service.py
@@ -1,4 +1,4 @@
-"""An emulated plain service that records each execution."""
+"""Emulated plain service that records each execution."""
 
 import asyncio
 
@@ -8,14 +8,14 @@
 
 
 class PlainService:
-    """One plain service on one VM.
+    """A plain service on a VM.
 
-    Fault knobs: ``dead``, ``frozen``, ``refuse`` (reason), ``slow_s``, and the
-    number of coming calls to spoil: ``drop_before_answer`` (runs, then the
-    connection breaks), ``drop_unread`` (the connection breaks, nothing runs),
-    ``wrong_attempt`` (answers with another call's id).
+    Fault knobs: ``dead``, ``frozen``, ``refuse`` (reason), ``slow_s``, and knobs that
+    hold the number of further calls they affect: ``drop_before_answer`` (runs the
+    operation, then drops the connection), ``drop_unread`` (drops the connection without
+    running anything), ``wrong_attempt`` (answers with another attempt id).
 
-    :param vm: dict with the VM's entry in the list.
+    :param vm: entry of the VM in the list, as a dict.
     """
 
     def __init__(self, vm):
@@ -33,7 +33,7 @@
         self._running = 0
 
     def status(self):
-        """Return what the service says of itself."""
+        """Return the status that the service reports."""
         load = {"running": self._running, "waiting": 0, "batch_limit": 64}
         return {
             "vm": self.vm["name"],
@@ -43,9 +43,9 @@
         }
 
     async def call(self, operation, attempt, body):
-        """Run an operation once and return its answer.
+        """Run an operation once and return its result.
 
-        :raises Refused: nothing was run.
+        :raises Refused: the operation was not run.
         """
         if self.faults["refuse"]:
             raise Refused(self.faults["refuse"])
@@ -54,22 +54,26 @@
         self._running += 1
         try:
             now = asyncio.get_running_loop().time()
-            text = body.decode(errors="replace")
+            body_text = body.decode(errors="replace")
             self.history.append(
                 {
                     "at": now,
                     "event": "run",
                     "operation": operation,
                     "attempt": attempt,
-                    "body": text,
+                    "body": body_text,
                 }
             )
-            number = len(self.history)
+            execution_number = len(self.history)
             await asyncio.sleep(self.faults["slow_s"])
-            return {"operation": operation, "number": number, "vm": self.vm["name"]}
+            return {
+                "operation": operation,
+                "number": execution_number,
+                "vm": self.vm["name"],
+            }
         finally:
             self._running -= 1
 
     def restart(self):
-        """Go on under a new incarnation; executions stay recorded."""
+        """Continue under a new incarnation; the history is kept."""
         self.vm["incarnation"] += "+"
--- a/cowslipcourse/standin/table.py
+++ b/cowslipcourse/standin/table.py
@@ -1,4 +1,4 @@
-"""Emulated table service and object store, with faults."""
+"""Emulated table service with rate limits and faults."""
 
 import asyncio
 
@@ -6,26 +6,26 @@
 
 
 class StoreDown(Exception):
-    """The emulated store refuses the call."""
+    """The emulated store refuses a call."""
 
 
 class TokenBucket:
     """Rate limit.
 
-    :param per_s: calls allowed each second; as many may come at once.
+    :param per_s: calls allowed per second, which is also the size of a burst.
     """
 
     def __init__(self, per_s):
         self._per_s = per_s
         self._tokens = per_s
-        self._at = None
+        self._refilled_at = None
 
     def take(self, now):
         """Take one token and return whether there was one."""
-        if self._at is not None:
-            gained = (now - self._at) * self._per_s
-            self._tokens = min(self._per_s, self._tokens + gained)
-        self._at = now
+        if self._refilled_at is not None:
+            refilled_tokens = (now - self._refilled_at) * self._per_s
+            self._tokens = min(self._per_s, self._tokens + refilled_tokens)
+        self._refilled_at = now
         if self._tokens < 1:
             return False
         self._tokens -= 1
@@ -33,11 +33,11 @@
 
 
 class Table:
-    """Rows with versions and transactions.
+    """Versioned rows with transactions.
 
-    Fault knobs: ``down``, ``slow_s``, ``lose_replies`` (how many of the next
-    commits lose their reply after taking effect), ``cut_off`` (names of daemons
-    that get no answer).
+    Fault knobs: ``down``, ``slow_s``, ``lose_replies`` (number of further
+    commits whose reply is lost after they have taken effect), ``cut_off`` (names of
+    daemons whose calls are refused).
     """
 
     def __init__(self, settings):
@@ -64,7 +64,7 @@
             raise StoreDown("throttled")
 
     def consume_reply_loss(self):
-        """Return whether the reply of the present commit is to be lost."""
+        """Return whether to lose the reply of the current commit, and count it."""
         if self.faults["lose_replies"] <= 0:
             return False
         self.faults["lose_replies"] -= 1
@@ -72,8 +72,8 @@
 
     def read(self, key):
         """Return ``{key, value, version}`` or ``None``."""
-        found = self._rows.get(key)
-        return found and {"key": key, "value": found[0], "version": found[1]}
+        row = self._rows.get(key)
+        return row and {"key": key, "value": row[0], "version": row[1]}
 
     def scan(self, prefix):
         """Return the rows whose key starts with the prefix."""
--- a/cowslipcourse/standin/weights.py
+++ b/cowslipcourse/standin/weights.py
@@ -1,4 +1,4 @@
-"""Emulated weight store: loads share its rate."""
+"""Emulated weight store whose rate is shared by concurrent loads."""
 
 import asyncio
 
@@ -6,26 +6,26 @@
 
 
 class WeightStore:
-    """Serves loads one slice at a time, so that each gets an equal share.
+    """Serves loads in short slices, so that each gets an equal share of the rate.
 
-    :param bytes_per_s: rate of the whole store.
+    :param bytes_per_s: total rate of the store.
     """
 
     def __init__(self, bytes_per_s):
         self._bytes_per_s = bytes_per_s
-        self._active = 0
+        self._active_loads = 0
         self.faults = {"down": False}
         self.max_concurrent_loads = 0
 
     async def load(self, size_bytes):
-        """Return once the bytes have been read."""
-        self._active += 1
-        self.max_concurrent_loads = max(self.max_concurrent_loads, self._active)
+        """Wait until ``size_bytes`` have been read."""
+        self._active_loads += 1
+        self.max_concurrent_loads = max(self.max_concurrent_loads, self._active_loads)
         try:
-            left = float(size_bytes)
-            while left > 0:
+            remaining_bytes = float(size_bytes)
+            while remaining_bytes > 0:
                 await asyncio.sleep(0.02)
                 if not self.faults["down"]:
-                    left -= self._bytes_per_s * 0.02 / self._active
+                    remaining_bytes -= self._bytes_per_s * 0.02 / self._active_loads
         finally:
-            self._active -= 1
+            self._active_loads -= 1
--- a/cowslipcourse/standin/world.py
+++ b/cowslipcourse/standin/world.py
@@ -1,4 +1,4 @@
-"""Everything that one stand-in process emulates."""
+"""State of a stand-in process: VMs, stores and faults."""
 
 import asyncio
 import copy
@@ -13,7 +13,7 @@
 
 
 class World:
-    """VMs, stores and their faults.
+    """Emulated VMs and stores, with their faults.
 
     :ivar leaders_detect_loss: whether a leader breaks its streams when a member is
         lost; otherwise it continues alone, and only the system can keep requests away.
@@ -32,56 +32,56 @@
         self.targets = {}
         self._removed = {}
         self._listed = []
-        for declared in settings.vms:
-            for index in range(1, declared.count + 1):
-                self._add(declared, f"{declared.prefix}{index}")
+        for vm_settings in settings.vms:
+            for index in range(1, vm_settings.count + 1):
+                self._add_target(vm_settings, f"{vm_settings.prefix}{index}")
 
-    def _add(self, declared, name):
+    def _add_target(self, vm_settings, name):
         vm = {
             "name": name,
-            "domain": declared.domain,
-            "data_centre": declared.data_centre,
+            "domain": vm_settings.domain,
+            "data_centre": vm_settings.data_centre,
             "address": f"http://{self.settings.address}/vm/{name}",
             "incarnation": secrets.token_hex(4),
-            "accelerators": declared.accelerators,
-            "kind": declared.kind,
+            "accelerators": vm_settings.accelerators,
+            "kind": vm_settings.kind,
             "state": "live",
-            "labels": dict(declared.labels),
+            "labels": dict(vm_settings.labels),
         }
-        if declared.kind == "service":
+        if vm_settings.kind == "service":
             self.targets[name] = PlainService(vm)
         else:
             engine_settings = self.settings.engine
-            self.targets[name] = Engine(vm, declared.fenced, engine_settings, self)
+            self.targets[name] = Engine(vm, vm_settings.fenced, engine_settings, self)
 
     def all_members_ready(self, members, assignment):
-        """Return whether every member of a group holds the same assignment.
+        """Return whether all members of a group are ready with the same assignment.
 
-        The engine of a VM that was removed from the list counts while it answers.
+        An engine whose VM was removed from the list counts while it answers.
         """
-        wanted = (assignment["group"], assignment["epoch"])
+        expected = (assignment["group"], assignment["epoch"])
         for name in members:
             engine = self.find(name)
             if engine is None or engine.faults["dead"] or engine.faults["frozen"]:
                 return False
             held = (engine.assignment["group"], engine.assignment["epoch"])
-            if engine.state != "ready" or held != wanted:
+            if engine.state != "ready" or held != expected:
                 return False
         return True
 
     async def refresh_list(self):
-        """Copy the VMs into the lagging list for ever."""
+        """Copy the VMs to the delayed list periodically; runs forever."""
         while True:
             if not self.list_faults["frozen"]:
                 self._listed = [copy.deepcopy(t.vm) for t in self.targets.values()]
             await asyncio.sleep(self.settings.vm_list_lag_s or 0.05)
 
     def listed(self):
-        """Return the VM list as the platform shows it."""
+        """Return the delayed VM list of the platform."""
         return self._listed
 
     def change_vm(self, name, action):
-        """Do something to a VM.
+        """Change a VM.
 
         :param action: ``leave``, ``stay``, ``restart`` or ``remove``.
         """
@@ -94,7 +94,7 @@
             target.faults["dead"] = target.faults["frozen"] = False
             target.restart()
         elif action == "remove":
-            # The old engine still answers for a while; see ``find``.
+            # The engine still answers after its removal from the list; see ``find``.
             self._removed[name] = self.targets.pop(name)
         else:
             raise KeyError(action)
@@ -105,7 +105,7 @@
         return self._removed
 
     def find(self, name):
-        """Return the target of a VM, also of one removed from the list."""
+        """Return the target of a VM, which may have been removed from the list."""
         return self.targets.get(name) or self._removed.get(name)
 
     def faults_of(self, scope):
