--- a/measurements/balance_cost.py
+++ b/measurements/balance_cost.py
@@ -1,4 +1,4 @@
-"""Processor time that a coordinator spends on the balance of groups at a size.
+"""Processor time of a coordinator for balancing groups, by number of domains.
 
 Run: ``.venv/bin/python -m measurements.balance_cost [DOMAINS]``
 """
@@ -15,10 +15,10 @@
 )
 from cowslipcourse.routes import EngineModel
 
-DOMAINS = 150
-"""Domains of eight engines at the size that decides the design."""
-ENGINES = 8
-DATA_CENTRES = 15
+DOMAIN_COUNT = 150
+"""Number of domains of eight engines at the size that the design is based on."""
+ENGINES_PER_DOMAIN = 8
+DATA_CENTRE_COUNT = 15
 ROUNDS = 50
 MODELS = (
     EngineModel("large", 4, 0.67, 1.0, 16.0, 1.6),
@@ -26,41 +26,51 @@
 )
 
 
-def _plan(number):
+def _make_plan(domain_index):
     """Return the plan of a domain; every third one serves the smaller model."""
-    model = MODELS[number % 3 == 0]
-    domain = f"d{number}"
+    model = MODELS[domain_index % 3 == 0]
+    domain = f"d{domain_index}"
     groups = tuple(
         PlannedGroup(
-            f"{domain}-{each}",
+            f"{domain}-{group_index}",
             model.name,
             1,
-            tuple(f"{domain}-{each}-{rank}" for rank in range(model.size)),
+            tuple(f"{domain}-{group_index}-{rank}" for rank in range(model.size)),
         )
-        for each in range(ENGINES // model.size)
+        for group_index in range(ENGINES_PER_DOMAIN // model.size)
     )
     return DomainPlan(domain, 1, groups)
 
 
-def _seconds(choose):
-    began_at = time.process_time()
+def _mean_cpu_s(choose):
+    started_s = time.process_time()
     for _ in range(ROUNDS):
         choose()
-    return (time.process_time() - began_at) / ROUNDS
+    return (time.process_time() - started_s) / ROUNDS
 
 
-def main(domains):
-    """Print the time of each decision and the share of a core of both."""
-    plans = {plan.domain: plan for plan in map(_plan, range(domains))}
-    places = {name: f"dc{n % DATA_CENTRES}" for n, name in enumerate(plans)}
-    changes_s = _seconds(
+def main(domain_count):
+    """Print the time of each decision and the fraction of a core for both.
+
+    :param domain_count: number of domains.
+    """
+    plans = {plan.domain: plan for plan in map(_make_plan, range(domain_count))}
+    data_centres = {name: f"dc{n % DATA_CENTRE_COUNT}" for n, name in enumerate(plans)}
+    reassignments_s = _mean_cpu_s(
         lambda: choose_reassignments(plans, MODELS, lambda *_: True, lambda *_: 0)
     )
-    standby_s = _seconds(lambda: choose_standby(plans, places, MODELS, lambda *_: 0))
-    share = changes_s / REBALANCE_INTERVAL_S + standby_s / STANDBY_INTERVAL_S
-    print(f"{domains} domains: changes {1000 * changes_s:.2f} ms,", end=" ")
-    print(f"standby {1000 * standby_s:.2f} ms, {share:.4f} of a core")
+    standby_s = _mean_cpu_s(
+        lambda: choose_standby(plans, data_centres, MODELS, lambda *_: 0)
+    )
+    core_fraction = (
+        reassignments_s / REBALANCE_INTERVAL_S + standby_s / STANDBY_INTERVAL_S
+    )
+    print(
+        f"{domain_count} domains: reassignments {1000 * reassignments_s:.2f} ms,",
+        end=" ",
+    )
+    print(f"standby {1000 * standby_s:.2f} ms, {core_fraction:.4f} of a core")
 
 
 if __name__ == "__main__":
-    main(int(sys.argv[1]) if len(sys.argv) > 1 else DOMAINS)
+    main(int(sys.argv[1]) if len(sys.argv) > 1 else DOMAIN_COUNT)
--- a/measurements/class_search.py
+++ b/measurements/class_search.py
@@ -1,9 +1,9 @@
-"""Search drawn days in the emulator for classes that fall under a floor.
+"""Search random fault schedules for request classes whose credit is below a floor.
 
-Each seed draws a day of losses, dark domains, restarts and bursts, which overlap at
-random moments, and plays it on the site of an experiment. Days are ranked by what the
-worst class earns of its worth. With ``--as-written`` the experiment's own faults are
-played instead, with other luck.
+For each seed, a day of engine losses, domain outages, restarts and bursts that overlap
+at random times is simulated on the site of an experiment. Days are ranked by the lowest
+credit of a class, as a fraction of the possible credit. With ``--as-written``, the
+experiment's own faults are simulated instead, with other seeds.
 
 Run: ``.venv/bin/python -m measurements.class_search EXPERIMENT FIRST LAST``
 """
@@ -21,81 +21,84 @@
 from cowslipcourse.emulator.site_file import ExperimentSettings, FaultSettings
 from cowslipcourse.settings_file import load_settings
 
-__all__ = ["DayResult", "drawn_faults", "main", "play_day"]
+__all__ = ["DayResult", "draw_faults", "main", "simulate_day"]
 
-FLOOR = 0.42
-"""Highest floor that users set for a class on days like these."""
-SHOWN = 8
-LOSS_EVERY_S = 3.4
-"""Interval at which an engine is lost for good on the users' days."""
-DARK_DAYS = (1, 1, 2, 2, 3)
-"""Numbers of times that domains go dark in a day, each as likely as the next."""
+DEFAULT_MIN_CREDIT = 0.42
+"""Highest minimum credit that users set for a class on such days."""
+PRINTED_DAY_COUNT = 8
+ENGINE_LOSS_INTERVAL_S = 3.4
+"""Interval at which an engine is lost permanently on the users' days."""
+OUTAGE_COUNTS = (1, 1, 2, 2, 3)
+"""Numbers of domain outages in a day, drawn with equal probability."""
 
 
 class DayResult(NamedTuple):
-    """One day.
-
-    :param seed: of its faults and its luck.
-    :param worst: share of its worth that the worst class earned.
-    :param kinds: that share by class.
-    :param credit: the same of the whole day.
-    :param violations: what the oracle of the groups saw.
-    :param faults: what was played, as texts.
+    """Result of one simulated day.
+
+    :param seed: seed of its faults and of the simulation.
+    :param min_credit: lowest credit of a class, as a fraction of the possible credit.
+    :param credit_by_class: credit fraction by class.
+    :param credit: credit fraction of all requests.
+    :param violations: number of violations that the oracle of groups found.
+    :param faults: descriptions of the faults.
     """
 
     seed: int
-    worst: float
-    kinds: dict[str, float]
+    min_credit: float
+    credit_by_class: dict[str, float]
     credit: float
     violations: int
     faults: tuple[str, ...]
 
 
-def drawn_faults(seed, settings):
+def draw_faults(seed, settings):
     """Return the :class:`~cowslipcourse.emulator.site_file.FaultSettings` of a day.
 
-    :param seed: of the day.
+    :param seed: seed of the day.
     :param settings: :class:`~cowslipcourse.emulator.site_file.ExperimentSettings`
     """
-    luck = random.Random(f"day-{seed}")
-    last_s = settings.seconds - 4.0
+    rng = random.Random(f"day-{seed}")
+    last_fault_s = settings.seconds - 4.0
     models = ["", *(model.name for model in settings.site.models)]
     faults = [
         FaultSettings(
             kind="domain",
-            at_s=luck.uniform(2.0, last_s * 0.6),
-            for_s=luck.uniform(6.0, 20.0),
-            count=luck.choice((1, 1, 2)),
-            model=luck.choice(models),
+            at_s=rng.uniform(2.0, last_fault_s * 0.6),
+            for_s=rng.uniform(6.0, 20.0),
+            count=rng.choice((1, 1, 2)),
+            model=rng.choice(models),
         )
-        for _ in range(luck.choice(DARK_DAYS))
+        for _ in range(rng.choice(OUTAGE_COUNTS))
     ]
     faults.append(
-        FaultSettings(kind="lose", at_s=2.0, every_s=LOSS_EVERY_S, until_s=last_s)
+        FaultSettings(
+            kind="lose", at_s=2.0, every_s=ENGINE_LOSS_INTERVAL_S, until_s=last_fault_s
+        )
     )
-    for kind in luck.sample(("end", "restart", "add", "burst"), 2):
+    for kind in rng.sample(("end", "restart", "add", "burst"), 2):
         faults.append(
             FaultSettings(
                 kind=kind,
-                at_s=luck.uniform(2.0, last_s),
-                for_s=luck.uniform(3.0, 6.0),
-                count=luck.randint(1, 4),
-                factor=luck.uniform(1.3, 1.8),
+                at_s=rng.uniform(2.0, last_fault_s),
+                for_s=rng.uniform(3.0, 6.0),
+                count=rng.randint(1, 4),
+                factor=rng.uniform(1.3, 1.8),
             )
         )
     return tuple(faults)
 
 
-def play_day(path, is_drawn, seed):
-    """Play a day and return its :class:`DayResult`.
+def simulate_day(path, draws_faults, seed):
+    """Simulate a day and return its :class:`DayResult`.
 
-    :param path: file of an experiment.
-    :param is_drawn: whether the day's faults are drawn, too.
+    :param path: path of the experiment file.
+    :param draws_faults: whether faults are drawn instead of the experiment's.
+    :param seed: seed of the day.
     """
     logging.disable(logging.CRITICAL)
     settings = load_settings(path, ExperimentSettings)
-    if is_drawn:
-        faults = drawn_faults(seed, settings)
+    if draws_faults:
+        faults = draw_faults(seed, settings)
         settings = settings.model_copy(update={"faults": faults})
     (run,) = run_experiment(settings, ("as-is",), (seed,))
     return DayResult(
@@ -104,49 +107,55 @@
         run["kinds"],
         run["credit"],
         run["violations"],
-        tuple(_text(fault) for fault in settings.faults),
+        tuple(_describe_fault(fault) for fault in settings.faults),
     )
 
 
-def _text(fault):
-    """Return a fault as one word for each thing that differs from the defaults."""
-    pairs = fault.model_dump(exclude_defaults=True).items()
+def _describe_fault(fault):
+    """Return the fields of a fault that differ from their defaults, as text."""
+    field_values = fault.model_dump(exclude_defaults=True).items()
     return " ".join(
         f"{key}={round(value, 1) if isinstance(value, float) else value}"
-        for key, value in pairs
+        for key, value in field_values
     )
 
 
 def main(arguments):
-    """Search and print; the exit code is 1 if a class fell under the floor."""
+    """Print the search results; return 1 if a class was below the floor, else 0."""
     parser = argparse.ArgumentParser(description=__doc__.splitlines()[0])
     parser.add_argument("experiment")
     parser.add_argument("first", type=int)
     parser.add_argument("last", type=int)
     parser.add_argument("--as-written", action="store_true")
-    parser.add_argument("--floor", type=float, default=FLOOR)
+    parser.add_argument("--floor", type=float, default=DEFAULT_MIN_CREDIT)
     parser.add_argument("--jobs", type=int, default=4)
     options = parser.parse_args(arguments)
-    play = partial(play_day, options.experiment, not options.as_written)
+    simulate = partial(simulate_day, options.experiment, not options.as_written)
     with ProcessPoolExecutor(options.jobs) as pool:
-        days = list(pool.map(play, range(options.first, options.last + 1)))
-    _report(days, options.floor)
-    return 1 if any(day.worst < options.floor for day in days) else 0
-
-
-def _report(days, floor):
-    ranked = sorted(days, key=lambda day: day.worst)
-    for day in ranked[:SHOWN]:
-        kinds = ", ".join(f"{kind} {c:.3f}" for kind, c in sorted(day.kinds.items()))
-        print(f"seed {day.seed}: {kinds}; {'; '.join(day.faults)}")
-    for kind in sorted(days[0].kinds):
-        earned = [day.kinds[kind] for day in days]
-        print(f"{kind}: least {min(earned):.3f}, mean {statistics.fmean(earned):.3f}")
+        days = list(pool.map(simulate, range(options.first, options.last + 1)))
+    _print_report(days, options.floor)
+    return 1 if any(day.min_credit < options.floor for day in days) else 0
+
+
+def _print_report(days, floor):
+    ranked_days = sorted(days, key=lambda day: day.min_credit)
+    for day in ranked_days[:PRINTED_DAY_COUNT]:
+        credits_text = ", ".join(
+            f"{class_name} {class_credit:.3f}"
+            for class_name, class_credit in sorted(day.credit_by_class.items())
+        )
+        print(f"seed {day.seed}: {credits_text}; {'; '.join(day.faults)}")
+    for class_name in sorted(days[0].credit_by_class):
+        class_credits = [day.credit_by_class[class_name] for day in days]
+        print(
+            f"{class_name}: min {min(class_credits):.3f}, "
+            f"mean {statistics.fmean(class_credits):.3f}"
+        )
     credit = statistics.fmean(day.credit for day in days)
-    under = [day.seed for day in ranked if day.worst < floor]
-    broken = sum(day.violations for day in days)
-    print(f"{len(days)} days, credit {credit:.4f}, violations {broken}")
-    print(f"under {floor}: {len(under)} days: {under}")
+    seeds_below_floor = [day.seed for day in ranked_days if day.min_credit < floor]
+    violation_count = sum(day.violations for day in days)
+    print(f"{len(days)} days, credit {credit:.4f}, violations {violation_count}")
+    print(f"below {floor}: {len(seeds_below_floor)} days, seeds {seeds_below_floor}")
 
 
 if __name__ == "__main__":
--- a/measurements/gateway_path.py
+++ b/measurements/gateway_path.py
@@ -1,7 +1,8 @@
-"""What a gateway adds to a streamed answer, against calling the engine directly.
+"""Latency and processor time that a gateway adds to answers streamed by an engine.
 
-Both ways are measured in the same run, turn by turn, at rising concurrency. The
-gateway's processor time for each request and token comes from two lengths of answers.
+Calls through the gateway and to the engine are measured alternately in the same run, at
+rising concurrency. The processor time of the gateway for each request and token is
+derived from answers of two lengths.
 
 Run: ``.venv/bin/python -m measurements.gateway_path``
 """
@@ -17,7 +18,7 @@
 from harness.callers import chat_body
 
 CONCURRENCY = (1, 8, 32, 64, 128)
-TOKENS = 64
+ANSWER_TOKENS = 64
 ROUNDS = 3
 KEY = "key-of-crew-leads"
 STATIONS = {"pool": "large", "site": "stations"}
@@ -37,139 +38,165 @@
     engine={"token_s": 0.02, "batch_limit": 256},
     log_level="warning",
 )
-TICK = os.sysconf("SC_CLK_TCK")
+TICKS_PER_S = os.sysconf("SC_CLK_TCK")
 
 
 def cpu_s(process):
-    """Return the processor time that a process has used."""
+    """Return the processor time that a process has used, in seconds."""
     with open(f"/proc/{process.pid}/stat") as file:
         fields = file.read().rpartition(")")[2].split()
-    return (int(fields[11]) + int(fields[12])) / TICK
+    return (int(fields[11]) + int(fields[12])) / TICKS_PER_S
 
 
-async def direct(session, address, spec, body, number):
-    """Stream an answer from the engine itself; returns the times of its events."""
+async def stream_from_engine(session, address, spec, body, attempt):
+    """Stream an answer from an engine; return the start and the times of its events."""
     headers = {
         "x-request": "r",
-        "x-attempt": f"direct-{number}",
+        "x-attempt": f"direct-{attempt}",
         "x-group": spec["group"],
         "x-epoch": str(spec["epoch"]),
     }
-    started, times = time.perf_counter(), []
+    started_s, event_times_s = time.perf_counter(), []
     async with session.post(
         f"{address}/generate", data=body, headers=headers
     ) as response:
-        rest = b""
-        async for piece in response.content.iter_any():
-            at = time.perf_counter()
-            *events, rest = (rest + piece).split(b"\n\n")
-            times += [at] * sum(b"[DONE]" not in event for event in events)
-    return started, times
+        buffer = b""
+        async for chunk in response.content.iter_any():
+            received_s = time.perf_counter()
+            *events, buffer = (buffer + chunk).split(b"\n\n")
+            event_times_s += [received_s] * sum(
+                b"[DONE]" not in event for event in events
+            )
+    return started_s, event_times_s
 
 
-async def through(caller, url, body):
+async def stream_through_gateway(caller, url, body):
     """Stream an answer through the gateway."""
     answer = await caller.chat(url, body)
     assert answer.complete, answer
     return answer
 
 
-def show(name, concurrency, firsts, gaps, took_s, cpu):
-    """Print one line of figures, in milliseconds."""
-    first = np.percentile(np.array(firsts) * 1000, (50, 95, 99))
-    gap = np.percentile(np.array(gaps) * 1000, (50, 95, 99))
-    rate = concurrency * ROUNDS / took_s
+def print_latencies(
+    path, concurrency, first_token_s, token_gaps_s, duration_s, core_fraction
+):
+    """Print one line of measured values; return percentiles of latencies in ms."""
+    first_token_ms = np.percentile(np.array(first_token_s) * 1000, (50, 95, 99))
+    token_gap_ms = np.percentile(np.array(token_gaps_s) * 1000, (50, 95, 99))
+    requests_per_s = concurrency * ROUNDS / duration_s
     print(
-        f"{name:8} {concurrency:4} first p50/95/99 {first[0]:6.1f} {first[1]:6.1f} "
-        f"{first[2]:6.1f} gap {gap[0]:5.1f} {gap[1]:5.1f} {gap[2]:5.1f} "
-        f"req/s {rate:6.1f} tok/s {rate * TOKENS:8.0f} gateway cpu {cpu:4.0%}",
+        f"{path:8} {concurrency:4} "
+        f"first p50/95/99 {first_token_ms[0]:6.1f} {first_token_ms[1]:6.1f} "
+        f"{first_token_ms[2]:6.1f} "
+        f"gap {token_gap_ms[0]:5.1f} {token_gap_ms[1]:5.1f} {token_gap_ms[2]:5.1f} "
+        f"req/s {requests_per_s:6.1f} tok/s {requests_per_s * ANSWER_TOKENS:8.0f} "
+        f"gateway cpu {core_fraction:4.0%}",
         flush=True,
     )
-    return first, gap
+    return first_token_ms, token_gap_ms
 
 
-async def measure(site):
-    """Measure both ways and print ratios."""
+async def measure_paths(site):
+    """Print the latencies of both paths and their differences by concurrency."""
     url = site.urls["g1"]
-    body = chat_body("what is due next " * 8, max_tokens=TOKENS)
+    body = chat_body("what is due next " * 8, max_tokens=ANSWER_TOKENS)
     engines = site.get("platform", "/control/engines")
-    leads = [(name, engines[name]) for name in ("a1", "b1")]
+    lead_engines = [(name, engines[name]) for name in ("a1", "b1")]
     connector = aiohttp.TCPConnector(limit=0)
     process = site.processes["g1"]
     async with (
         Caller(KEY) as caller,
-        aiohttp.ClientSession(connector=connector) as http,
+        aiohttp.ClientSession(connector=connector) as session,
     ):
-        await asyncio.gather(*(through(caller, url, body) for _ in range(8)))
+        await asyncio.gather(
+            *(stream_through_gateway(caller, url, body) for _ in range(8))
+        )
         for concurrency in CONCURRENCY:
-            shown = {}
-            for way in ("direct", "gateway"):
-                firsts, gaps = [], []
-                started, cpu = time.perf_counter(), cpu_s(process)
-                for turn in range(ROUNDS):
-                    if way == "direct":
+            percentiles_ms = {}
+            for path in ("direct", "gateway"):
+                first_token_s, token_gaps_s = [], []
+                started_s, cpu_before_s = time.perf_counter(), cpu_s(process)
+                for round_number in range(ROUNDS):
+                    if path == "direct":
                         calls = [
-                            direct(
-                                http,
-                                site.urls["platform"] + f"/vm/{leads[i % 2][0]}",
-                                leads[i % 2][1],
+                            stream_from_engine(
+                                session,
+                                site.urls["platform"] + f"/vm/{lead_engines[i % 2][0]}",
+                                lead_engines[i % 2][1],
                                 body,
-                                f"{turn}-{i}",
+                                f"{round_number}-{i}",
                             )
                             for i in range(concurrency)
                         ]
-                        for began, times in await asyncio.gather(*calls):
-                            firsts.append(times[0] - began)
-                            gaps += list(np.diff(times))
+                        for request_started_s, event_times_s in await asyncio.gather(
+                            *calls
+                        ):
+                            first_token_s.append(event_times_s[0] - request_started_s)
+                            token_gaps_s += list(np.diff(event_times_s))
                     else:
-                        calls = [through(caller, url, body) for _ in range(concurrency)]
+                        calls = [
+                            stream_through_gateway(caller, url, body)
+                            for _ in range(concurrency)
+                        ]
                         for answer in await asyncio.gather(*calls):
-                            firsts.append(answer.first_token_s)
-                            gaps += answer.gaps_s
-                took_s = time.perf_counter() - started
-                used = (cpu_s(process) - cpu) / took_s
-                shown[way] = show(way, concurrency, firsts, gaps, took_s, used)
-            added = shown["gateway"][0] - shown["direct"][0]
-            gap_ratio = shown["gateway"][1] / shown["direct"][1]
+                            first_token_s.append(answer.first_token_s)
+                            token_gaps_s += answer.gaps_s
+                duration_s = time.perf_counter() - started_s
+                core_fraction = (cpu_s(process) - cpu_before_s) / duration_s
+                percentiles_ms[path] = print_latencies(
+                    path,
+                    concurrency,
+                    first_token_s,
+                    token_gaps_s,
+                    duration_s,
+                    core_fraction,
+                )
+            added_ms = percentiles_ms["gateway"][0] - percentiles_ms["direct"][0]
+            gap_ratio = percentiles_ms["gateway"][1] / percentiles_ms["direct"][1]
             print(
                 f"{'added':8} {concurrency:4} first token "
-                f"{added[0]:+.1f} {added[1]:+.1f} {added[2]:+.1f} ms, "
+                f"{added_ms[0]:+.1f} {added_ms[1]:+.1f} {added_ms[2]:+.1f} ms, "
                 f"gap ratio {gap_ratio[0]:.2f} {gap_ratio[1]:.2f} {gap_ratio[2]:.2f}"
             )
-        await slopes(site, caller, url)
+        await measure_cpu_costs(site, caller, url)
 
 
-async def slopes(site, caller, url):
-    """Processor time of the gateway for each request and each token."""
+async def measure_cpu_costs(site, caller, url):
+    """Print the processor time of the gateway for each request and each token."""
     process = site.processes["g1"]
-    idle = cpu_s(process)
+    idle_before_s = cpu_s(process)
     await asyncio.sleep(5)
-    idle_share = (cpu_s(process) - idle) / 5
-    costs = {}
+    idle_core_fraction = (cpu_s(process) - idle_before_s) / 5
+    cpu_s_per_request = {}
     for tokens in (8, 200):
         body = chat_body("what is due next " * 8, max_tokens=tokens)
-        requests = 320
-        started, cpu = time.perf_counter(), cpu_s(process)
-        for _ in range(requests // 64):
-            await asyncio.gather(*(through(caller, url, body) for _ in range(64)))
-        took_s = time.perf_counter() - started
-        costs[tokens] = (cpu_s(process) - cpu - idle_share * took_s) / requests
-    token_s = (costs[200] - costs[8]) / 192
-    request_s = costs[8] - 8 * token_s
+        request_count = 320
+        started_s, cpu_before_s = time.perf_counter(), cpu_s(process)
+        for _ in range(request_count // 64):
+            await asyncio.gather(
+                *(stream_through_gateway(caller, url, body) for _ in range(64))
+            )
+        duration_s = time.perf_counter() - started_s
+        cpu_s_per_request[tokens] = (
+            cpu_s(process) - cpu_before_s - idle_core_fraction * duration_s
+        ) / request_count
+    token_cpu_s = (cpu_s_per_request[200] - cpu_s_per_request[8]) / 192
+    request_cpu_s = cpu_s_per_request[8] - 8 * token_cpu_s
     print(
-        f"gateway idle {idle_share:.1%} of a core; {request_s * 1e3:.2f} ms a request, "
-        f"{token_s * 1e6:.0f} us a token: {1 / request_s:.0f} requests/s or "
-        f"{1 / token_s:.0f} tokens/s a core"
+        f"gateway idle {idle_core_fraction:.1%} of a core; "
+        f"{request_cpu_s * 1e3:.2f} ms per request, "
+        f"{token_cpu_s * 1e6:.0f} us per token: {1 / request_cpu_s:.0f} requests/s or "
+        f"{1 / token_cpu_s:.0f} tokens/s per core"
     )
 
 
 def main():
-    """Start a site, measure, stop."""
+    """Start a site and print all measurements."""
     with LocalSite(SHAPE) as site:
         site.cli("apply", "demo/configuration")
         site.wait_groups(4)
         site.wait_model("g1", KEY, "draft-large")
-        asyncio.run(measure(site))
+        asyncio.run(measure_paths(site))
 
 
 if __name__ == "__main__":
