--- a/cowslipcourse/emulator/connections.py
+++ b/cowslipcourse/emulator/connections.py
@@ -132,7 +132,7 @@
 
 
 class EmulatedAttemptSender:
-    """Meets :class:`~cowslipcourse.entry.attempts.AttemptSender`.
+    """Implements :class:`~cowslipcourse.entry.attempts.AttemptSender`.
 
     :param name: name of the daemon.
     :param fleet: :class:`~cowslipcourse.entry.fleet.FleetView` of the daemon.
@@ -197,8 +197,8 @@
     def _crash_callback(self, call, connection):
         """Return the callback for the start of a request that crashes its engine."""
 
-        def start():
+        def on_start():
             connection.start()
             self._heads.crash_oracle.record_crash(call.fingerprint, CRASH_DELAY_S)
 
-        return start
+        return on_start
--- a/cowslipcourse/emulator/daemons.py
+++ b/cowslipcourse/emulator/daemons.py
@@ -29,7 +29,7 @@
 
 
 class SingleCoordinatorScope:
-    """Meets :class:`~cowslipcourse.entry.scope.CoordinationScope`.
+    """Implements :class:`~cowslipcourse.entry.scope.CoordinationScope`.
 
     One daemon coordinates all domains.
 
@@ -47,7 +47,9 @@
 
 
 class DataCentreScope:
-    """Meets :class:`~cowslipcourse.entry.scope.CoordinationScope` for a part of a site.
+    """Implements :class:`~cowslipcourse.entry.scope.CoordinationScope`.
+
+    The daemon coordinates some of the site's data centres.
 
     :param coordinated_data_centres: names of the data centres whose groups this daemon
         coordinates.
--- a/cowslipcourse/emulator/messages.py
+++ b/cowslipcourse/emulator/messages.py
@@ -6,7 +6,7 @@
 
 
 class _EmulatedPeers:
-    """Meets :class:`~cowslipcourse.quarantining.QuarantinePeers`."""
+    """Implements :class:`~cowslipcourse.quarantining.QuarantinePeers`."""
 
     def __init__(self, network, name):
         self._network = network
--- a/cowslipcourse/emulator/world.py
+++ b/cowslipcourse/emulator/world.py
@@ -64,7 +64,10 @@
 
 
 class World:
-    """Emulated store and engines with faults; meets ``RowStore`` and ``EngineControl``.
+    """Emulated store and engines with faults.
+
+    Implements :class:`~cowslipcourse.ports.RowStore` and
+    :class:`~cowslipcourse.ports.EngineControl`.
 
     :param rng: :class:`random.Random`
     :param faults: :class:`Faults`
