--- a/measurements/reactions.py
+++ b/measurements/reactions.py
@@ -1,7 +1,7 @@
-"""How fast the system reacts, over separate processes on loopback.
+"""Reaction times of a site of separate processes on loopback.
 
-Edits: from the call to in force everywhere. A member's death: until its group is no
-longer reported as serving, and until it serves again.
+Edits: from the call until in force at all daemons. Failure of a group member: until its
+group is no longer reported as serving, and until it serves again.
 
 Run: ``.venv/bin/python -m measurements.reactions``
 """
@@ -13,8 +13,8 @@
 
 from harness import LocalSite, SiteShape, VmShape
 
-EDITS = 12
-DEATHS = 6
+EDIT_COUNT = 12
+FAILURE_COUNT = 6
 LARGE = {"pool": "large", "site": "stations"}
 ROSTER = {"pool": "small", "site": "stations"}
 APRON = {"pool": "large", "site": "apron"}
@@ -33,9 +33,9 @@
 )
 
 
-def show(title, values):
-    """Print the spread of some durations."""
-    array = np.array(values)
+def print_durations(title, durations_s):
+    """Print median, maximum and number of some durations in seconds."""
+    array = np.array(durations_s)
     print(
         f"{title}: p50 {np.percentile(array, 50):.2f} s, max {array.max():.2f} s, "
         f"n {len(array)}",
@@ -43,11 +43,13 @@
     )
 
 
-def edits(site, number=EDITS):
-    """Return seconds to acceptance by the controllers' own clock, and by the CLI."""
-    took = []
-    for _ in range(number):
-        answer = site.get("c1", "/v1/configuration", token="token-of-the-demo-operator")
+def measure_edits(site, edit_count=EDIT_COUNT):
+    """Return the seconds that each of some edits takes until it is in force."""
+    durations_s = []
+    for _ in range(edit_count):
+        configuration = site.get(
+            "c1", "/v1/configuration", token="token-of-the-demo-operator"
+        )
         value = {
             "on": "vm",
             "selector": "pool=large",
@@ -55,53 +57,53 @@
         }
         body = {
             "edit_id": f"measured-{time.time_ns()}",
-            "base_revision": answer["revision"],
+            "base_revision": configuration["revision"],
             "changes": [{"kind": "label", "name": "note", "value": value}],
             "wait_s": 50,
         }
-        started = time.perf_counter()
-        status, made = site.post(
+        started_s = time.perf_counter()
+        status, edit_result = site.post(
             "c1", "/v1/edits", body, token="token-of-the-demo-operator"
         )
-        assert status == 200 and made["accepted"], json.dumps(made)
-        took.append(time.perf_counter() - started)
-    return took
+        assert status == 200 and edit_result["accepted"], json.dumps(edit_result)
+        durations_s.append(time.perf_counter() - started_s)
+    return durations_s
 
 
 def _group(site, name):
     return next(g for g in site.status()["groups"] if g["group"] == name)
 
 
-def deaths(site):
-    """Return seconds until a group does not serve, and until it serves again."""
-    down, back = [], []
-    for _ in range(DEATHS):
+def measure_member_failures(site):
+    """Return seconds until a group stops serving, and until it serves again."""
+    until_down_s, until_serving_s = [], []
+    for _ in range(FAILURE_COUNT):
         site.wait_groups(4)
         group = next(
             g for g in site.status()["groups"] if g["declaration"] == "drafting"
         )
-        victim = group["members"][1]
-        died = time.perf_counter()
-        site.fault(victim, dead=True)
+        failed_vm = group["members"][1]
+        failed_at_s = time.perf_counter()
+        site.fault(failed_vm, dead=True)
         site.wait_for(lambda g=group: not _group(site, g["group"])["serving"], "down")
-        down.append(time.perf_counter() - died)
+        until_down_s.append(time.perf_counter() - failed_at_s)
         site.wait_for(lambda g=group: _group(site, g["group"])["serving"], "back")
-        back.append(time.perf_counter() - died)
-        site.vm(victim, "restart")
-    return down, back
+        until_serving_s.append(time.perf_counter() - failed_at_s)
+        site.vm(failed_vm, "restart")
+    return until_down_s, until_serving_s
 
 
 def main():
-    """Measure and print."""
+    """Print the reaction times of edits and of failures."""
     with LocalSite(SHAPE) as site:
         site.cli("apply", "demo/configuration")
         site.wait_groups(4)
-        show("edit in force at 8 daemons", edits(site))
-        down, back = deaths(site)
-        show("death until not serving", down)
-        show("death until serving again", back)
+        print_durations("edit in force at 8 daemons", measure_edits(site))
+        until_down_s, until_serving_s = measure_member_failures(site)
+        print_durations("failure until not serving", until_down_s)
+        print_durations("failure until serving again", until_serving_s)
         site.freeze("g4")
-        show("edit in force, one daemon frozen", edits(site, 1))
+        print_durations("edit in force, one daemon frozen", measure_edits(site, 1))
 
 
 if __name__ == "__main__":
