--- a/demo/run_demo.py
+++ b/demo/run_demo.py
@@ -123,7 +123,7 @@
         await asyncio.sleep(0.4)
         say(f"  {victim} of {group['group']} dies under {STREAMS} streams")
         died = time.perf_counter()
-        await asyncio.to_thread(site.fault, victim, dead=True)
+        await asyncio.to_thread(site.set_faults, victim, dead=True)
         down = back = None
         while back is None and time.perf_counter() - died < 60:
             await asyncio.sleep(0.1)
@@ -149,7 +149,7 @@
     done = site.cli("apply", str(CONFIGURATION))
     say("  " + done.stdout.strip().splitlines()[-1])
     started = time.perf_counter()
-    site.wait_groups(4)
+    site.wait_for_groups(4)
     took_s = time.perf_counter() - started
     say(f"  4 groups formed, loaded and serving after {took_s:.1f} s")
     say("\n2. Callers ask which address to use, stream answers, book once")
--- a/features/steps/site_steps.py
+++ b/features/steps/site_steps.py
@@ -66,10 +66,10 @@
 @then("{number:d} groups serve")
 def step_groups_serve(context, number):
     site = context.site
-    context.groups = site.wait_groups(number)
+    context.groups = site.wait_for_groups(number)
     for gateway in site.gateway_names:
-        site.wait_model(gateway, CREW_KEY, "draft-large")
-        site.wait_model(gateway, RAMP_KEY, "pushback-large")
+        site.wait_for_model(gateway, CREW_KEY, "draft-large")
+        site.wait_for_model(gateway, RAMP_KEY, "pushback-large")
 
 
 @then("every VM belongs to one group at most")
--- a/harness/__init__.py
+++ b/harness/__init__.py
@@ -1,4 +1,4 @@
-"""Start a whole site on loopback, for the demo, the tests and measurements."""
+"""Starts complete sites on loopback for the demo, the tests and the measurements."""
 
 from harness.callers import Answer, Caller
 from harness.site import LocalSite, SiteShape, VmShape
--- a/harness/builds.py
+++ b/harness/builds.py
@@ -1,4 +1,4 @@
-"""Chooses the build of the project that a process is started from."""
+"""Selects the build of the project from which a process is started."""
 
 import os
 from collections import Counter
@@ -7,20 +7,22 @@
 __all__ = ["OTHER_BUILD_VARIABLE", "Builds"]
 
 OTHER_BUILD_VARIABLE = "COWSLIP_OTHER_BUILD"
-"""Environment variable: a set-up checkout of another build, to run beside this one."""
+"""Environment variable with the checkout of another build to run beside this one."""
 
 
 class Builds:
-    """Starts processes from this build, or from this and another one in turn.
+    """Alternates process starts between this build and another one, if one is set.
 
-    With another build, neighbours by number differ in their build, and a process that
-    is started again changes it, so that each reads what the other has written.
+    Processes with consecutive numbers use different builds, and a restarted process
+    switches its build, so that each build reads what the other has written.
     """
 
     def __init__(self):
-        other = os.environ.get(OTHER_BUILD_VARIABLE)
-        self._other = Path(other).resolve() if other else None
-        self._starts = Counter()
+        other_checkout = os.environ.get(OTHER_BUILD_VARIABLE)
+        self._other_checkout = (
+            Path(other_checkout).resolve() if other_checkout else None
+        )
+        self._start_counts = Counter()
 
     def next_checkout(self, name):
         """Return the checkout for the next start of a process.
@@ -28,8 +30,8 @@
         :param name: name of the process; its last character is a digit.
         :returns: path of the other checkout, or ``None`` for this build.
         """
-        starts = self._starts[name]
-        self._starts[name] += 1
-        if self._other is None or (int(name[-1]) + starts) % 2:
+        start_count = self._start_counts[name]
+        self._start_counts[name] += 1
+        if self._other_checkout is None or (int(name[-1]) + start_count) % 2:
             return None
-        return self._other
+        return self._other_checkout
--- a/harness/callers.py
+++ b/harness/callers.py
@@ -1,4 +1,4 @@
-"""Callers as the demo, the tests and measurements need them."""
+"""HTTP callers for the demo, the tests and the measurements."""
 
 import json
 import time
@@ -11,16 +11,16 @@
 
 
 class Answer(NamedTuple):
-    """What a caller got.
+    """The response that a caller received.
 
-    :param status: HTTP status; 0 if the connection broke before one.
-    :param text: text of the answer, as far as it came.
-    :param complete: whether the end marker came.
+    :param status: HTTP status; 0 if the connection broke before it arrived.
+    :param text: text that was received, possibly incomplete.
+    :param complete: whether the end marker was received.
     :param problem: decoded problem or error event, or ``None``.
-    :param first_token_s: seconds to the first token.
+    :param first_token_s: seconds until the first token.
     :param gaps_s: seconds between tokens.
-    :param took_s: seconds in all.
-    :param headers: headers of the answer.
+    :param duration_s: total seconds.
+    :param headers: response headers.
     """
 
     status: int
@@ -29,12 +29,12 @@
     problem: dict | None
     first_token_s: float
     gaps_s: list
-    took_s: float
+    duration_s: float
     headers: dict
 
     @property
     def outcome(self):
-        """``completed``, or the outcome that the caller was told."""
+        """``completed``, or the outcome that the response reported."""
         if self.complete:
             return "completed"
         return (self.problem or {}).get("outcome", "broken")
@@ -48,7 +48,7 @@
 
 
 class Caller:
-    """One caller with a workspace key.
+    """A caller with the API key of one workspace.
 
     :param key: API key.
     """
@@ -67,28 +67,28 @@
         await self._session.close()
 
     async def addresses(self, url):
-        """Ask which addresses to use."""
+        """Return the addresses that a gateway recommends."""
         async with self._session.get(f"{url}/v1/addresses") as response:
             return await response.json()
 
     async def chat(self, url, body, headers=None):
         """Send a model request and return its :class:`Answer`."""
         headers = {"authorization": f"Bearer {self._key}", **(headers or {})}
-        started = time.perf_counter()
-        texts, times, complete, problem = [], [], False, None
-        status, found = 0, {}
+        started_at = time.perf_counter()
+        texts, token_times, complete, problem = [], [], False, None
+        status, response_headers = 0, {}
         try:
             async with self._session.post(
                 f"{url}/v1/chat/completions", data=body, headers=headers
             ) as response:
-                status, found = response.status, dict(response.headers)
+                status, response_headers = response.status, dict(response.headers)
                 if "event-stream" not in response.headers.get("content-type", ""):
                     content = json.loads(await response.read())
-                    return _plain(status, content, found, started)
-                rest, failed = b"", False
-                async for piece in response.content.iter_any():
-                    at = time.perf_counter()
-                    *events, rest = (rest + piece).split(b"\n\n")
+                    return _parse_answer(status, content, response_headers, started_at)
+                remainder, failed = b"", False
+                async for chunk in response.content.iter_any():
+                    received_at = time.perf_counter()
+                    *events, remainder = (remainder + chunk).split(b"\n\n")
                     for event in events:
                         if event.startswith(b"event: error"):
                             failed = True
@@ -97,46 +97,48 @@
                         elif event == b"data: [DONE]":
                             complete = not failed
                         else:
-                            chunk = json.loads(event.removeprefix(b"data: "))
-                            texts.append(chunk["choices"][0]["delta"]["content"])
-                            times.append(at)
+                            token = json.loads(event.removeprefix(b"data: "))
+                            texts.append(token["choices"][0]["delta"]["content"])
+                            token_times.append(received_at)
         except (TimeoutError, aiohttp.ClientError, OSError):
             complete = False
-        gaps = [later - earlier for earlier, later in pairwise(times)]
+        gaps = [later - earlier for earlier, later in pairwise(token_times)]
         return Answer(
             status,
             "".join(texts),
             complete,
             problem,
-            times[0] - started if times else 0.0,
+            token_times[0] - started_at if token_times else 0.0,
             gaps,
-            time.perf_counter() - started,
-            found,
+            time.perf_counter() - started_at,
+            response_headers,
         )
 
-    async def call(self, url, service, operation, content, headers=None):
+    async def call(self, url, service, operation, arguments, headers=None):
         """Call a plain service and return its :class:`Answer`."""
         headers = {"authorization": f"Bearer {self._key}", **(headers or {})}
-        started = time.perf_counter()
+        started_at = time.perf_counter()
         try:
             async with self._session.post(
                 f"{url}/v1/services/{service}/{operation}",
-                data=json.dumps(content).encode(),
+                data=json.dumps(arguments).encode(),
                 headers=headers,
             ) as response:
                 answer = json.loads(await response.read() or b"{}")
-                return _plain(response.status, answer, dict(response.headers), started)
+                return _parse_answer(
+                    response.status, answer, dict(response.headers), started_at
+                )
         except (TimeoutError, aiohttp.ClientError, OSError):
-            took_s = time.perf_counter() - started
-            return Answer(0, "", False, None, 0.0, [], took_s, {})
+            duration_s = time.perf_counter() - started_at
+            return Answer(0, "", False, None, 0.0, [], duration_s, {})
 
 
-def _plain(status, content, headers, started):
-    took_s = time.perf_counter() - started
+def _parse_answer(status, content, headers, started_at):
+    duration_s = time.perf_counter() - started_at
     complete = status == 200
     if complete and "choices" in content:
         text = content["choices"][0]["message"]["content"]
     else:
         text = json.dumps(content) if complete else ""
     problem = None if complete else content
-    return Answer(status, text, complete, problem, took_s, [], took_s, headers)
+    return Answer(status, text, complete, problem, duration_s, [], duration_s, headers)
--- a/harness/ports.py
+++ b/harness/ports.py
@@ -1,4 +1,4 @@
-"""Port numbers for processes that tests start beside each other."""
+"""Free port numbers for test processes that run concurrently."""
 
 import itertools
 import socket
@@ -8,45 +8,48 @@
 
 FIRST_PORT = 20_000
 LAST_PORT = 32_767
-"""Above it the system takes the local ports of outgoing connections."""
-PORTS_EACH = 500
-"""Ports of a range."""
-_recent = deque(maxlen=PORTS_EACH // 2)
-"""Ports given out lately, which are not given out again at once."""
-_claims = []
-"""The bound socket that keeps this process's range from other processes."""
+"""Higher ports are used by the system for outgoing connections."""
+PORTS_PER_RANGE = 500
+"""Number of ports that each test process claims."""
+_recent_ports = deque(maxlen=PORTS_PER_RANGE // 2)
+"""Recently returned ports, which are not returned again at once."""
+_claim_sockets = []
+"""The bound socket that reserves a range for this process."""
 
 
-def free_ports(number):
-    """Return port numbers that are free now.
+def free_ports(count):
+    """Return currently free port numbers.
 
-    A test process has a range of its own for as long as it runs.
+    Each test process has a range of its own for as long as it runs.
 
-    :raises OSError: if other test processes have all ranges.
+    :param count: number of ports.
+    :raises OSError: if all ranges are claimed by other test processes.
     """
-    if not _claims:
-        _claims.append(_claim_range())
-    first = _claims[0].getsockname()[1] + 1
-    found = []
-    for port in itertools.cycle(range(first, first + PORTS_EACH - 1)):
-        if len(found) == number:
-            return found
-        if port not in found and port not in _recent and _is_free(port):
-            found.append(port)
-            _recent.append(port)
+    if not _claim_sockets:
+        _claim_sockets.append(_claim_range())
+    first_port = _claim_sockets[0].getsockname()[1] + 1
+    ports = []
+    for port in itertools.cycle(range(first_port, first_port + PORTS_PER_RANGE - 1)):
+        if len(ports) == count:
+            return ports
+        if port not in ports and port not in _recent_ports and _is_free(port):
+            ports.append(port)
+            _recent_ports.append(port)
 
 
 def _claim_range():
-    """Return a socket bound to the first port of a range that nobody else has."""
-    for first in range(FIRST_PORT, LAST_PORT - PORTS_EACH + 2, PORTS_EACH):
+    """Return a socket bound to the first port of an unclaimed range."""
+    for first_port in range(
+        FIRST_PORT, LAST_PORT - PORTS_PER_RANGE + 2, PORTS_PER_RANGE
+    ):
         claim = socket.socket()
         try:
-            claim.bind(("127.0.0.1", first))
+            claim.bind(("127.0.0.1", first_port))
         except OSError:
             claim.close()
             continue
         return claim
-    raise OSError(f"no range of ports is free from {FIRST_PORT} to {LAST_PORT}")
+    raise OSError(f"no free port range from {FIRST_PORT} to {LAST_PORT}")
 
 
 def _is_free(port):
--- a/harness/run_tests.py
+++ b/harness/run_tests.py
@@ -1,7 +1,6 @@
-"""Run every check and close with one line that counts them.
+"""Run all checks and print the number of passed and failed ones.
 
-Scenarios that ``KNOWN-RED.txt`` names may fail; they are printed, not counted as
-failures.
+Failures of scenarios that ``KNOWN-RED.txt`` names are printed but not counted.
 """
 
 import json
@@ -17,10 +16,10 @@
 ROOT = Path(__file__).parent.parent
 BIN = Path(sys.executable).parent
 KNOWN_RED = ROOT / "KNOWN-RED.txt"
-MOST_KNOWN_RED = 3
+MAX_KNOWN_RED = 3
 PASSED, FAILED = "passed", "failed"
-MOST_JOBS = 6
-LONGEST = (
+MAX_JOBS = 6
+LONGEST_FEATURES = (
     "quarantine",
     "duel_variants",
     "restart_duels",
@@ -33,16 +32,16 @@
     "membership",
     "bookings",
 )
-"""Features that take longest; begun first, so that none runs alone at the end."""
+"""The slowest features, started first so that none runs alone at the end."""
 
 
 def _lint():
-    """Return ``(name, result)`` of the linter's and the formatter's check."""
+    """Run the linter and the formatter and return their ``(name, result)`` pairs."""
     results = []
     for command in (["check", "."], ["format", "--check", "."]):
-        done = subprocess.run([BIN / "ruff", *command], cwd=ROOT, check=False)
+        completed = subprocess.run([BIN / "ruff", *command], cwd=ROOT, check=False)
         name = f"ruff {command[0]}"
-        results.append((name, PASSED if done.returncode == 0 else FAILED))
+        results.append((name, PASSED if completed.returncode == 0 else FAILED))
     return results
 
 
@@ -50,12 +49,12 @@
     """Run one feature file and return ``(scenario name, result)`` of its scenarios."""
     with tempfile.TemporaryDirectory() as folder:
         report = Path(folder) / "report.json"
-        # Formatters without a file of their own write to standard output.
+        # A formatter without an output file writes to standard output.
         command = [BIN / "behave", "--no-capture", "--format", "json"]
         command += ["--outfile", report, "--format", "progress3", feature]
-        # A fixed hash seed gives sets, and so the runs, the same order every time.
+        # A fixed hash seed makes the order of sets, and so the runs, reproducible.
         environment = {**os.environ, "PYTHONHASHSEED": "0", "TMPDIR": folder}
-        done = subprocess.run(
+        completed = subprocess.run(
             command,
             cwd=ROOT,
             env=environment,
@@ -64,40 +63,40 @@
             stderr=subprocess.STDOUT,
             text=True,
         )
-        print(done.stdout, end="", flush=True)
+        print(completed.stdout, end="", flush=True)
         try:
             features = json.loads(report.read_text() or "[]")
         except (OSError, json.JSONDecodeError):
-            return [(f"behave itself on {feature}", FAILED)]
+            return [(f"behave on {feature}", FAILED)]
     results = []
-    for found in features:
-        for scenario in found.get("elements", ()):
+    for feature_report in features:
+        for scenario in feature_report.get("elements", ()):
             if scenario["type"] == "background":
                 continue
-            name = f"{found['name']}: {scenario['name']}"
+            name = f"{feature_report['name']}: {scenario['name']}"
             passed = scenario.get("status") == "passed"
             results.append((name, PASSED if passed else FAILED))
-    if done.returncode != 0 and all(result == PASSED for _, result in results):
-        results.append((f"behave itself on {feature}", FAILED))
+    if completed.returncode != 0 and all(result == PASSED for _, result in results):
+        results.append((f"behave on {feature}", FAILED))
     return results
 
 
 def _features(arguments):
-    """Return the feature files below the paths, the longest running first."""
+    """Return the feature files below the paths, the slowest first."""
     paths = [ROOT / argument for argument in arguments] or [ROOT / "features"]
     files = [path for path in paths if path.is_file()]
     for path in paths:
         files += sorted(path.rglob("*.feature"))
-    return sorted(files, key=lambda path: path.stem not in LONGEST)
+    return sorted(files, key=lambda path: path.stem not in LONGEST_FEATURES)
 
 
 def _run_features(arguments):
-    """Run the feature files beside each other; each has its own process."""
+    """Run the feature files concurrently, each in its own process."""
     files = _features(arguments)
-    jobs = max(1, min(MOST_JOBS, (os.cpu_count() or 2) - 2))
+    jobs = max(1, min(MAX_JOBS, (os.cpu_count() or 2) - 2))
     with ThreadPoolExecutor(jobs) as pool:
-        found = pool.map(_behave, files)
-        return [result for results in found for result in results]
+        results_by_file = pool.map(_behave, files)
+        return [result for results in results_by_file for result in results]
 
 
 def _known_red():
@@ -105,8 +104,8 @@
         return set()
     lines = KNOWN_RED.read_text().splitlines()
     names = {line.split(" | ")[0] for line in lines if line.strip()}
-    if len(names) > MOST_KNOWN_RED:
-        sys.exit(f"KNOWN-RED.txt names more than {MOST_KNOWN_RED} tests")
+    if len(names) > MAX_KNOWN_RED:
+        sys.exit(f"KNOWN-RED.txt names more than {MAX_KNOWN_RED} tests")
     return names
 
 
@@ -115,13 +114,13 @@
     arguments = sys.argv[1:]
     results = [] if arguments else _lint()
     results += _run_features(arguments)
-    known = _known_red()
+    known_red = _known_red()
     failed = [name for name, result in results if result == FAILED]
     for name in failed:
-        print(f"{'KNOWN RED' if name in known else 'FAILED'}: {name}")
-    unknown = [name for name in failed if name not in known]
-    print(f"{len(results) - len(failed)} passed, {len(unknown)} failed")
-    return 1 if unknown or not results else 0
+        print(f"{'KNOWN RED' if name in known_red else 'FAILED'}: {name}")
+    unexpected = [name for name in failed if name not in known_red]
+    print(f"{len(results) - len(failed)} passed, {len(unexpected)} failed")
+    return 1 if unexpected or not results else 0
 
 
 if __name__ == "__main__":
--- a/harness/site.py
+++ b/harness/site.py
@@ -1,4 +1,4 @@
-"""A site of separate processes on loopback addresses."""
+"""A site that runs as separate processes on loopback addresses."""
 
 import hashlib
 import json
@@ -22,14 +22,14 @@
 __all__ = ["LocalSite", "SiteShape", "VmShape"]
 
 BIN = Path(sys.executable).parent
-START_LIMIT_S = 40.0
-STOP_LIMIT_S = 20.0
+START_TIMEOUT_S = 40.0
+STOP_TIMEOUT_S = 20.0
 OPERATOR_TOKEN = "token-of-the-demo-operator"
-SECOND_TOKEN = "token-of-the-second-operator"
+SECOND_OPERATOR_TOKEN = "token-of-the-second-operator"
 
 
 class VmShape(NamedTuple):
-    """VMs of one kind in one domain."""
+    """A number of VMs of one kind in one domain."""
 
     prefix: str
     count: int
@@ -41,16 +41,18 @@
 
 
 class SiteShape(NamedTuple):
-    """What a site consists of.
+    """Processes and settings of a site.
 
     :param gateways: data centre of each gateway.
     :param controllers: data centre of each controller.
     :param vms: :class:`VmShape` list.
     :param engine: settings of the emulated engines.
-    :param time: settings of the rules between daemons.
+    :param time: settings of the timing between daemons.
     :param repair: settings of repair.
     :param limits: settings of the gateways' limits.
     :param target: settings of calls to targets.
+    :param standin: settings of the stand-in.
+    :param log_level: log level of the daemons.
     """
 
     gateways: tuple = ("dc1", "dc2")
@@ -88,7 +90,7 @@
 
 
 class LocalSite:
-    """Stand-in, gateways and controllers as separate processes.
+    """A stand-in, gateways and controllers as separate processes.
 
     :param shape: :class:`SiteShape`
     """
@@ -98,11 +100,11 @@
         self.folder = Path(tempfile.mkdtemp(prefix="cowslip-site-"))
         self.processes = {}
         self.urls = {}
-        self._frozen = set()
+        self._paused = set()
         self._builds = Builds()
-        self._plan_ports()
+        self._assign_ports()
 
-    def _plan_ports(self):
+    def _assign_ports(self):
         self.gateway_names = [f"g{i + 1}" for i in range(len(self.shape.gateways))]
         self.controller_names = [
             f"c{i + 1}" for i in range(len(self.shape.controllers))
@@ -112,20 +114,22 @@
         self.platform_address = f"127.0.0.1:{next(ports)}"
         self.urls["platform"] = f"http://{self.platform_address}"
         for name in names:
-            public, peer = next(ports), next(ports)
-            self.urls[name] = f"http://127.0.0.1:{public}"
-            self._write_daemon(name, public, peer)
-        self._write_standin()
-
-    def _write_daemon(self, name, public, peer):
-        centres = dict(zip(self.gateway_names, self.shape.gateways, strict=True))
-        centres |= dict(zip(self.controller_names, self.shape.controllers, strict=True))
+            public_port, peer_port = next(ports), next(ports)
+            self.urls[name] = f"http://127.0.0.1:{public_port}"
+            self._write_daemon_settings(name, public_port, peer_port)
+        self._write_standin_settings()
+
+    def _write_daemon_settings(self, name, public_port, peer_port):
+        data_centres = dict(zip(self.gateway_names, self.shape.gateways, strict=True))
+        data_centres |= dict(
+            zip(self.controller_names, self.shape.controllers, strict=True)
+        )
         sections = {
             "daemon": {
                 "name": name,
-                "data_centre": centres[name],
-                "peer_address": f"127.0.0.1:{peer}",
-                "public_address": f"127.0.0.1:{public}",
+                "data_centre": data_centres[name],
+                "peer_address": f"127.0.0.1:{peer_port}",
+                "public_address": f"127.0.0.1:{public_port}",
             },
             "platform": {"url": self.urls["platform"]},
             "time": self.shape.time,
@@ -135,26 +139,29 @@
         if name in self.gateway_names:
             sections["limits"] = self.shape.limits
         else:
-            tokens = self.folder / "tokens"
-            pairs = {"demo-operator": OPERATOR_TOKEN, "second-operator": SECOND_TOKEN}
+            tokens_file = self.folder / "tokens"
+            token_by_operator = {
+                "demo-operator": OPERATOR_TOKEN,
+                "second-operator": SECOND_OPERATOR_TOKEN,
+            }
             lines = [
-                f"{who} {hashlib.sha256(token.encode()).hexdigest()}"
-                for who, token in pairs.items()
+                f"{operator} {hashlib.sha256(token.encode()).hexdigest()}"
+                for operator, token in token_by_operator.items()
             ]
-            tokens.write_text("\n".join(lines) + "\n")
+            tokens_file.write_text("\n".join(lines) + "\n")
             (self.folder / "token").write_text(OPERATOR_TOKEN)
-            (self.folder / "token-2").write_text(SECOND_TOKEN)
-            sections["operators"] = {"tokens_file": tokens}
+            (self.folder / "token-2").write_text(SECOND_OPERATOR_TOKEN)
+            sections["operators"] = {"tokens_file": tokens_file}
             sections["repair"] = self.shape.repair
         _write_toml(self.folder / f"{name}.toml", sections)
 
-    def _write_standin(self):
+    def _write_standin_settings(self):
         sections = {"address": self.platform_address, **self.shape.standin}
         sections["engine"] = self.shape.engine
         sections["vms"] = [vm._asdict() for vm in self.shape.vms]
         _write_toml(self.folder / "standin.toml", sections)
 
-    # Processes.
+    # Processes
 
     def start(self):
         """Start every process; returns once all gateways and controllers serve."""
@@ -163,7 +170,7 @@
         for name in [*self.gateway_names, *self.controller_names]:
             self.start_process(name)
         for name in self.gateway_names:
-            self.wait_serving(name)
+            self.wait_until_serving(name)
         self.wait_for(lambda: self.status()["serving"], "controllers")
 
     def start_process(self, name):
@@ -175,10 +182,10 @@
             program = "cowslip-controller"
         if program != "cowslip-standin":
             checkout = self._builds.next_checkout(name)
-        programs = BIN if checkout is None else checkout / ".venv/bin"
+        program_folder = BIN if checkout is None else checkout / ".venv/bin"
         with (self.folder / f"{name}.log").open("ab") as log:
             process = subprocess.Popen(
-                [programs / program, self.folder / f"{name}.toml"],
+                [program_folder / program, self.folder / f"{name}.toml"],
                 stderr=log,
                 stdout=log,
             )
@@ -186,34 +193,34 @@
         return process
 
     def kill(self, name):
-        """Kill a process as a crash would."""
+        """Kill a process with SIGKILL."""
         self.processes[name].kill()
         self.processes[name].wait()
-        self._frozen.discard(name)
+        self._paused.discard(name)
 
-    def freeze(self, name):
-        """Stop a process without its knowing."""
+    def pause(self, name):
+        """Pause a process with SIGSTOP."""
         self.processes[name].send_signal(signal.SIGSTOP)
-        self._frozen.add(name)
+        self._paused.add(name)
 
-    def wake(self, name):
-        """Let a frozen process go on."""
+    def resume(self, name):
+        """Resume a paused process with SIGCONT."""
         self.processes[name].send_signal(signal.SIGCONT)
-        self._frozen.discard(name)
+        self._paused.discard(name)
 
     def terminate(self, name):
-        """Ask a process to stop as planned."""
+        """Ask a process to shut down with SIGTERM."""
         self.processes[name].terminate()
 
     def stop(self):
-        """End every process of the site and remove its folder."""
-        for name in list(self._frozen):
-            self.wake(name)
+        """Kill every process of the site and remove its folder."""
+        for name in list(self._paused):
+            self.resume(name)
         for process in self.processes.values():
             if process.poll() is None:
                 process.kill()
         for process in self.processes.values():
-            process.wait(STOP_LIMIT_S)
+            process.wait(STOP_TIMEOUT_S)
         if not os.environ.get("COWSLIP_KEEP_LOGS"):
             shutil.rmtree(self.folder, ignore_errors=True)
 
@@ -224,53 +231,55 @@
     def __exit__(self, *failure):
         self.stop()
 
-    # Conditions.
+    # Conditions
 
-    def wait_for(self, condition, what, limit_s=START_LIMIT_S):
+    def wait_for(self, condition, description, timeout_s=START_TIMEOUT_S):
         """Wait until a condition holds and return its value.
 
-        :raises TimeoutError: it did not hold within the limit.
+        :raises TimeoutError: if it does not hold within ``timeout_s`` seconds.
         """
-        until = time.monotonic() + limit_s
+        deadline = time.monotonic() + timeout_s
         while True:
             value = condition()
             if value:
                 return value
-            if time.monotonic() > until:
-                raise TimeoutError(f"{what}: not within {limit_s} s; see {self.folder}")
+            if time.monotonic() > deadline:
+                raise TimeoutError(
+                    f"{description}: not within {timeout_s} s; see {self.folder}"
+                )
             time.sleep(0.05)
 
-    def wait_serving(self, gateway):
-        """Wait until a gateway takes requests."""
+    def wait_until_serving(self, gateway):
+        """Wait until a gateway accepts requests."""
         self.wait_for(lambda: self.get(gateway, "/healthz", raw=True), gateway)
 
-    def wait_groups(self, number, limit_s=START_LIMIT_S):
-        """Wait until so many groups serve and return them."""
+    def wait_for_groups(self, count, timeout_s=START_TIMEOUT_S):
+        """Wait until at least ``count`` groups serve and return them."""
 
-        def serving():
+        def serving_groups():
             groups = [g for g in self.status()["groups"] if g["serving"]]
-            return groups if len(groups) >= number else None
+            return groups if len(groups) >= count else None
 
-        return self.wait_for(serving, f"{number} groups", limit_s)
+        return self.wait_for(serving_groups, f"{count} groups", timeout_s)
 
-    def wait_model(self, gateway, key, model):
-        """Wait until a gateway has heard of a group that serves a model."""
+    def wait_for_model(self, gateway, key, model):
+        """Wait until a gateway answers requests for a model."""
         body = {
             "model": model,
             "messages": [{"role": "user", "content": "ready?"}],
             "max_tokens": 1,
         }
 
-        def answered():
+        def is_answered():
             status, _ = self.post(gateway, "/v1/chat/completions", body, token=key)
             return status == 200
 
-        self.wait_for(answered, f"{model} at {gateway}")
+        self.wait_for(is_answered, f"{model} at {gateway}")
 
-    # Requests.
+    # Requests
 
     def get(self, name, path, raw=False, token=None):
-        """GET a path of a process; returns ``None`` if there is no good answer."""
+        """GET a path of a process; return ``None`` if it fails."""
         request = urllib.request.Request(self.urls[name] + path)
         if token:
             request.add_header("authorization", f"Bearer {token}")
@@ -294,50 +303,56 @@
             return error.code, json.loads(error.read() or b"{}")
 
     def status(self):
-        """Return the status as the first controller that answers sees it."""
+        """Return the status that the first responsive controller reports."""
         for name in self.controller_names:
             process = self.processes.get(name)
             running = process is not None and process.poll() is None
-            if not running or name in self._frozen:
+            if not running or name in self._paused:
                 continue
-            found = self.get(name, "/v1/status", token=OPERATOR_TOKEN)
-            if found is not None:
-                return found
+            status = self.get(name, "/v1/status", token=OPERATOR_TOKEN)
+            if status is not None:
+                return status
         return {"serving": False, "groups": [], "daemons": [], "accepted": 0}
 
-    def fault(self, scope, **knobs):
-        """Turn fault knobs of the stand-in."""
+    def set_faults(self, scope, **faults):
+        """Set faults of the stand-in.
+
+        :param scope: name of a VM or of a platform service.
+        :param faults: values by the names of faults.
+        """
         status, answer = self.post(
-            "platform", "/control/faults", {"scope": scope, "set": knobs}
+            "platform", "/control/faults", {"scope": scope, "set": faults}
         )
         assert status == 200, answer
 
-    def vm(self, name, action):
-        """Do something to a VM: leave, stay, restart or remove."""
+    def control_vm(self, name, action):
+        """Make a VM leave, stay, restart or be removed."""
         status, answer = self.post(
             "platform", "/control/vm", {"vm": name, "action": action}
         )
         assert status == 200, answer
 
     def history(self):
-        """Return what the targets did."""
+        """Return the events of all targets."""
         return self.get("platform", "/control/history")
 
     def executions(self):
-        """Return every execution of plain services."""
+        """Return all executions of plain services."""
         histories = self.history()["vms"].values()
         return [e for events in histories for e in events if e["event"] == "run"]
 
-    def cli(self, *arguments, check=True, second=False):
-        """Run the command line and return the finished process."""
+    def cli(self, *arguments, check=True, as_second_operator=False):
+        """Run the ``cowslip`` command and return the completed process."""
         environment = {
             **os.environ,
             "COWSLIP_CONTROLLERS": ",".join(
                 self.urls[n] for n in self.controller_names
             ),
-            "COWSLIP_TOKEN_FILE": str(self.folder / ("token-2" if second else "token")),
+            "COWSLIP_TOKEN_FILE": str(
+                self.folder / ("token-2" if as_second_operator else "token")
+            ),
         }
-        done = subprocess.run(
+        completed = subprocess.run(
             [BIN / "cowslip", *arguments],
             env=environment,
             capture_output=True,
@@ -345,6 +360,8 @@
             timeout=120,
             check=False,
         )
-        if check and done.returncode != 0:
-            raise AssertionError(f"cowslip {arguments}: {done.stdout}{done.stderr}")
-        return done
+        if check and completed.returncode != 0:
+            raise AssertionError(
+                f"cowslip {arguments}: {completed.stdout}{completed.stderr}"
+            )
+        return completed
--- a/measurements/capacity.py
+++ b/measurements/capacity.py
@@ -217,7 +217,7 @@
         )
         with LocalSite(shape) as site:
             site.cli("apply", "demo/configuration")
-            site.wait_groups(4)
+            site.wait_for_groups(4)
             cpu_before_s = {
                 name: cpu_s(process) for name, process in site.processes.items()
             }
--- a/measurements/gateway_path.py
+++ b/measurements/gateway_path.py
@@ -167,8 +167,8 @@
     """Start a site, measure, stop."""
     with LocalSite(SHAPE) as site:
         site.cli("apply", "demo/configuration")
-        site.wait_groups(4)
-        site.wait_model("g1", KEY, "draft-large")
+        site.wait_for_groups(4)
+        site.wait_for_model("g1", KEY, "draft-large")
         asyncio.run(measure(site))
 
 
--- a/measurements/reactions.py
+++ b/measurements/reactions.py
@@ -76,18 +76,18 @@
     """Return seconds until a group does not serve, and until it serves again."""
     down, back = [], []
     for _ in range(DEATHS):
-        site.wait_groups(4)
+        site.wait_for_groups(4)
         group = next(
             g for g in site.status()["groups"] if g["declaration"] == "drafting"
         )
         victim = group["members"][1]
         died = time.perf_counter()
-        site.fault(victim, dead=True)
+        site.set_faults(victim, dead=True)
         site.wait_for(lambda g=group: not _group(site, g["group"])["serving"], "down")
         down.append(time.perf_counter() - died)
         site.wait_for(lambda g=group: _group(site, g["group"])["serving"], "back")
         back.append(time.perf_counter() - died)
-        site.vm(victim, "restart")
+        site.control_vm(victim, "restart")
     return down, back
 
 
@@ -95,12 +95,12 @@
     """Measure and print."""
     with LocalSite(SHAPE) as site:
         site.cli("apply", "demo/configuration")
-        site.wait_groups(4)
+        site.wait_for_groups(4)
         show("edit in force at 8 daemons", edits(site))
         down, back = deaths(site)
         show("death until not serving", down)
         show("death until serving again", back)
-        site.freeze("g4")
+        site.pause("g4")
         show("edit in force, one daemon frozen", edits(site, 1))
 
 
