--- a/features/platform_path/platform.feature
+++ b/features/platform_path/platform.feature
@@ -1,69 +1,69 @@
 Feature: cowslip-entry as separate processes on the users' platform
-  Three daemons before a small platform that the tests run. The oracle of the duels watches
-  the engines; callers check each byte. Conditions are waited for, never durations.
+  Three daemons in front of a small platform that the tests run. The engines record executions in
+  partial or overlapping groups; callers check each byte. Steps wait for conditions, never for fixed times.
 
-  Scenario: Groups form, and callers get whole streams and plain answers
+  Scenario: Groups form, and callers get complete streams and plain answers
     Given a platform with three daemons, whose groups serve
     When 12 callers stream
-    Then every stream is whole
+    Then every stream is complete
     And a lookup is answered, an unknown key and an unknown path are refused
     And no engine ran anything in a partial group or in two groups
 
-  Scenario: A member dies under streams
+  Scenario: A crash of a group member interrupts no stream
     Given a platform with three daemons, whose groups serve
-    When 12 callers stream and a member of a serving group dies meanwhile
-    Then every stream is whole
+    When 12 callers stream and a member of a serving group crashes meanwhile
+    Then every stream is complete
     And the group serves again with another member
     And no engine ran anything in a partial group or in two groups
 
-  Scenario: The coordinator is killed, and then a member dies
+  Scenario: A group is repaired although the coordinator was killed before
     Given a platform with three daemons, whose groups serve
     When the coordinator is killed
-    And 8 callers stream at the others and a member of a serving group dies meanwhile
-    Then every stream is whole
+    And 8 callers stream at the others and a member of a serving group crashes meanwhile
+    Then every stream is complete
     And the group serves again with another member
 
-  Scenario: A planned stop cuts nothing
+  Scenario: A planned stop interrupts no stream
     Given a platform with three daemons, whose groups serve
-    When 12 callers stream and a daemon is told to stop meanwhile
-    Then every stream is whole
+    When 12 callers stream and a daemon is shut down meanwhile
+    Then every stream is complete
     And the daemon ends with exit code 0
 
-  Scenario: Idle connections do not hold up a planned stop
+  Scenario: Idle connections do not delay a planned stop
     Given a platform with three daemons, whose groups serve
-    When callers keep idle connections to a daemon that is told to stop
+    When callers keep idle connections to a daemon that is shut down
     Then the daemon ends with exit code 0 within 4.5 s
 
-  Scenario: A key is taken away while the store turns unreachable afterwards
+  Scenario: A revoked key is refused, and streams go on without the store
     Given a platform with three daemons, whose groups serve
     When the key is replaced by another
-    Then soon no daemon takes the old key and all take the new one
-    When the store goes away
+    Then every daemon eventually refuses the old key and accepts the new one
+    When the store becomes unreachable
     And 8 callers stream
-    Then every stream is whole
+    Then every stream is complete
 
-  Scenario: A booking runs once at most
+  Scenario: Broken connections to a plain target run no booking twice
     Given a platform with three daemons, whose groups serve
     When 20 bookings are made and one plain target closes every connection
-    Then no booking ran twice and none that was told not run has run
+    Then no booking ran twice, and none that was reported as not run has run
 
-  Scenario: The store comes back as it was before the groups were planned
+  Scenario: Groups survive a restore of the store to the time before they were planned
     Given a platform with three daemons, whose groups serve
-    When 12 callers stream and the store comes back as it was before
-    Then every stream is whole
+    When 12 callers stream and the store is restored to its initial state
+    Then every stream is complete
     And the same groups serve and the store holds their plans again
     And the store holds the registrations of all daemons again
     When the coordinator is killed
-    And 8 callers stream at the others and a member of a serving group dies meanwhile
-    Then every stream is whole
+    And 8 callers stream at the others and a member of a serving group crashes meanwhile
+    Then every stream is complete
     And the group serves again with another member
     And no engine ran anything in a partial group or in two groups
 
-  Scenario: A signal to reload that comes while the program starts does not end it
-    When the program has run no more than its first lines
+  Scenario: A reload signal during the start does not end the program
+    When only the first lines of the program have run
     Then SIGHUP is ignored
 
-  Scenario Outline: A daemon whose address is taken does not end without a word
+  Scenario Outline: A daemon whose address is taken logs the cause before it exits
     Given another program listens on the address for <which> of a daemon
     When the daemon runs until it ends
     Then it ends with exit code 1 and logs that the address is taken
--- a/features/processes/processes.feature
+++ b/features/processes/processes.feature
@@ -12,7 +12,7 @@
     And 4 groups serve
 
   Scenario: A controller that was paused past its lease disturbs no group
-    When the holder of shard d1 is paused until another controller holds it
+    When the holder of shard d1 is paused until another controller holds it, and resumed
     Then 4 groups serve
     And every VM belongs to one group at most
     And no engine that checks fencing tokens accepted an outdated order
@@ -46,7 +46,7 @@
     When two operators change the same label concurrently from the same revision
     Then one edit is accepted and the refusal of the other names it
 
-  Scenario: A whole fabric domain is drained during streams
+  Scenario: Draining a fabric domain interrupts no stream
     When domain d1 is drained during 10 streams
     Then each gets the whole answer to its own request
     And no group has a member in d1
--- a/features/steps/platform_steps.py
+++ b/features/steps/platform_steps.py
@@ -129,7 +129,7 @@
     return actions
 
 
-@when("{caller_count:d} callers stream and the store comes back as it was before")
+@when("{caller_count:d} callers stream and the store is restored to its initial state")
 def step_store_comes_back(context, caller_count):
     site = context.platform
     context.epochs_before = {
@@ -174,7 +174,9 @@
     assert serving == context.epochs_before, (serving, context.epochs_before)
 
 
-@when("{caller_count:d} callers stream and a member of a serving group dies meanwhile")
+@when(
+    "{caller_count:d} callers stream and a member of a serving group crashes meanwhile"
+)
 def step_member_dies(context, caller_count):
     fronts = list(context.platform.front_addresses.values())
     context.stream_answers = context.runner.run(
@@ -184,7 +186,7 @@
 
 @when(
     "{caller_count:d} callers stream at the others and a member of a serving group "
-    "dies meanwhile"
+    "crashes meanwhile"
 )
 def step_member_dies_others(context, caller_count):
     site = context.platform
@@ -212,7 +214,7 @@
     return site.coordinator() is not None
 
 
-@when("{caller_count:d} callers stream and a daemon is told to stop meanwhile")
+@when("{caller_count:d} callers stream and a daemon is shut down meanwhile")
 def step_stop_under_streams(context, caller_count):
     async def stop():
         context.platform.kill("a2", signal.SIGTERM)
@@ -232,7 +234,7 @@
     assert context.platform.processes["a2"].returncode == 0
 
 
-@when("callers keep idle connections to a daemon that is told to stop")
+@when("callers keep idle connections to a daemon that is shut down")
 def step_idle_stop(context):
     async def actions():
         site = context.platform
@@ -261,7 +263,7 @@
     assert context.stop_duration_s < limit_s, context.stop_duration_s
 
 
-@then("every stream is whole")
+@then("every stream is complete")
 def step_whole_streams(context):
     for name, (status, body, _) in context.stream_answers:
         assert status == 200, (name, status, body)
@@ -306,7 +308,7 @@
     _run_in_loop(context, actions())
 
 
-@then("soon no daemon takes the old key and all take the new one")
+@then("every daemon eventually refuses the old key and accepts the new one")
 def step_new_key(context):
     async def in_force():
         async with aiohttp.ClientSession() as session:
@@ -320,7 +322,7 @@
     _run_in_loop(context, _wait_until(in_force, "the new key"))
 
 
-@when("the store goes away")
+@when("the store becomes unreachable")
 def step_store_away(context):
     async def actions():
         context.platform.store.is_down = True
@@ -346,7 +348,7 @@
     _run_in_loop(context, actions())
 
 
-@then("no booking ran twice and none that was told not run has run")
+@then("no booking ran twice, and none that was reported as not run has run")
 def step_booked_once(context):
     ran = [
         run.attempt_id for run in context.platform.executions if "/book/" in run.path
@@ -370,7 +372,7 @@
 """
 
 
-@when("the program has run no more than its first lines")
+@when("only the first lines of the program have run")
 def step_first_lines(context):
     command = [sys.executable, "-c", _STARTUP_PROGRAM]
     context.program_output = subprocess.check_output(command, text=True)
--- a/features/steps/process_steps.py
+++ b/features/steps/process_steps.py
@@ -67,7 +67,9 @@
     return ""
 
 
-@when("the holder of shard {shard} is paused until another controller holds it")
+@when(
+    "the holder of shard {shard} is paused until another controller holds it, and resumed"
+)
 def step_pause_holder(context, shard):
     site = context.site
     first = site.wait_for(lambda: _shard_holder(site, shard), "a holder")
