--- a/cowslipcourse/emulator/connections.py
+++ b/cowslipcourse/emulator/connections.py
@@ -132,7 +132,7 @@
 
 
 class EmulatedAttemptSender:
-    """Meets :class:`~cowslipcourse.entry.attempts.AttemptSender`.
+    """Implements :class:`~cowslipcourse.entry.attempts.AttemptSender`.
 
     :param name: name of the daemon.
     :param fleet: :class:`~cowslipcourse.entry.fleet.FleetView` of the daemon.
@@ -181,9 +181,9 @@
         connection = _EmulatedConnection(ResponseHead(200, ()))
         delivered_events = last_event_id or call.caller_headers.last_event_id or 0
         connection.request = BatchedRequest(
-            call.size.prompt_tokens + delivered_events * call.size.event_tokens,
+            call.size.prompt_tokens + delivered_events * call.size.tokens_per_event,
             delivered_events + 1,
-            call.size.events,
+            call.size.event_count,
             urgency(call.route, call.workspace, waited_s),
             connection.deliver,
             connection.interrupt,
@@ -197,8 +197,8 @@
     def _crash_callback(self, call, connection):
         """Return the callback for the start of a request that crashes its engine."""
 
-        def start():
+        def on_start():
             connection.start()
             self._heads.crash_oracle.record_crash(call.fingerprint, CRASH_DELAY_S)
 
-        return start
+        return on_start
