--- a/features/processes/processes.feature
+++ b/features/processes/processes.feature
@@ -12,7 +12,7 @@
     And 4 groups serve
 
   Scenario: A controller that was paused past its lease disturbs no group
-    When the holder of shard d1 is paused until another controller holds it, and resumed
+    When the holder of shard d1 is paused until another one holds it, and resumed
     Then 4 groups serve
     And every VM belongs to one group at most
     And no engine that checks fencing tokens accepted an outdated order
--- a/features/steps/platform_steps.py
+++ b/features/steps/platform_steps.py
@@ -130,7 +130,7 @@
 
 
 @when("{caller_count:d} callers stream and the store is restored to its initial state")
-def step_store_comes_back(context, caller_count):
+def step_store_restored(context, caller_count):
     site = context.platform
     context.epochs_before = {
         (g, h.membership.epoch) for g, h in _serving_heads(site).items()
@@ -177,7 +177,7 @@
 @when(
     "{caller_count:d} callers stream and a member of a serving group crashes meanwhile"
 )
-def step_member_dies(context, caller_count):
+def step_member_crashes(context, caller_count):
     fronts = list(context.platform.front_addresses.values())
     context.stream_answers = context.runner.run(
         _stream_many(context.platform, caller_count, fronts, _kill_member(context))
@@ -188,7 +188,7 @@
     "{caller_count:d} callers stream at the others and a member of a serving group "
     "crashes meanwhile"
 )
-def step_member_dies_others(context, caller_count):
+def step_member_crashes_others(context, caller_count):
     site = context.platform
     fronts = [
         site.front_addresses[name]
@@ -323,7 +323,7 @@
 
 
 @when("the store becomes unreachable")
-def step_store_away(context):
+def step_store_unreachable(context):
     async def actions():
         context.platform.store.is_down = True
         await asyncio.sleep(1.0)
--- a/features/steps/process_steps.py
+++ b/features/steps/process_steps.py
@@ -67,9 +67,7 @@
     return ""
 
 
-@when(
-    "the holder of shard {shard} is paused until another controller holds it, and resumed"
-)
+@when("the holder of shard {shard} is paused until another one holds it, and resumed")
 def step_pause_holder(context, shard):
     site = context.site
     first = site.wait_for(lambda: _shard_holder(site, shard), "a holder")
