--- a/measurements/reactions.py
+++ b/measurements/reactions.py
@@ -78,18 +78,18 @@
     """Return seconds until a group stops serving, and until it serves again."""
     until_down_s, until_serving_s = [], []
     for _ in range(FAILURE_COUNT):
-        site.wait_groups(4)
+        site.wait_for_groups(4)
         group = next(
             g for g in site.status()["groups"] if g["declaration"] == "drafting"
         )
         failed_vm = group["members"][1]
         failed_at_s = time.perf_counter()
-        site.fault(failed_vm, dead=True)
+        site.set_faults(failed_vm, dead=True)
         site.wait_for(lambda g=group: not _group(site, g["group"])["serving"], "down")
         until_down_s.append(time.perf_counter() - failed_at_s)
         site.wait_for(lambda g=group: _group(site, g["group"])["serving"], "back")
         until_serving_s.append(time.perf_counter() - failed_at_s)
-        site.vm(failed_vm, "restart")
+        site.control_vm(failed_vm, "restart")
     return until_down_s, until_serving_s
 
 
@@ -97,13 +97,13 @@
     """Print the reaction times of edits and of failures."""
     with LocalSite(SHAPE) as site:
         site.cli("apply", "demo/configuration")
-        site.wait_groups(4)
+        site.wait_for_groups(4)
         print_durations("edit in force at 8 daemons", measure_edits(site))
         until_down_s, until_serving_s = measure_member_failures(site)
         print_durations("failure until not serving", until_down_s)
         print_durations("failure until serving again", until_serving_s)
-        site.freeze("g4")
-        print_durations("edit in force, one daemon frozen", measure_edits(site, 1))
+        site.pause("g4")
+        print_durations("edit in force, one daemon paused", measure_edits(site, 1))
 
 
 if __name__ == "__main__":
