--- a/features/environment.py
+++ b/features/environment.py
@@ -1,4 +1,4 @@
-"""Hooks of behave: every scenario ends what it started."""
+"""Hooks of behave that clean up the resources of each scenario."""
 
 import contextlib
 import logging
@@ -9,16 +9,16 @@
 
 
 def before_all(context):
-    """Keep the daemons' events out of the tests' output."""
+    """Suppress the log events of daemons in the test output."""
     logging.getLogger("cowslipcourse").setLevel(logging.CRITICAL)
 
 
 def before_scenario(context, scenario):
-    """Give each scenario a stack of things to clean up."""
+    """Give each scenario an exit stack for its resources."""
     context.resources = contextlib.ExitStack()
     context.site = None
 
 
 def after_scenario(context, scenario):
-    """End processes and remove folders."""
+    """Release the resources of the scenario."""
     context.resources.close()
--- a/features/support/booking_runs.py
+++ b/features/support/booking_runs.py
@@ -129,7 +129,7 @@
 
     async def _run_call(self, gateway, call, body):
         try:
-            await gateway.gate.trip()
+            await gateway.gate.pass_message()
             gateway.agent.require_serving()
             completed, _ = await gateway.requests.run(call, "svc", "book", body)
             return "completed", completed.body
--- a/features/support/fakes.py
+++ b/features/support/fakes.py
@@ -1,8 +1,8 @@
-"""Small fakes at the ports, in one process and in fake time.
+"""Fakes of the ports that run in one process and in virtual time.
 
-The table, the engines and the services are the stand-in's own; only HTTP and gRPC are
-left out. Every call passes a gate that can be shut: a daemon whose gates are shut is
-frozen, its calls leave late and their answers come in late.
+The table, the engines and the services are those of the stand-in, without HTTP and
+gRPC. Every call passes a gate: while a daemon's gate is shut the daemon is paused, and
+its calls and their responses are delayed.
 """
 
 import asyncio
@@ -24,12 +24,12 @@
 
 __all__ = ["FakeNetwork", "FakePeers", "FakePlatform", "FakeTargets", "Gate"]
 
-TRIP_S = 0.002
-TIMEOUT_S = 0.8
+MESSAGE_DELAY_S = 0.002
+CALL_TIMEOUT_S = 0.8
 
 
 class Gate:
-    """Shut while its daemon is frozen."""
+    """Delays the messages of a daemon while it is paused."""
 
     def __init__(self):
         self._open = asyncio.Event()
@@ -37,88 +37,88 @@
 
     @property
     def is_open(self):
-        """Whether the daemon runs."""
+        """Whether the daemon is running."""
         return self._open.is_set()
 
     def shut(self):
-        """Freeze the daemon."""
+        """Pause the daemon."""
         self._open.clear()
 
     def open(self):
-        """Wake the daemon."""
+        """Resume the daemon."""
         self._open.set()
 
-    async def trip(self):
-        """Let a message leave or come in."""
+    async def pass_message(self):
+        """Delay one message, and hold it while the gate is shut."""
         await self._open.wait()
-        await asyncio.sleep(TRIP_S)
+        await asyncio.sleep(MESSAGE_DELAY_S)
         await self._open.wait()
 
 
 class FakePlatform:
-    """Table service, object store and VM list of one daemon."""
+    """Table service, object store and VM list as one daemon reaches them."""
 
     def __init__(self, world, gate):
         self._world = world
         self._gate = gate
         self.cut = False
 
-    async def _enter(self):
-        await self._gate.trip()
+    async def _begin_table_call(self):
+        await self._gate.pass_message()
         faults = self._world.table.faults
         if faults["slow_s"]:
             await asyncio.sleep(faults["slow_s"])
         if faults["down"] or self.cut:
-            await asyncio.sleep(TIMEOUT_S)
+            await asyncio.sleep(CALL_TIMEOUT_S)
             raise StoreUnavailable("down")
 
     async def read(self, key):
-        await self._enter()
+        await self._begin_table_call()
         found = copy.deepcopy(self._world.table.read(key))
-        await self._gate.trip()
+        await self._gate.pass_message()
         return found and Row(**found)
 
     async def scan(self, prefix):
-        await self._enter()
+        await self._begin_table_call()
         found = [Row(**copy.deepcopy(row)) for row in self._world.table.scan(prefix)]
-        await self._gate.trip()
+        await self._gate.pass_message()
         return found
 
     async def commit(self, transaction):
-        await self._enter()
+        await self._begin_table_call()
         table = self._world.table
         conditions, writes = copy.deepcopy(transaction)
         version, conflicts = table.commit(conditions, writes)
-        lost = table.consume_reply_loss()
-        await self._gate.trip()
-        if lost:
+        is_reply_lost = table.consume_reply_loss()
+        await self._gate.pass_message()
+        if is_reply_lost:
             raise ReplyLost("lost")
         if conflicts:
             raise ConditionFailed(conflicts)
         return version
 
     async def put(self, name, content):
-        await self._gate.trip()
+        await self._gate.pass_message()
         if self._world.object_faults["down"] or self.cut:
             raise StoreUnavailable("down")
         self._world.objects[name] = content
 
     async def get(self, name):
-        await self._gate.trip()
+        await self._gate.pass_message()
         if self._world.object_faults["down"] or self.cut:
             raise StoreUnavailable("down")
         return self._world.objects.get(name)
 
     async def list_vms(self):
-        await self._gate.trip()
+        await self._gate.pass_message()
         if self._world.list_faults["down"] or self.cut:
             raise StoreUnavailable("down")
-        return [_vm(entry) for entry in self._world.listed()]
+        return [_decode_vm(entry) for entry in self._world.listed()]
 
 
-def _vm(entry):
-    own = {"domain": entry["domain"], "data-centre": entry["data_centre"]}
-    fields = {**entry, "labels": {**entry["labels"], **own}}
+def _decode_vm(entry):
+    platform_labels = {"domain": entry["domain"], "data-centre": entry["data_centre"]}
+    fields = {**entry, "labels": {**entry["labels"], **platform_labels}}
     fields["kind"] = TargetKind(entry["kind"])
     fields["state"] = VmState(entry["state"])
     return VM(**fields)
@@ -127,13 +127,13 @@
 class FakeTargets:
     """Engines and services as one daemon reaches them."""
 
-    def __init__(self, world, gate, probe_timeout_s=TIMEOUT_S):
+    def __init__(self, world, gate, probe_timeout_s=CALL_TIMEOUT_S):
         self._world = world
         self._gate = gate
         self._probe_timeout_s = probe_timeout_s
 
-    async def _target(self, address, timeout_s, sent=True):
-        await self._gate.trip()
+    async def _reach_target(self, address, timeout_s, sent=True):
+        await self._gate.pass_message()
         target = self._world.find(address.rsplit("/", 1)[1])
         if target is None or target.faults["dead"]:
             raise TargetUnreachable("refused", sent=False)
@@ -143,15 +143,15 @@
         return target
 
     async def probe(self, address):
-        target = await self._target(address, self._probe_timeout_s, sent=False)
+        target = await self._reach_target(address, self._probe_timeout_s, sent=False)
         found = target.status()
         load = EngineLoad(**found.pop("load"))
         prefixes = tuple(found.pop("prefixes", ()))
-        await self._gate.trip()
+        await self._gate.pass_message()
         return EngineStatus(**found, load=load, prefixes=prefixes)
 
     async def order(self, address, order):
-        target = await self._target(address, 2.0)
+        target = await self._reach_target(address, 2.0)
         delay_s = target.faults.get("order_delay_s", 0.0)
         await asyncio.sleep(delay_s)
         try:
@@ -159,10 +159,10 @@
         except Refused as error:
             raise TargetRefused(str(error)) from error
         finally:
-            await self._gate.trip()
+            await self._gate.pass_message()
 
     async def generate(self, address, request):
-        target = await self._target(address, 5.0)
+        target = await self._reach_target(address, 5.0)
         headers = {
             "x-attempt": request.attempt_id,
             "x-request": request.request_id,
@@ -179,19 +179,19 @@
             raise TargetUnreachable("broken")
         try:
             yield []
-            async with aclosing(self._events(target, sequence)) as batches:
+            async with aclosing(self._event_batches(target, sequence)) as batches:
                 async for events in batches:
                     yield events
         finally:
             target.cancel(sequence.attempt)
 
-    async def _events(self, target, sequence):
+    async def _event_batches(self, target, sequence):
         while True:
             try:
                 event = await asyncio.wait_for(sequence.events.get(), 5.0)
             except TimeoutError as error:
                 raise TargetUnreachable("timeout") from error
-            await self._gate.trip()
+            await self._gate.pass_message()
             if event is None or target.faults["dead"]:
                 raise TargetUnreachable("broken")
             yield [event.removesuffix(b"\n\n")]
@@ -199,42 +199,42 @@
                 return
 
     async def refuses_connections(self, address):
-        await self._gate.trip()
+        await self._gate.pass_message()
         target = self._world.find(address.rsplit("/", 1)[1])
         return target is not None and target.faults["dead"]
 
     async def cancel(self, address, attempt_id):
         try:
-            target = await self._target(address, 2.0)
+            target = await self._reach_target(address, 2.0)
         except TargetUnreachable:
             return
         target.cancel(attempt_id)
 
     async def call(self, address, operation, attempt_id, body):
-        target = await self._target(address, 5.0)
-        if _take(target.faults, "drop_unread"):
+        target = await self._reach_target(address, 5.0)
+        if _consume_fault(target.faults, "drop_unread"):
             raise TargetUnreachable("broken")
         try:
             answer = await target.call(operation, attempt_id, body)
         except Refused as error:
             raise TargetRefused(str(error)) from error
-        if target.faults["dead"] or _take(target.faults, "drop_before_answer"):
+        if target.faults["dead"] or _consume_fault(target.faults, "drop_before_answer"):
             raise TargetUnreachable("broken")
-        if _take(target.faults, "wrong_attempt"):
+        if _consume_fault(target.faults, "wrong_attempt"):
             raise MalformedResponse("another call's answer")
-        await self._gate.trip()
+        await self._gate.pass_message()
         return ServiceResponse(200, "application/json", str(answer).encode())
 
 
-def _take(faults, name):
+def _consume_fault(faults, name):
     if not faults.get(name):
         return False
     faults[name] -= 1
     return True
 
 
-async def _handled(coroutine):
-    """Run a peer's handler; if the peer crashes under it, the connection breaks."""
+async def _run_handler(coroutine):
+    """Run a peer's handler; a crash of the peer breaks the connection."""
     task = asyncio.create_task(coroutine)
     await asyncio.wait((task,))
     if task.cancelled():
@@ -243,7 +243,7 @@
 
 
 class FakeNetwork:
-    """Links between daemons, by address."""
+    """Links between daemons, identified by their addresses."""
 
     def __init__(self):
         self.handlers = {}
@@ -251,12 +251,12 @@
         self.cut = set()
 
     def linked(self, a, b):
-        """Return whether two daemons reach each other."""
+        """Return whether two daemons can reach each other."""
         return frozenset((a, b)) not in self.cut
 
 
 class FakePeers:
-    """The network as one daemon sees it."""
+    """The peer network as one daemon reaches it."""
 
     def __init__(self, network, address, gate):
         self._network = network
@@ -282,17 +282,17 @@
     async def _call(self, address, name, message, timeout_s):
         try:
             async with asyncio.timeout(timeout_s):
-                await self._gate.trip()
+                await self._gate.pass_message()
                 handler = self._network.handlers.get(address)
                 if handler is None:
                     raise PeerUnreachable("nobody listens")
                 if not self._network.linked(self._address, address):
                     await asyncio.sleep(timeout_s + 1)
-                await self._network.gates[address].trip()
-                answer = await _handled(getattr(handler, name)(message))
+                await self._network.gates[address].pass_message()
+                answer = await _run_handler(getattr(handler, name)(message))
                 if not self._network.linked(self._address, address):
                     await asyncio.sleep(timeout_s + 1)
-                await self._gate.trip()
+                await self._gate.pass_message()
                 return answer
         except TimeoutError as error:
             raise PeerUnreachable("timeout") from error
--- a/features/support/group_runs.py
+++ b/features/support/group_runs.py
@@ -175,7 +175,7 @@
         chunks = []
         outcome, generation = "completed", None
         try:
-            await gateway.gate.trip()
+            await gateway.gate.pass_message()
             gateway.agent.require_serving()
             declarations = gateway.chooser.admit(call, "m")
             generation = Generation(call, body, declarations, gateway.context)
