--- a/demo/__init__.py
+++ b/demo/__init__.py
@@ -1,1 +1,1 @@
-"""The demo: a whole site on loopback."""
+"""Demo of a site on loopback."""
--- a/demo/run_demo.py
+++ b/demo/run_demo.py
@@ -1,4 +1,4 @@
-"""A whole site on loopback: two deployments' shapes, real requests, one dead VM."""
+"""Demo of a site on loopback: two deployments, requests over HTTP and a failed VM."""
 
 import asyncio
 import statistics
@@ -11,9 +11,9 @@
 
 CONFIGURATION = Path(__file__).parent / "configuration"
 ATLAS_KEY, INCHEON_KEY = "key-of-crew-leads", "key-of-ramp-control"
-STREAMS = 40
-COME_BACK_FOR_S = 10.0
-"""Time for which callers come back when they are told to."""
+STREAM_COUNT = 40
+RETRY_WINDOW_S = 10.0
+"""Time for which callers retry refused requests."""
 SHAPE = SiteShape(
     gateways=("dc1", "dc2", "dc3"),
     controllers=("dc1", "dc2", "dc3"),
@@ -56,122 +56,147 @@
 )
 
 
-def say(text):
-    """Print one line at once."""
+def print_line(text):
+    """Print one line and flush it."""
     print(text, flush=True)
 
 
-async def ask(caller, url, body):
-    """Ask until it is answered, coming back when told to, as callers do."""
-    until = time.perf_counter() + COME_BACK_FOR_S
+async def chat_with_retries(caller, url, body):
+    """Send a model request, with retries at the times that the answers tell."""
+    retry_end_s = time.perf_counter() + RETRY_WINDOW_S
     while True:
         answer = await caller.chat(url, body)
-        told_s = (answer.problem or {}).get("retry_after_s")
-        if answer.complete or told_s is None or time.perf_counter() > until:
+        retry_after_s = (answer.problem or {}).get("retry_after_s")
+        if (
+            answer.complete
+            or retry_after_s is None
+            or time.perf_counter() > retry_end_s
+        ):
             return answer
-        await asyncio.sleep(told_s)
+        await asyncio.sleep(retry_after_s)
 
 
-async def show_requests(site):
-    """Ask for addresses, stream answers and book once, for both deployments."""
-    wishes = (
+async def demonstrate_requests(site):
+    """Request addresses, stream answers and run one idempotent call per deployment."""
+    deployments = (
         (ATLAS_KEY, "draft-large", "Which hall is due next?", "roster", "book"),
         (INCHEON_KEY, "pushback-large", "Sequence for stand 12?", "apron", "assign"),
     )
-    for key, model, question, service, operation in wishes:
+    for key, model, question, service, operation in deployments:
         async with Caller(key) as caller:
-            told = await caller.addresses(site.urls["g2"])
-            url = told["addresses"][0]
+            address_info = await caller.addresses(site.urls["g2"])
+            url = address_info["addresses"][0]
             body = chat_body(question, model)
             answers = await asyncio.gather(
-                *(ask(caller, url, body) for _ in range(STREAMS))
+                *(chat_with_retries(caller, url, body) for _ in range(STREAM_COUNT))
             )
-            complete = [answer for answer in answers if answer.complete]
-            if not complete:
-                raise RuntimeError(f"no whole answer from {url}: {answers[0].problem}")
-            first_ms = sorted(answer.first_token_s * 1000 for answer in complete)
-            gaps_ms = [gap * 1000 for answer in complete for gap in answer.gaps_s]
-            say(f"  {model}: {len(complete)} of {STREAMS} whole answers from {url}")
-            say(
-                f"    first token p50 {first_ms[len(first_ms) // 2]:.0f} ms, "
-                f"between tokens mean {statistics.mean(gaps_ms):.1f} ms"
+            completed = [answer for answer in answers if answer.complete]
+            if not completed:
+                raise RuntimeError(
+                    f"no complete answer from {url}: {answers[0].problem}"
+                )
+            first_token_ms = sorted(answer.first_token_s * 1000 for answer in completed)
+            gaps_ms = [gap * 1000 for answer in completed for gap in answer.gaps_s]
+            print_line(
+                f"  {model}: {len(completed)} of {STREAM_COUNT} "
+                f"complete answers from {url}"
+            )
+            print_line(
+                f"    first token p50 "
+                f"{first_token_ms[len(first_token_ms) // 2]:.0f} ms, between tokens mean {statistics.mean(gaps_ms):.1f} ms"
             )
-            say(f"    {complete[0].text.strip()!r}")
-            repeated = {"idempotency-key": told["key_prefix"] + "demo"}
+            print_line(f"    {completed[0].text.strip()!r}")
+            idempotency_headers = {
+                "idempotency-key": address_info["key_prefix"] + "demo"
+            }
             for name in site.gateway_names:
-                booked = await caller.call(
-                    site.urls[name], service, operation, {"n": 1}, repeated
+                service_answer = await caller.call(
+                    site.urls[name], service, operation, {"n": 1}, idempotency_headers
+                )
+                execution = (
+                    "remembered"
+                    if "cowslip-remembered" in service_answer.headers
+                    else "run"
                 )
-                again = (
-                    "remembered" if "cowslip-remembered" in booked.headers else "run"
+                print_line(
+                    f"    {service}/{operation} at {name}: "
+                    f"{service_answer.text} ({execution})"
                 )
-                say(f"    {service}/{operation} at {name}: {booked.text} ({again})")
 
 
-async def lose_a_vm(site):
-    """Kill one member under load and watch its group come back."""
+async def demonstrate_vm_failure(site):
+    """Stop a group member under load and wait until its group serves again."""
     group = next(g for g in site.status()["groups"] if g["declaration"] == "drafting")
-    victim = group["members"][1]
+    failed_vm = group["members"][1]
     async with Caller(ATLAS_KEY) as caller:
         url = site.urls["g1"]
-        load = [
+        calls = [
             asyncio.create_task(
-                ask(caller, url, chat_body(f"round {i}", max_tokens=60))
+                chat_with_retries(caller, url, chat_body(f"round {i}", max_tokens=60))
             )
-            for i in range(STREAMS)
+            for i in range(STREAM_COUNT)
         ]
         await asyncio.sleep(0.4)
-        say(f"  {victim} of {group['group']} dies under {STREAMS} streams")
-        died = time.perf_counter()
-        await asyncio.to_thread(site.set_faults, victim, dead=True)
-        down = back = None
-        while back is None and time.perf_counter() - died < 60:
+        print_line(
+            f"  {failed_vm} of {group['group']} fails under {STREAM_COUNT} streams"
+        )
+        failed_at_s = time.perf_counter()
+        await asyncio.to_thread(site.set_faults, failed_vm, dead=True)
+        until_down_s = until_serving_s = None
+        while until_serving_s is None and time.perf_counter() - failed_at_s < 60:
             await asyncio.sleep(0.1)
             status = await asyncio.to_thread(site.status)
-            found = [g for g in status["groups"] if g["group"] == group["group"]]
-            serving = bool(found) and found[0]["serving"]
-            if down is None and not serving:
-                down = time.perf_counter() - died
-            if down is not None and serving:
-                back = time.perf_counter() - died
-        answers = await asyncio.gather(*load)
-    complete = sum(answer.complete for answer in answers)
-    say(
-        f"  not serving after {down:.1f} s, serving again after {back:.1f} s, "
-        f"now with {', '.join(found[0]['members'])}"
+            current_groups = [
+                g for g in status["groups"] if g["group"] == group["group"]
+            ]
+            serving = bool(current_groups) and current_groups[0]["serving"]
+            if until_down_s is None and not serving:
+                until_down_s = time.perf_counter() - failed_at_s
+            if until_down_s is not None and serving:
+                until_serving_s = time.perf_counter() - failed_at_s
+        answers = await asyncio.gather(*calls)
+    completed_count = sum(answer.complete for answer in answers)
+    print_line(
+        f"  not serving after {until_down_s:.1f} s, "
+        f"serving again after {until_serving_s:.1f} s, "
+        f"now with {', '.join(current_groups[0]['members'])}"
     )
-    say(f"  {complete} of {STREAMS} streams still got their whole answer")
+    print_line(f"  {completed_count} of {STREAM_COUNT} streams still completed")
 
 
-def run(site):
-    """Run the demo on a started site."""
-    say("\n1. Operators label and declare by selectors")
-    done = site.cli("apply", str(CONFIGURATION))
-    say("  " + done.stdout.strip().splitlines()[-1])
-    started = time.perf_counter()
+def run_demo(site):
+    """Run all parts of the demo on a started site."""
+    print_line("\n1. Operators label VMs and declare groups by selectors")
+    command = site.cli("apply", str(CONFIGURATION))
+    print_line("  " + command.stdout.strip().splitlines()[-1])
+    started_s = time.perf_counter()
     site.wait_for_groups(4)
-    took_s = time.perf_counter() - started
-    say(f"  4 groups formed, loaded and serving after {took_s:.1f} s")
-    say("\n2. Callers ask which address to use, stream answers, book once")
-    asyncio.run(show_requests(site))
-    say("\n3. A member dies")
-    asyncio.run(lose_a_vm(site))
-    say("\n4. A careless edit is caught before it cuts anything")
-    done = site.cli("delete", "group", "dispatch", check=False)
-    say("  $ cowslip delete group dispatch")
-    for line in (done.stdout + done.stderr).strip().splitlines():
-        say(f"  {line}")
-    say("\n5. What an operator sees")
+    took_s = time.perf_counter() - started_s
+    print_line(f"  4 groups formed, loaded and serving after {took_s:.1f} s")
+    print_line(
+        "\n2. Callers request addresses, stream answers and make idempotent calls"
+    )
+    asyncio.run(demonstrate_requests(site))
+    print_line("\n3. A group member fails")
+    asyncio.run(demonstrate_vm_failure(site))
+    print_line("\n4. An edit that would take a group out of use by mistake is rejected")
+    command = site.cli("delete", "group", "dispatch", check=False)
+    print_line("  $ cowslip delete group dispatch")
+    for line in (command.stdout + command.stderr).strip().splitlines():
+        print_line(f"  {line}")
+    print_line("\n5. What an operator sees")
     for line in site.cli("status", check=False).stdout.splitlines():
-        say(f"  {line}")
+        print_line(f"  {line}")
 
 
 def main():
-    """Start the site, run the demo and end every process."""
-    say("Starting a stand-in, 3 gateways and 3 controllers on loopback ...")
+    """Start the site, run the demo and stop all processes."""
+    print_line(
+        "Starting a stand-in platform, 3 gateways and 3 controllers on loopback ..."
+    )
     with LocalSite(SHAPE) as site:
-        run(site)
-    say("\nAll processes have ended. Next: docs/index.md, or scripts/test.")
+        run_demo(site)
+    print_line("\nAll processes have ended. Next: docs/index.md, or scripts/test.")
     return 0
 
 
