--- a/demo/run_demo.py
+++ b/demo/run_demo.py
@@ -103,7 +103,8 @@
             )
             print_line(
                 f"    first token p50 "
-                f"{first_token_ms[len(first_token_ms) // 2]:.0f} ms, between tokens mean {statistics.mean(gaps_ms):.1f} ms"
+                f"{first_token_ms[len(first_token_ms) // 2]:.0f} ms, "
+                f"between tokens mean {statistics.mean(gaps_ms):.1f} ms"
             )
             print_line(f"    {completed[0].text.strip()!r}")
             idempotency_headers = {
