--- a/features/steps/site_steps.py
+++ b/features/steps/site_steps.py
@@ -1,4 +1,4 @@
-"""Steps over a whole site of separate processes."""
+"""Steps for a complete site of separate processes."""
 
 import asyncio
 import json
@@ -10,7 +10,7 @@
 from harness import Caller, LocalSite, SiteShape, VmShape
 from harness.callers import chat_body
 
-DEMO = Path(__file__).parent.parent.parent / "demo" / "configuration"
+DEMO_CONFIGURATION = Path(__file__).parent.parent.parent / "demo" / "configuration"
 CREW_KEY, RAMP_KEY = "key-of-crew-leads", "key-of-ramp-control"
 LARGE, SMALL = {"pool": "large"}, {"pool": "small"}
 
@@ -28,23 +28,23 @@
 
 
 def start_site(context, shape):
-    """Start a site that ends with the scenario."""
+    """Start a site that is stopped at the end of the scenario."""
     context.site = context.resources.enter_context(LocalSite(shape))
     context.edits = []
     return context.site
 
 
 def whole_answer(body):
-    """Return the text that a request must be answered with."""
+    """Return the expected text of the answer to a request."""
     return "".join(answer_words(body))
 
 
 @given("a site of {gateways:d} gateways and {controllers:d} controllers")
 def step_site(context, gateways, controllers):
-    centres = ("dc1", "dc2", "dc1", "dc2")
+    data_centres = ("dc1", "dc2", "dc1", "dc2")
     shape = SiteShape(
-        gateways=centres[:gateways],
-        controllers=centres[:controllers],
+        gateways=data_centres[:gateways],
+        controllers=data_centres[:controllers],
         vms=demo_vms(),
         time={"address_ttl_s": 1.0},
         engine={"token_s": 0.01},
@@ -54,19 +54,19 @@
 
 @when("the operator applies the demo configuration")
 def step_apply_demo(context):
-    context.site.cli("apply", str(DEMO))
+    context.site.cli("apply", str(DEMO_CONFIGURATION))
 
 
-@given("the demo configuration with {number:d} groups serving")
-def step_demo_serving(context, number):
+@given("the demo configuration with {count:d} groups serving")
+def step_demo_serving(context, count):
     step_apply_demo(context)
-    step_groups_serve(context, number)
+    step_groups_serve(context, count)
 
 
-@then("{number:d} groups serve")
-def step_groups_serve(context, number):
+@then("{count:d} groups serve")
+def step_groups_serve(context, count):
     site = context.site
-    context.groups = site.wait_for_groups(number)
+    context.groups = site.wait_for_groups(count)
     for gateway in site.gateway_names:
         site.wait_for_model(gateway, CREW_KEY, "draft-large")
         site.wait_for_model(gateway, RAMP_KEY, "pushback-large")
@@ -82,19 +82,21 @@
 
 @when("a crew lead asks gateway {gateway} for addresses")
 def step_ask_addresses(context, gateway):
-    context.told = context.site.get(gateway, "/v1/addresses")
+    context.address_response = context.site.get(gateway, "/v1/addresses")
 
 
 @then("the first address is that of {gateway}")
 def step_first_address(context, gateway):
-    assert context.told["addresses"][0] == context.site.urls[gateway], context.told
+    assert context.address_response["addresses"][0] == context.site.urls[gateway], (
+        context.address_response
+    )
 
 
-async def stream_many(site, number, tokens=24, gateways=None, pause_s=0.0):
-    """Stream answers to different questions and return ``[(body, answer)]``."""
+async def stream_many(site, count, tokens=24, gateways=None, pause_s=0.0):
+    """Stream answers to distinct questions and return ``[(body, answer)]``."""
     gateways = gateways or site.gateway_names
     async with Caller(CREW_KEY) as caller:
-        bodies = [chat_body(f"question {i}", max_tokens=tokens) for i in range(number)]
+        bodies = [chat_body(f"question {i}", max_tokens=tokens) for i in range(count)]
         tasks = []
         for index, body in enumerate(bodies):
             url = site.urls[gateways[index % len(gateways)]]
@@ -103,9 +105,9 @@
         return list(zip(bodies, await asyncio.gather(*tasks), strict=True))
 
 
-@when("{number:d} crew leads stream answers at once")
-def step_stream(context, number):
-    context.answers = asyncio.run(stream_many(context.site, number))
+@when("{count:d} crew leads stream answers at once")
+def step_stream(context, count):
+    context.answers = asyncio.run(stream_many(context.site, count))
 
 
 @then("each gets the whole answer to its own request")
@@ -123,12 +125,12 @@
                 context.site.urls["g1"], "roster", "book", {"hall": 4}
             )
 
-    context.booked = asyncio.run(book())
-    assert context.booked.complete, context.booked
+    context.booking_answer = asyncio.run(book())
+    assert context.booking_answer.complete, context.booking_answer
 
 
-@then("the booking ran {number:d} time")
-@then("the booking ran {number:d} times")
-def step_ran(context, number):
-    found = [json.loads(e["body"]) for e in context.site.executions()]
-    assert len(found) == number, found
+@then("the booking ran {count:d} time")
+@then("the booking ran {count:d} times")
+def step_booking_runs(context, count):
+    booking_bodies = [json.loads(e["body"]) for e in context.site.executions()]
+    assert len(booking_bodies) == count, booking_bodies
