--- a/cowslipcourse/adapters/targets.py
+++ b/cowslipcourse/adapters/targets.py
@@ -17,7 +17,7 @@
     TargetUnreachable,
 )
 from cowslipcourse.ports import EngineLoad, EngineStatus, ServiceResponse
-from cowslipcourse.quarantining import refuses_connections
+from cowslipcourse.quarantine_runtime import refuses_connections
 
 __all__ = ["END_EVENT", "HttpTargetClient"]
 
--- a/cowslipcourse/controller/api.py
+++ b/cowslipcourse/controller/api.py
@@ -8,8 +8,8 @@
 from starlette.applications import Starlette
 from starlette.routing import Route
 
-from cowslipcourse.adapters.answers import json_response
 from cowslipcourse.adapters.log import get_logger
+from cowslipcourse.adapters.responses import json_response
 from cowslipcourse.config import Change, Edit, ObjectRef
 from cowslipcourse.config.objects import KINDS
 from cowslipcourse.controller.status import system_status
@@ -59,7 +59,7 @@
 class OperatorApi:
     """Routes and handlers of the operators' API.
 
-    :param context: :class:`~cowslipcourse.controller.services.ControllerContext`
+    :param context: :class:`~cowslipcourse.controller.context.ControllerContext`
     :param edits: :class:`~cowslipcourse.controller.edits.EditService`
     :param acceptor: :class:`~cowslipcourse.controller.acceptor.RevisionAcceptor`
     :param shard_manager: :class:`~cowslipcourse.controller.shards.ShardManager`
--- a/cowslipcourse/controller/groups.py
+++ b/cowslipcourse/controller/groups.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from cowslipcourse.controller.leasing import lease_key
+from cowslipcourse.controller.shard_leases import lease_key
 from cowslipcourse.fleet import GroupSpec
 from cowslipcourse.ports.platform import ABSENT, Transaction
 
--- a/cowslipcourse/controller/main.py
+++ b/cowslipcourse/controller/main.py
@@ -2,17 +2,17 @@
 
 import sys
 
+from cowslipcourse.adapters.http_server import WebServer
 from cowslipcourse.adapters.log import get_logger
 from cowslipcourse.adapters.platform import HttpPlatformClient
 from cowslipcourse.adapters.targets import HttpTargetClient
-from cowslipcourse.adapters.web import WebServer
 from cowslipcourse.controller.acceptor import RevisionAcceptor
 from cowslipcourse.controller.api import OperatorApi
+from cowslipcourse.controller.context import ControllerContext
 from cowslipcourse.controller.edits import EditService
 from cowslipcourse.controller.fleet_watch import FleetMonitor
-from cowslipcourse.controller.observer import Observer
-from cowslipcourse.controller.services import ControllerContext
 from cowslipcourse.controller.shards import ShardManager
+from cowslipcourse.controller.silent_shards import Observer
 from cowslipcourse.daemon import Agent, run_daemon, run_forever
 from cowslipcourse.membership import Role
 from cowslipcourse.settings import ControllerSettings
--- a/cowslipcourse/controller/shards.py
+++ b/cowslipcourse/controller/shards.py
@@ -10,7 +10,7 @@
 import xxhash
 
 from cowslipcourse.adapters.log import get_logger
-from cowslipcourse.controller.leasing import LeaseTable
+from cowslipcourse.controller.shard_leases import LeaseTable
 from cowslipcourse.controller.worker import Shard, ShardWorker
 from cowslipcourse.daemon import now, run_forever
 from cowslipcourse.exceptions import LeaseLost, StoreError
@@ -27,7 +27,7 @@
 class ShardManager:
     """Acquires, renews and releases shards, and runs their workers.
 
-    :param context: :class:`~cowslipcourse.controller.services.ControllerContext`
+    :param context: :class:`~cowslipcourse.controller.context.ControllerContext`
     """
 
     def __init__(self, context):
@@ -48,7 +48,7 @@
 
     @property
     def leases(self):
-        """:class:`~cowslipcourse.controller.leasing.LeaseTable`"""
+        """:class:`~cowslipcourse.controller.shard_leases.LeaseTable`"""
         return self._leases
 
     async def run(self):
--- a/cowslipcourse/controller/silent_shards.py
+++ b/cowslipcourse/controller/silent_shards.py
@@ -28,7 +28,7 @@
 class Observer:
     """Publishes reports of shards that this controller does not hold.
 
-    :param context: :class:`~cowslipcourse.controller.services.ControllerContext`
+    :param context: :class:`~cowslipcourse.controller.context.ControllerContext`
     :param shard_manager: :class:`~cowslipcourse.controller.shards.ShardManager`
     """
 
--- a/cowslipcourse/controller/status.py
+++ b/cowslipcourse/controller/status.py
@@ -15,7 +15,7 @@
 def system_status(context, acceptor, shard_manager):
     """Return the state of groups, services, daemons and revisions.
 
-    :param context: :class:`~cowslipcourse.controller.services.ControllerContext`
+    :param context: :class:`~cowslipcourse.controller.context.ControllerContext`
     :param acceptor: :class:`~cowslipcourse.controller.acceptor.RevisionAcceptor`
     :param shard_manager: :class:`~cowslipcourse.controller.shards.ShardManager`
     """
--- a/cowslipcourse/controller/worker.py
+++ b/cowslipcourse/controller/worker.py
@@ -9,8 +9,8 @@
 import asyncio
 
 from cowslipcourse.adapters.log import get_logger
-from cowslipcourse.controller.changes import GroupChanges
 from cowslipcourse.controller.formation import GroupFormation
+from cowslipcourse.controller.group_changes import GroupChanges
 from cowslipcourse.controller.groups import GroupTable
 from cowslipcourse.controller.health import Prober
 from cowslipcourse.controller.orders import OrderDispatcher
@@ -30,7 +30,7 @@
 
     :param domain: fabric domain.
     :param lease: :class:`~cowslipcourse.leases.HeldLease`
-    :param context: :class:`~cowslipcourse.controller.services.ControllerContext`
+    :param context: :class:`~cowslipcourse.controller.context.ControllerContext`
     """
 
     def __init__(self, domain, lease, context):
--- a/cowslipcourse/emulator/__init__.py
+++ b/cowslipcourse/emulator/__init__.py
@@ -8,7 +8,7 @@
 from cowslipcourse.emulator.clock import VirtualTimeLoop, run_in_virtual_time
 from cowslipcourse.emulator.daemons import SingleCoordinatorScope
 from cowslipcourse.emulator.engines import Engine
-from cowslipcourse.emulator.world import Faults, World
+from cowslipcourse.emulator.group_oracle import Faults, World
 
 __all__ = [
     "Engine",
--- a/cowslipcourse/emulator/ablations.py
+++ b/cowslipcourse/emulator/ablations.py
@@ -2,10 +2,10 @@
 
 import contextlib
 
-from cowslipcourse.entry import choosing, coordinator, silence
+from cowslipcourse.entry import coordinator, silence_detector, target_selection
 from cowslipcourse.exceptions import ConfigurationError, Problem
-from cowslipcourse.groups import revision
-from cowslipcourse.groups.shape import MIXED_ASSIGNMENT
+from cowslipcourse.group_plans import revision
+from cowslipcourse.group_plans.domain_assignment import MIXED_ASSIGNMENT
 
 __all__ = ["POLICIES", "active_policy"]
 
@@ -51,12 +51,12 @@
 
 def _least_loaded():
     """Compare all groups for each request instead of two."""
-    return _patched(choosing.choose_group, "__defaults__", (1000,))
+    return _patched(target_selection.choose_group, "__defaults__", (1000,))
 
 
 def _without_silence_detection():
     """Detect failed streams only by what the engine itself reports."""
-    return _patched(silence.SilenceDetector, "check", lambda self, now: None)
+    return _patched(silence_detector.SilenceDetector, "check", lambda self, now: None)
 
 
 def _without_urgency():
--- a/cowslipcourse/emulator/callers.py
+++ b/cowslipcourse/emulator/callers.py
@@ -9,7 +9,7 @@
 from cowslipcourse.emulator.site_file import KindSettings
 from cowslipcourse.entry.calls import Call
 from cowslipcourse.exceptions import RequestError, RequestQuarantined
-from cowslipcourse.platform.edge import CallerHeaders
+from cowslipcourse.platform.headers import CallerHeaders
 from cowslipcourse.quarantine import fingerprint
 from cowslipcourse.routes import RequestKind, Route
 
--- a/cowslipcourse/emulator/connections.py
+++ b/cowslipcourse/emulator/connections.py
@@ -9,8 +9,8 @@
 from cowslipcourse.entry.attempts import CONNECT_TIMEOUT_S, Attempt
 from cowslipcourse.entry.urgency import urgency
 from cowslipcourse.exceptions import TargetUnreachable
-from cowslipcourse.exchange import ResponseHead
-from cowslipcourse.platform.edge import MISDIRECTED_REQUEST, not_executed_head
+from cowslipcourse.http_client import ResponseHead
+from cowslipcourse.platform.headers import MISDIRECTED_REQUEST, not_executed_head
 
 __all__ = ["EmulatedAttemptSender", "GroupHeads"]
 
@@ -24,7 +24,7 @@
 class GroupHeads:
     """The batches of the heads of all groups.
 
-    :param world: :class:`~cowslipcourse.emulator.world.World`
+    :param world: :class:`~cowslipcourse.emulator.group_oracle.World`
     :param spec: :class:`~cowslipcourse.routes.ServiceSpec`
     """
 
@@ -62,7 +62,7 @@
 
 
 class _EmulatedConnection:
-    """The part of a :class:`~cowslipcourse.exchange.TargetConnection` for streams."""
+    """The part of a ``TargetConnection`` for streams."""
 
     def __init__(self, head):
         self.last_received_at = 0.0
@@ -135,7 +135,7 @@
     """Implements :class:`~cowslipcourse.entry.attempts.AttemptSender`.
 
     :param name: name of the daemon.
-    :param fleet: :class:`~cowslipcourse.entry.fleet.FleetView` of the daemon.
+    :param fleet: :class:`~cowslipcourse.entry.fleet_view.FleetView` of the daemon.
     :param heads: :class:`GroupHeads`
     """
 
--- a/cowslipcourse/emulator/daemons.py
+++ b/cowslipcourse/emulator/daemons.py
@@ -4,14 +4,14 @@
 
 from cowslipcourse.admission import SharedRetryBudget
 from cowslipcourse.emulator.connections import EmulatedAttemptSender
+from cowslipcourse.entry.context import DaemonContext
 from cowslipcourse.entry.coordinator import Coordinator
-from cowslipcourse.entry.fleet import FleetView
-from cowslipcourse.entry.forwarding import Forwarder
+from cowslipcourse.entry.fleet_view import FleetView
+from cowslipcourse.entry.forwarder import Forwarder
 from cowslipcourse.entry.settings import EntrySettings
-from cowslipcourse.entry.silence import SilenceDetector
-from cowslipcourse.entry.tools import DaemonContext
+from cowslipcourse.entry.silence_detector import SilenceDetector
 from cowslipcourse.quarantine import VerdictStore
-from cowslipcourse.quarantining import Quarantine, TargetExitDetector
+from cowslipcourse.quarantine_runtime import Quarantine, TargetExitDetector
 
 __all__ = ["DataCentreScope", "EmulatedDaemon", "SingleCoordinatorScope"]
 
@@ -29,7 +29,7 @@
 
 
 class SingleCoordinatorScope:
-    """Implements :class:`~cowslipcourse.entry.scope.CoordinationScope`.
+    """Implements :class:`~cowslipcourse.entry.coordination_scope.CoordinationScope`.
 
     One daemon coordinates all domains.
 
@@ -47,7 +47,7 @@
 
 
 class DataCentreScope:
-    """Implements :class:`~cowslipcourse.entry.scope.CoordinationScope`.
+    """Implements :class:`~cowslipcourse.entry.coordination_scope.CoordinationScope`.
 
     The daemon coordinates some of the site's data centres.
 
@@ -73,8 +73,8 @@
     :param table: :class:`~cowslipcourse.routes.RouteTable`
     :param heads: :class:`~cowslipcourse.emulator.connections.GroupHeads`
     :param network: :class:`~cowslipcourse.emulator.messages.MessageNetwork`
-    :param broadcast: called with each :class:`~cowslipcourse.peers.GroupUpdate` to
-        send to all daemons.
+    :param broadcast: called with each :class:`~cowslipcourse.peer_protocol.GroupUpdate`
+        to send to all daemons.
     :param scope: :class:`DataCentreScope` that it coordinates.
     :param seed: seed of its random choices.
     """
--- a/cowslipcourse/emulator/main.py
+++ b/cowslipcourse/emulator/main.py
@@ -11,8 +11,8 @@
 from cleo.helpers import argument, option
 
 from cowslipcourse import __version__
+from cowslipcourse.emulator.ablations import active_policy
 from cowslipcourse.emulator.clock import run_in_virtual_time
-from cowslipcourse.emulator.policies import active_policy
 from cowslipcourse.emulator.report import RunFigures, compare, format_table, run_figures
 from cowslipcourse.emulator.site import simulate
 from cowslipcourse.emulator.site_file import ExperimentSettings
--- a/cowslipcourse/emulator/messages.py
+++ b/cowslipcourse/emulator/messages.py
@@ -6,7 +6,7 @@
 
 
 class _EmulatedPeers:
-    """Implements :class:`~cowslipcourse.quarantining.QuarantinePeers`."""
+    """Implements :class:`~cowslipcourse.quarantine_runtime.QuarantinePeers`."""
 
     def __init__(self, network, name):
         self._network = network
--- a/cowslipcourse/emulator/site.py
+++ b/cowslipcourse/emulator/site.py
@@ -10,8 +10,8 @@
 from cowslipcourse.emulator.crashes import CrashFigures
 from cowslipcourse.emulator.daemons import DataCentreScope, EmulatedDaemon
 from cowslipcourse.emulator.engines import OPEN_DELAY_S, SERVICE
+from cowslipcourse.emulator.group_oracle import Faults, World
 from cowslipcourse.emulator.messages import MessageNetwork
-from cowslipcourse.emulator.world import Faults, World
 from cowslipcourse.routes import (
     CallerLimits,
     EngineModel,
--- a/cowslipcourse/emulator/site_file.py
+++ b/cowslipcourse/emulator/site_file.py
@@ -129,7 +129,7 @@
 
     :param seconds: duration of the traffic.
     :param seeds: number of runs of each policy; run N of every policy has seed N.
-    :param policies: names from :mod:`cowslipcourse.emulator.policies`.
+    :param policies: names from :mod:`cowslipcourse.emulator.ablations`.
     """
 
     name: str
--- a/cowslipcourse/entry/attempts.py
+++ b/cowslipcourse/entry/attempts.py
@@ -6,8 +6,8 @@
 
 from cowslipcourse.entry.urgency import urgency
 from cowslipcourse.exceptions import TargetUnreachable
-from cowslipcourse.exchange import ConnectionPool, TargetRequest
-from cowslipcourse.platform.edge import attempt_id_header, target_headers
+from cowslipcourse.http_client import ConnectionPool, TargetRequest
+from cowslipcourse.platform.headers import attempt_id_header, target_headers
 
 __all__ = ["Attempt", "AttemptSender", "TargetRun"]
 
@@ -19,7 +19,7 @@
     """A request in flight at a target.
 
     :param entry: :class:`~cowslipcourse.ports.TargetEntry`
-    :param connection: :class:`~cowslipcourse.exchange.TargetConnection`
+    :param connection: :class:`~cowslipcourse.http_client.TargetConnection`
     :param sent_at: loop time at which the request was sent.
     """
 
@@ -37,7 +37,7 @@
     def __init__(self, entry):
         self.entry = entry
         self.connection = None
-        """:class:`~cowslipcourse.exchange.TargetConnection` that it was sent on."""
+        """:class:`~cowslipcourse.http_client.TargetConnection` that it was sent on."""
         self.answer_started = False
         """Whether the response head has arrived, or, for a single response, whether the
         request was sent."""
@@ -59,7 +59,7 @@
 class AttemptSender:
     """Sends requests to targets and counts them as in flight.
 
-    :param fleet: :class:`~cowslipcourse.entry.fleet.FleetView`
+    :param fleet: :class:`~cowslipcourse.entry.fleet_view.FleetView`
     """
 
     def __init__(self, fleet):
--- a/cowslipcourse/entry/caller_app.py
+++ b/cowslipcourse/entry/caller_app.py
@@ -3,13 +3,13 @@
 import asyncio
 import time
 
-from cowslipcourse.adapters.answers import problem_response
 from cowslipcourse.adapters.log import get_logger
-from cowslipcourse.entry.accounting import SERVED
+from cowslipcourse.adapters.responses import problem_response
 from cowslipcourse.entry.calls import Responder, read_call
-from cowslipcourse.entry.stopping import RequestDurations, can_finish
+from cowslipcourse.entry.failure_attribution import SERVED
+from cowslipcourse.entry.graceful_stop import RequestDurations, can_finish
 from cowslipcourse.exceptions import CallerDisconnected, GatewayDraining, RequestError
-from cowslipcourse.platform.edge import attempt_id, retry_after_header
+from cowslipcourse.platform.headers import attempt_id, retry_after_header
 
 __all__ = ["FrontApp"]
 
@@ -31,9 +31,9 @@
 class FrontApp:
     """Serves callers.
 
-    :param context: :class:`~cowslipcourse.entry.tools.DaemonContext`
-    :param forwarder: :class:`~cowslipcourse.entry.forwarding.Forwarder`
-    :param metrics: :class:`~cowslipcourse.entry.metrics.EntryMetrics`
+    :param context: :class:`~cowslipcourse.entry.context.DaemonContext`
+    :param forwarder: :class:`~cowslipcourse.entry.forwarder.Forwarder`
+    :param metrics: :class:`~cowslipcourse.entry.prometheus_metrics.EntryMetrics`
     """
 
     def __init__(self, context, forwarder, metrics):
--- a/cowslipcourse/entry/calls.py
+++ b/cowslipcourse/entry/calls.py
@@ -10,7 +10,7 @@
     HeadTooLarge,
     NoConfiguration,
 )
-from cowslipcourse.platform.edge import parse_caller_headers, total_header_bytes
+from cowslipcourse.platform.headers import parse_caller_headers, total_header_bytes
 from cowslipcourse.quarantine import fingerprint
 
 __all__ = ["Call", "Responder", "read_call"]
@@ -29,7 +29,7 @@
     :param headers: ``(lower-case name, value)`` pairs as received.
     :param body: complete body.
     :param fingerprint: hash as bytes that a request shares with its repeats.
-    :param caller_headers: :class:`~cowslipcourse.platform.edge.CallerHeaders`
+    :param caller_headers: :class:`~cowslipcourse.platform.headers.CallerHeaders`
     :param route: :class:`~cowslipcourse.routes.Route`
     :param workspace: :class:`~cowslipcourse.routes.Workspace` or ``None``.
     :param arrived_at: loop time at which its head had been received.
--- a/cowslipcourse/entry/context.py
+++ b/cowslipcourse/entry/context.py
@@ -7,11 +7,12 @@
     """The views, helpers and configuration that components of a daemon share.
 
     :param settings: :class:`~cowslipcourse.entry.settings.EntrySettings`
-    :param fleet: :class:`~cowslipcourse.entry.fleet.FleetView`
+    :param fleet: :class:`~cowslipcourse.entry.fleet_view.FleetView`
     :param attempt_sender: :class:`~cowslipcourse.entry.attempts.AttemptSender`
     :param retry_budget: :class:`~cowslipcourse.admission.SharedRetryBudget`
-    :param silence_detector: :class:`~cowslipcourse.entry.silence.SilenceDetector`
-    :param quarantine: :class:`~cowslipcourse.quarantining.Quarantine`
+    :param silence_detector:
+        :class:`~cowslipcourse.entry.silence_detector.SilenceDetector`
+    :param quarantine: :class:`~cowslipcourse.quarantine_runtime.Quarantine`
     :param rng: :class:`random.Random`
     """
 
--- a/cowslipcourse/entry/coordinator.py
+++ b/cowslipcourse/entry/coordinator.py
@@ -12,14 +12,14 @@
 import asyncio
 
 from cowslipcourse.adapters.log import get_logger
-from cowslipcourse.entry.balancing import GroupBalancer
 from cowslipcourse.entry.domains import DomainTracker
 from cowslipcourse.entry.engine_calls import EngineClient
-from cowslipcourse.entry.own_links import IsolationDetector
+from cowslipcourse.entry.engine_reassignment import GroupBalancer
+from cowslipcourse.entry.isolation_detector import IsolationDetector
 from cowslipcourse.entry.pauses import ticks
 from cowslipcourse.entry.plan_table import PlanTable
 from cowslipcourse.exceptions import StoreError
-from cowslipcourse.groups import (
+from cowslipcourse.group_plans import (
     LoadRateLimiter,
     StepKind,
     assign_domain,
@@ -33,7 +33,7 @@
     spare_engines,
     warmup_step,
 )
-from cowslipcourse.peers import GroupUpdate, OpenedHead
+from cowslipcourse.peer_protocol import GroupUpdate, OpenedHead
 from cowslipcourse.ports import EngineOrder, OrderOperation
 
 __all__ = ["Coordinator"]
@@ -53,13 +53,13 @@
 class Coordinator:
     """Reconciles the groups of the owned domains with their plans.
 
-    :param context: :class:`~cowslipcourse.entry.tools.DaemonContext`
+    :param context: :class:`~cowslipcourse.entry.context.DaemonContext`
     :param store: :class:`~cowslipcourse.ports.RowStore`
     :param control: :class:`~cowslipcourse.ports.EngineControl`
     :param settings: :class:`~cowslipcourse.entry.settings.ControlSettings`
-    :param scope: :class:`~cowslipcourse.entry.scope.CoordinationScope`
-    :param broadcast: called with each :class:`~cowslipcourse.peers.GroupUpdate` to
-        send to all daemons.
+    :param scope: :class:`~cowslipcourse.entry.coordination_scope.CoordinationScope`
+    :param broadcast: called with each :class:`~cowslipcourse.peer_protocol.GroupUpdate`
+        to send to all daemons.
     """
 
     def __init__(self, context, store, control, settings, scope, broadcast):
--- a/cowslipcourse/entry/daemon.py
+++ b/cowslipcourse/entry/daemon.py
@@ -6,25 +6,25 @@
 import random
 import time
 
+from cowslipcourse.adapters.http_server import WebServer
 from cowslipcourse.adapters.log import get_logger
-from cowslipcourse.adapters.web import WebServer
 from cowslipcourse.admission import MIN_DAEMON_COUNT, SharedRetryBudget
 from cowslipcourse.entry.attempts import AttemptSender
-from cowslipcourse.entry.census import GroupCountMonitor
+from cowslipcourse.entry.caller_app import FrontApp
+from cowslipcourse.entry.context import DaemonContext
 from cowslipcourse.entry.coordinator import Coordinator
-from cowslipcourse.entry.fleet import FleetView
-from cowslipcourse.entry.forwarding import Forwarder
-from cowslipcourse.entry.front import FrontApp
-from cowslipcourse.entry.knowledge import StateReplica
-from cowslipcourse.entry.metrics import EntryMetrics
+from cowslipcourse.entry.daemon_registration import DaemonRegistrar
+from cowslipcourse.entry.fleet_view import FleetView
+from cowslipcourse.entry.forwarder import Forwarder
+from cowslipcourse.entry.group_counts import GroupCountMonitor
+from cowslipcourse.entry.internal_apps import metrics_app, peer_app
 from cowslipcourse.entry.peer_link import PeerLink
-from cowslipcourse.entry.registering import DaemonRegistrar
-from cowslipcourse.entry.reloading import SettingsWatcher
+from cowslipcourse.entry.prometheus_metrics import EntryMetrics
 from cowslipcourse.entry.roles import RoleAssignment
-from cowslipcourse.entry.side_apps import metrics_app, peer_app
-from cowslipcourse.entry.silence import SilenceDetector
-from cowslipcourse.entry.tools import DaemonContext
-from cowslipcourse.peers import Heartbeat, Member, PeerRegistry
+from cowslipcourse.entry.settings_reload import SettingsWatcher
+from cowslipcourse.entry.silence_detector import SilenceDetector
+from cowslipcourse.entry.state_replica import StateReplica
+from cowslipcourse.peer_protocol import Heartbeat, Member, PeerRegistry
 from cowslipcourse.platform import (
     HttpEngineControl,
     HttpRowStore,
@@ -33,7 +33,7 @@
 )
 from cowslipcourse.ports import era_of
 from cowslipcourse.quarantine import VerdictStore
-from cowslipcourse.quarantining import Quarantine, TargetExitDetector
+from cowslipcourse.quarantine_runtime import Quarantine, TargetExitDetector
 
 __all__ = ["EntryDaemon"]
 
@@ -248,7 +248,7 @@
         self._context.retry_budget.daemon_count = max(daemon_count, MIN_DAEMON_COUNT)
 
     def apply_group_update(self, update):
-        """Apply a coordinator's :class:`~cowslipcourse.peers.GroupUpdate`."""
+        """Apply a coordinator's :class:`~cowslipcourse.peer_protocol.GroupUpdate`."""
         self._fleet.apply_group_update(update, asyncio.get_running_loop().time())
 
     def broadcast_group_update(self, update):
--- a/cowslipcourse/entry/daemon_registration.py
+++ b/cowslipcourse/entry/daemon_registration.py
@@ -4,7 +4,11 @@
 
 from cowslipcourse.adapters.log import get_logger
 from cowslipcourse.exceptions import MalformedResponse, StoreError
-from cowslipcourse.peers import Registration, decode_registration, encode_registration
+from cowslipcourse.peer_protocol import (
+    Registration,
+    decode_registration,
+    encode_registration,
+)
 from cowslipcourse.ports import RowWrite
 
 __all__ = ["DaemonRegistrar"]
@@ -23,7 +27,7 @@
     :param settings: :class:`~cowslipcourse.entry.settings.EntrySettings`
     :param store: :class:`~cowslipcourse.ports.RowStore`
     :param on_registrations: called with a list of
-        :class:`~cowslipcourse.peers.Registration`.
+        :class:`~cowslipcourse.peer_protocol.Registration`.
     :param rng: :class:`random.Random`
     """
 
--- a/cowslipcourse/entry/domains.py
+++ b/cowslipcourse/entry/domains.py
@@ -3,7 +3,7 @@
 import asyncio
 
 from cowslipcourse.adapters.log import get_logger
-from cowslipcourse.groups import ObservedDomain
+from cowslipcourse.group_plans import ObservedDomain
 
 __all__ = ["DomainTracker"]
 
@@ -18,7 +18,7 @@
 class DomainTracker:
     """Tracks the observed engines of each domain.
 
-    :param context: :class:`~cowslipcourse.entry.tools.DaemonContext`
+    :param context: :class:`~cowslipcourse.entry.context.DaemonContext`
     """
 
     def __init__(self, context):
@@ -57,7 +57,7 @@
     def update_from_report(self, engine, report, requested_at):
         """Apply an engine's report.
 
-        :param engine: :class:`~cowslipcourse.groups.ObservedEngine` that sent it.
+        :param engine: :class:`~cowslipcourse.group_plans.ObservedEngine` that sent it.
         :param requested_at: loop time at which it was requested.
         """
         if report.incarnation != engine.incarnation:
@@ -105,7 +105,7 @@
         )
 
     def engine(self, domain, engine_id):
-        """Return the :class:`~cowslipcourse.groups.ObservedEngine`, or ``None``."""
+        """Return the ``ObservedEngine``, or ``None``."""
         observed = self.by_name.get(domain)
         return None if observed is None else observed.engines.get(engine_id)
 
--- a/cowslipcourse/entry/engine_calls.py
+++ b/cowslipcourse/entry/engine_calls.py
@@ -4,8 +4,8 @@
 
 from cowslipcourse.adapters.log import get_logger
 from cowslipcourse.exceptions import MalformedResponse, TargetError
-from cowslipcourse.groups.orders import REJOIN_S
-from cowslipcourse.groups.views import SLOW_PACE_FACTOR
+from cowslipcourse.group_plans.orders import REJOIN_S
+from cowslipcourse.group_plans.views import SLOW_PACE_FACTOR
 from cowslipcourse.ports import OrderOperation, OrderResult
 
 __all__ = ["EngineClient"]
@@ -64,7 +64,7 @@
     def request_report(self, engine):
         """Request a report unless a call is in progress.
 
-        :param engine: :class:`~cowslipcourse.groups.ObservedEngine`
+        :param engine: :class:`~cowslipcourse.group_plans.ObservedEngine`
         """
         if not self.is_busy(engine):
             self._spawn(engine, self._request_report(engine))
@@ -72,7 +72,7 @@
     def send_order(self, engine, order, models):
         """Send an order unless a call is in progress.
 
-        :param engine: :class:`~cowslipcourse.groups.ObservedEngine`
+        :param engine: :class:`~cowslipcourse.group_plans.ObservedEngine`
         :param order: :class:`~cowslipcourse.ports.EngineOrder`
         :param models: mapping of names to :class:`~cowslipcourse.routes.EngineModel`
         """
--- a/cowslipcourse/entry/engine_reassignment.py
+++ b/cowslipcourse/entry/engine_reassignment.py
@@ -1,7 +1,7 @@
 """Choose groups whose engines are reassigned to an underprovisioned model."""
 
 from cowslipcourse.adapters.log import get_logger
-from cowslipcourse.groups import (
+from cowslipcourse.group_plans import (
     choose_reassignments,
     choose_standby,
     group_counts,
@@ -28,7 +28,7 @@
 class GroupBalancer:
     """Chooses reassignments over all domains and standby models for their groups.
 
-    :param context: :class:`~cowslipcourse.entry.tools.DaemonContext`
+    :param context: :class:`~cowslipcourse.entry.context.DaemonContext`
     :param domains: :class:`~cowslipcourse.entry.domains.DomainTracker`
     :param plan_table: :class:`~cowslipcourse.entry.plan_table.PlanTable`
     """
@@ -88,7 +88,7 @@
         return any(c.is_warm and c.domain in owned_domains for c in self._changes)
 
     def changes_to_begin(self, domain, now):
-        """Return the :class:`~cowslipcourse.groups.Reassignment` list of a domain.
+        """Return the :class:`~cowslipcourse.group_plans.Reassignment` list of a domain.
 
         It is empty if the plans may be outdated, since another coordinator may have
         made a sufficient change already.
@@ -106,7 +106,7 @@
         A reassignment takes precedence over a standby model. Members that still join
         are left out: loading their own model would replace the staged one.
 
-        :param plan: :class:`~cowslipcourse.groups.DomainPlan`
+        :param plan: :class:`~cowslipcourse.group_plans.DomainPlan`
         """
         models = {
             group.name: self._standby_models.get(group.name) for group in plan.groups
--- a/cowslipcourse/entry/failure_attribution.py
+++ b/cowslipcourse/entry/failure_attribution.py
@@ -64,7 +64,7 @@
 def no_target_cause(candidates, tried_ids):
     """Return the :class:`LossCause` of a request for which no target was found.
 
-    :param candidates: list of :class:`~cowslipcourse.entry.fleet.Candidate`
+    :param candidates: list of :class:`~cowslipcourse.entry.fleet_view.Candidate`
     :param tried_ids: ids of targets that it was sent to already.
     """
     if not candidates:
--- a/cowslipcourse/entry/fleet_view.py
+++ b/cowslipcourse/entry/fleet_view.py
@@ -2,7 +2,7 @@
 
 from typing import NamedTuple
 
-from cowslipcourse.entry.heads import GroupHeads
+from cowslipcourse.entry.group_heads import GroupHeads
 
 __all__ = ["Candidate", "FleetView"]
 
@@ -83,7 +83,7 @@
     def apply_group_update(self, update, now):
         """Apply a coordinator's decision about a group before the list shows it.
 
-        :param update: :class:`~cowslipcourse.peers.GroupUpdate`
+        :param update: :class:`~cowslipcourse.peer_protocol.GroupUpdate`
         """
         self._heads.apply_group_update(update, self._entries.values(), now)
 
--- a/cowslipcourse/entry/forwarder.py
+++ b/cowslipcourse/entry/forwarder.py
@@ -3,9 +3,9 @@
 import asyncio
 
 from cowslipcourse.adapters.log import get_logger
-from cowslipcourse.entry.patience import PriorWaitEstimator
-from cowslipcourse.entry.plain import UnaryForwarder
-from cowslipcourse.entry.streaming import StreamForwarder
+from cowslipcourse.entry.prior_wait import PriorWaitEstimator
+from cowslipcourse.entry.stream_forwarder import StreamForwarder
+from cowslipcourse.entry.unary_forwarder import UnaryForwarder
 from cowslipcourse.exceptions import DeadlineWhileRunning
 from cowslipcourse.routes import RequestKind
 
@@ -17,7 +17,7 @@
 class Forwarder:
     """Forwards calls to targets and relays the responses, within their deadlines.
 
-    :param context: :class:`~cowslipcourse.entry.tools.DaemonContext`
+    :param context: :class:`~cowslipcourse.entry.context.DaemonContext`
     """
 
     def __init__(self, context):
--- a/cowslipcourse/entry/group_counts.py
+++ b/cowslipcourse/entry/group_counts.py
@@ -36,7 +36,7 @@
         """Return the current :class:`GroupCounts`.
 
         :param table: :class:`~cowslipcourse.routes.RouteTable` or ``None``.
-        :param fleet: :class:`~cowslipcourse.entry.fleet.FleetView`
+        :param fleet: :class:`~cowslipcourse.entry.fleet_view.FleetView`
         """
         if table is None:
             return GroupCounts({}, {})
--- a/cowslipcourse/entry/group_heads.py
+++ b/cowslipcourse/entry/group_heads.py
@@ -64,7 +64,7 @@
         )
 
     def apply_group_update(self, update, entries, now):
-        """Apply a :class:`~cowslipcourse.peers.GroupUpdate`.
+        """Apply a :class:`~cowslipcourse.peer_protocol.GroupUpdate`.
 
         :param entries: all list entries.
         :param now: loop time.
--- a/cowslipcourse/entry/internal_apps.py
+++ b/cowslipcourse/entry/internal_apps.py
@@ -1,6 +1,6 @@
 """Applications beside the front: metrics, and the state that peers read."""
 
-from cowslipcourse.adapters.answers import BufferedResponse, single_path_app
+from cowslipcourse.adapters.responses import BufferedResponse, single_path_app
 
 __all__ = ["metrics_app", "peer_app"]
 
@@ -10,7 +10,7 @@
 def metrics_app(metrics):
     """Return the application that serves metrics.
 
-    :param metrics: :class:`~cowslipcourse.entry.metrics.EntryMetrics`
+    :param metrics: :class:`~cowslipcourse.entry.prometheus_metrics.EntryMetrics`
     """
     return single_path_app(
         "/metrics",
--- a/cowslipcourse/entry/peer_link.py
+++ b/cowslipcourse/entry/peer_link.py
@@ -4,7 +4,7 @@
 
 from cowslipcourse.adapters.log import get_logger
 from cowslipcourse.exceptions import AddressTaken, MalformedResponse
-from cowslipcourse.peers import (
+from cowslipcourse.peer_protocol import (
     CrashReports,
     DigestWriter,
     GroupUpdate,
@@ -39,7 +39,7 @@
     """Sends this daemon's messages to its peers and dispatches received ones.
 
     :param settings: :class:`~cowslipcourse.entry.settings.EntrySettings`
-    :param registry: :class:`~cowslipcourse.peers.PeerRegistry`
+    :param registry: :class:`~cowslipcourse.peer_protocol.PeerRegistry`
     :param daemon: has ``heartbeat()``, ``heartbeat_interval_s()``,
         ``investigate_suspects(message)``, ``apply_group_update(update)``, ``replica``
         and ``quarantine``.
@@ -120,7 +120,7 @@
             self._send(encode(local_digest), self._registry.local_addresses(now))
 
     def broadcast_group_update(self, update):
-        """Send a :class:`~cowslipcourse.peers.GroupUpdate` to all daemons, once.
+        """Send a ``GroupUpdate`` to all daemons, once.
 
         If a datagram is lost, its receiver learns the change later from the list.
         """
--- a/cowslipcourse/entry/peer_reads.py
+++ b/cowslipcourse/entry/peer_reads.py
@@ -3,7 +3,7 @@
 import aiohttp
 
 from cowslipcourse.exceptions import PeerUnreachable
-from cowslipcourse.peers import decode_state
+from cowslipcourse.peer_protocol import decode_state
 
 __all__ = ["PeerReadPolicy", "read_state"]
 
@@ -20,7 +20,7 @@
 class PeerReadPolicy:
     """Decides whether to read peers, which of them, and when to back off.
 
-    :param registry: :class:`~cowslipcourse.peers.PeerRegistry`
+    :param registry: :class:`~cowslipcourse.peer_protocol.PeerRegistry`
     :param rng: :class:`random.Random` that spreads reads over peers.
     """
 
@@ -90,7 +90,7 @@
 
 
 async def read_state(session, address, configuration_version, targets_version):
-    """Return the :class:`~cowslipcourse.peers.PeerState` of a peer.
+    """Return the :class:`~cowslipcourse.peer_protocol.PeerState` of a peer.
 
     :param session: :class:`aiohttp.ClientSession`
     :param address: ``ip:port`` of the peer.
--- a/cowslipcourse/entry/plan_table.py
+++ b/cowslipcourse/entry/plan_table.py
@@ -4,7 +4,7 @@
 
 from cowslipcourse.adapters.log import get_logger
 from cowslipcourse.exceptions import ConditionFailed, MalformedResponse
-from cowslipcourse.groups import DomainPlan, decode_plan, encode_plan
+from cowslipcourse.group_plans import DomainPlan, decode_plan, encode_plan
 from cowslipcourse.ports import RowWrite, era_of
 
 __all__ = ["GROUPS_TABLE", "PlanTable"]
@@ -20,7 +20,7 @@
     """Reads and conditionally replaces the rows of plans.
 
     :param store: :class:`~cowslipcourse.ports.RowStore`
-    :param on_plan: called with each :class:`~cowslipcourse.groups.DomainPlan` that
+    :param on_plan: called with each :class:`~cowslipcourse.group_plans.DomainPlan` that
         becomes known, and whether this daemon wrote it.
     """
 
@@ -71,7 +71,7 @@
         return domain in self._lost_domains
 
     def plan(self, domain):
-        """Return the :class:`~cowslipcourse.groups.DomainPlan` of a domain."""
+        """Return the :class:`~cowslipcourse.group_plans.DomainPlan` of a domain."""
         return self.plans.get(domain) or DomainPlan(
             domain, absent_at_version=self._read_version
         )
@@ -108,7 +108,7 @@
     def _restore_lost(self, previous_plans):
         """Keep plans that are newer than those of a restored store.
 
-        :param previous_plans: known :class:`~cowslipcourse.groups.DomainPlan`
+        :param previous_plans: known :class:`~cowslipcourse.group_plans.DomainPlan`
             by domain.
         :returns: names of their domains.
         """
@@ -134,8 +134,8 @@
     async def replace(self, plan, groups):
         """Replace the groups of a plan, unless its row has changed.
 
-        :param plan: the :class:`~cowslipcourse.groups.DomainPlan` that is known.
-        :param groups: tuple of :class:`~cowslipcourse.groups.PlannedGroup`
+        :param plan: the :class:`~cowslipcourse.group_plans.DomainPlan` that is known.
+        :param groups: tuple of :class:`~cowslipcourse.group_plans.PlannedGroup`
         :returns: the new plan; ``None`` if the row had changed and all were read again.
         :raises StoreError: the row may not have been written.
         """
--- a/cowslipcourse/entry/prometheus_metrics.py
+++ b/cowslipcourse/entry/prometheus_metrics.py
@@ -89,7 +89,7 @@
     def set_group_counts(self, counts):
         """Set the gauges of groups and engines.
 
-        :param counts: :class:`~cowslipcourse.entry.census.GroupCounts`
+        :param counts: :class:`~cowslipcourse.entry.group_counts.GroupCounts`
         """
         self._groups.clear()
         for model, count in counts.groups_by_model.items():
--- a/cowslipcourse/entry/retries.py
+++ b/cowslipcourse/entry/retries.py
@@ -3,9 +3,9 @@
 import asyncio
 
 from cowslipcourse.adapters.log import get_logger
-from cowslipcourse.entry.accounting import LossCause
+from cowslipcourse.entry.attempt_outcomes import final_error, may_have_run, may_retry
 from cowslipcourse.entry.attempts import TargetRun
-from cowslipcourse.entry.outcomes import final_error, may_have_run, may_retry
+from cowslipcourse.entry.failure_attribution import LossCause
 from cowslipcourse.exceptions import TargetError, TargetUnreachable
 
 __all__ = ["try_targets"]
@@ -16,11 +16,11 @@
 async def try_targets(context, call, service, choose, attempt):
     """Send a call to one target after another until an attempt succeeds.
 
-    :param context: :class:`~cowslipcourse.entry.tools.DaemonContext`
+    :param context: :class:`~cowslipcourse.entry.context.DaemonContext`
     :param call: :class:`~cowslipcourse.entry.calls.Call`
     :param service: name of the service.
     :param choose: coroutine function that takes the ids of tried targets and returns a
-        :class:`~cowslipcourse.entry.accounting.TargetChoice`.
+        :class:`~cowslipcourse.entry.failure_attribution.TargetChoice`.
     :param attempt: coroutine function that takes the
         :class:`~cowslipcourse.entry.attempts.TargetRun` and whether this is the last
         allowed attempt; raises :class:`~cowslipcourse.exceptions.TargetError`.
--- a/cowslipcourse/entry/roles.py
+++ b/cowslipcourse/entry/roles.py
@@ -3,7 +3,7 @@
 import asyncio
 
 from cowslipcourse.adapters.log import get_logger
-from cowslipcourse.peers import registration_order
+from cowslipcourse.peer_protocol import registration_order
 
 __all__ = ["RoleAssignment", "is_settled"]
 
@@ -31,11 +31,11 @@
 class RoleAssignment:
     """Determines the roles of this daemon periodically.
 
-    It implements :class:`~cowslipcourse.entry.scope.CoordinationScope`.
+    It implements :class:`~cowslipcourse.entry.coordination_scope.CoordinationScope`.
 
     :param settings: :class:`~cowslipcourse.entry.settings.EntrySettings`
-    :param registry: :class:`~cowslipcourse.peers.PeerRegistry`
-    :param registrar: :class:`~cowslipcourse.entry.registering.DaemonRegistrar`
+    :param registry: :class:`~cowslipcourse.peer_protocol.PeerRegistry`
+    :param registrar: :class:`~cowslipcourse.entry.daemon_registration.DaemonRegistrar`
     :param replica: has ``set_following(active)``.
     :param daemon: has ``heartbeat()`` and ``is_draining``.
     """
--- a/cowslipcourse/entry/silence_detector.py
+++ b/cowslipcourse/entry/silence_detector.py
@@ -40,7 +40,7 @@
 class SilenceDetector:
     """Aborts streams of silent targets and marks the targets as suspected.
 
-    :param fleet: :class:`~cowslipcourse.entry.fleet.FleetView`
+    :param fleet: :class:`~cowslipcourse.entry.fleet_view.FleetView`
     :param on_suspect: called when a target is newly suspected.
     """
 
--- a/cowslipcourse/entry/state_replica.py
+++ b/cowslipcourse/entry/state_replica.py
@@ -10,15 +10,20 @@
 
 from cowslipcourse.adapters.log import get_logger
 from cowslipcourse.entry.change_history import ChangeHistory
-from cowslipcourse.entry.following import TableFollower
-from cowslipcourse.entry.peer_reading import PeerReadPolicy, read_state
+from cowslipcourse.entry.peer_reads import PeerReadPolicy, read_state
+from cowslipcourse.entry.table_follower import TableFollower
 from cowslipcourse.entry.target_list import TargetList
 from cowslipcourse.exceptions import (
     ConfigurationError,
     MalformedResponse,
     PeerUnreachable,
 )
-from cowslipcourse.peers import PeerState, TargetChanges, encode_state, split_changes
+from cowslipcourse.peer_protocol import (
+    PeerState,
+    TargetChanges,
+    encode_state,
+    split_changes,
+)
 from cowslipcourse.platform import decode_configuration
 from cowslipcourse.platform.store import (
     CONFIGURATION_KEY,
@@ -51,7 +56,7 @@
 
     :param settings: :class:`~cowslipcourse.entry.settings.EntrySettings`
     :param store: :class:`~cowslipcourse.ports.RowStore`
-    :param registry: :class:`~cowslipcourse.peers.PeerRegistry`
+    :param registry: :class:`~cowslipcourse.peer_protocol.PeerRegistry`
     :param rng: :class:`random.Random` that spreads reads over peers.
     :param listener: has ``apply_configuration(table)``,
         ``apply_targets(entries, gone)`` and ``push_changes(TargetChanges)``.
@@ -283,7 +288,7 @@
     # From peers.
 
     def apply_push(self, message):
-        """Apply a reporter's :class:`~cowslipcourse.peers.TargetChanges`.
+        """Apply a reporter's :class:`~cowslipcourse.peer_protocol.TargetChanges`.
 
         A push without a newer version may contain removals that another reporter holds
         back, or has held back until now.
--- a/cowslipcourse/entry/stream_forwarder.py
+++ b/cowslipcourse/entry/stream_forwarder.py
@@ -3,13 +3,13 @@
 import asyncio
 
 from cowslipcourse.adapters.log import get_logger
-from cowslipcourse.entry.accounting import StreamTimes, late_cause
-from cowslipcourse.entry.outcomes import NOT_EXECUTED_STATUSES
-from cowslipcourse.entry.placing import StreamTargetChooser
-from cowslipcourse.entry.retrying import try_targets
-from cowslipcourse.entry.silence import WatchedStream
+from cowslipcourse.entry.attempt_outcomes import NOT_EXECUTED_STATUSES
+from cowslipcourse.entry.failure_attribution import StreamTimes, late_cause
+from cowslipcourse.entry.retries import try_targets
+from cowslipcourse.entry.silence_detector import WatchedStream
+from cowslipcourse.entry.stream_target_selection import StreamTargetChooser
 from cowslipcourse.exceptions import IncompleteResponse, TargetError, TargetRefused
-from cowslipcourse.platform.edge import is_not_executed, response_headers
+from cowslipcourse.platform.headers import is_not_executed, response_headers
 from cowslipcourse.streams import EventSplitter, StreamPosition
 
 __all__ = ["StreamForwarder"]
@@ -55,7 +55,7 @@
 class StreamForwarder:
     """Forwards streams to heads of groups, or to targets of a service without groups.
 
-    :param context: :class:`~cowslipcourse.entry.tools.DaemonContext`
+    :param context: :class:`~cowslipcourse.entry.context.DaemonContext`
     """
 
     def __init__(self, context):
@@ -63,7 +63,7 @@
         self._target_chooser = StreamTargetChooser(context)
 
     async def forward(self, call, service, responder):
-        """See :meth:`cowslipcourse.entry.forwarding.Forwarder.forward`."""
+        """See :meth:`cowslipcourse.entry.forwarder.Forwarder.forward`."""
         progress = _StreamProgress(call, responder)
 
         async def choose(tried_ids):
--- a/cowslipcourse/entry/stream_target_selection.py
+++ b/cowslipcourse/entry/stream_target_selection.py
@@ -3,8 +3,8 @@
 import asyncio
 
 from cowslipcourse.adapters.log import get_logger
-from cowslipcourse.entry.accounting import TargetChoice, no_target_cause
-from cowslipcourse.entry.choosing import choose_group
+from cowslipcourse.entry.failure_attribution import TargetChoice, no_target_cause
+from cowslipcourse.entry.target_selection import choose_group
 from cowslipcourse.entry.urgency import can_meet_objective
 
 __all__ = ["StreamTargetChooser"]
@@ -20,14 +20,14 @@
 class StreamTargetChooser:
     """Chooses the targets of streams.
 
-    :param context: :class:`~cowslipcourse.entry.tools.DaemonContext`
+    :param context: :class:`~cowslipcourse.entry.context.DaemonContext`
     """
 
     def __init__(self, context):
         self._context = context
 
     async def choose(self, progress, service, tried_ids):
-        """Return the :class:`~cowslipcourse.entry.accounting.TargetChoice` of a stream.
+        """Return the ``TargetChoice`` of a stream.
 
         :param progress: progress of the stream, as kept by its forwarder.
         :param service: name of the service.
--- a/cowslipcourse/entry/unary_forwarder.py
+++ b/cowslipcourse/entry/unary_forwarder.py
@@ -3,12 +3,12 @@
 import asyncio
 
 from cowslipcourse.adapters.log import get_logger
-from cowslipcourse.entry.accounting import TargetChoice, no_target_cause
-from cowslipcourse.entry.choosing import choose_target
-from cowslipcourse.entry.outcomes import NOT_EXECUTED_STATUSES
-from cowslipcourse.entry.retrying import try_targets
+from cowslipcourse.entry.attempt_outcomes import NOT_EXECUTED_STATUSES
+from cowslipcourse.entry.failure_attribution import TargetChoice, no_target_cause
+from cowslipcourse.entry.retries import try_targets
+from cowslipcourse.entry.target_selection import choose_target
 from cowslipcourse.exceptions import IncompleteResponse, TargetError, TargetRefused
-from cowslipcourse.platform.edge import is_not_executed, response_headers
+from cowslipcourse.platform.headers import is_not_executed, response_headers
 
 __all__ = ["UnaryForwarder"]
 
@@ -20,14 +20,14 @@
 class UnaryForwarder:
     """Forwards requests to services without engine groups.
 
-    :param context: :class:`~cowslipcourse.entry.tools.DaemonContext`
+    :param context: :class:`~cowslipcourse.entry.context.DaemonContext`
     """
 
     def __init__(self, context):
         self._context = context
 
     async def forward(self, call, service, responder):
-        """See :meth:`cowslipcourse.entry.forwarding.Forwarder.forward`."""
+        """See :meth:`cowslipcourse.entry.forwarder.Forwarder.forward`."""
 
         async def choose(tried_ids):
             return self._choose(service, tried_ids)
--- a/cowslipcourse/gateway/addresses.py
+++ b/cowslipcourse/gateway/addresses.py
@@ -14,7 +14,7 @@
     as they are distributed over gateways; then come gateways of its data centre in
     random order, then the others.
 
-    :param context: :class:`~cowslipcourse.gateway.tools.GatewayContext`
+    :param context: :class:`~cowslipcourse.gateway.context.GatewayContext`
     :param is_draining: whether this gateway is stopping.
     """
     agent = context.agent
--- a/cowslipcourse/gateway/app.py
+++ b/cowslipcourse/gateway/app.py
@@ -4,8 +4,8 @@
 from starlette.responses import Response
 from starlette.routing import Route, Router
 
-from cowslipcourse.adapters.answers import json_response, problem_response
 from cowslipcourse.adapters.log import get_logger
+from cowslipcourse.adapters.responses import json_response, problem_response
 from cowslipcourse.exceptions import (
     CallerDisconnected,
     GatewayDraining,
@@ -23,7 +23,7 @@
 class CallerApi:
     """HTTP API for callers.
 
-    :param context: :class:`~cowslipcourse.gateway.tools.GatewayContext`
+    :param context: :class:`~cowslipcourse.gateway.context.GatewayContext`
     :param chat: :class:`~cowslipcourse.gateway.chat.ChatHandler`
     :param services: :class:`~cowslipcourse.gateway.services.ServiceHandler`
     :ivar is_draining: whether this gateway is stopping and no longer advertises itself.
--- a/cowslipcourse/gateway/chat.py
+++ b/cowslipcourse/gateway/chat.py
@@ -5,9 +5,9 @@
 
 import msgspec
 
-from cowslipcourse.adapters.answers import json_response
+from cowslipcourse.adapters.http_server import StreamedResponse
 from cowslipcourse.adapters.log import get_logger
-from cowslipcourse.adapters.web import StreamedResponse
+from cowslipcourse.adapters.responses import json_response
 from cowslipcourse.daemon import now
 from cowslipcourse.exceptions import (
     DeadlinePassed,
@@ -18,7 +18,7 @@
 )
 from cowslipcourse.gateway.callers import read_body
 from cowslipcourse.gateway.generation import Generation
-from cowslipcourse.gateway.problems import problem_event
+from cowslipcourse.gateway.stream_errors import problem_event
 
 __all__ = ["ChatHandler"]
 
@@ -82,7 +82,7 @@
 class ChatHandler:
     """Handles model requests, with streamed or complete responses.
 
-    :param context: :class:`~cowslipcourse.gateway.tools.GatewayContext`
+    :param context: :class:`~cowslipcourse.gateway.context.GatewayContext`
     """
 
     def __init__(self, context):
--- a/cowslipcourse/gateway/context.py
+++ b/cowslipcourse/gateway/context.py
@@ -26,16 +26,16 @@
     :param settings: :class:`~cowslipcourse.settings.GatewaySettings`
     :param agent: :class:`~cowslipcourse.daemon.Agent`
     :param fleet_view: :class:`~cowslipcourse.gateway.fleet_view.FleetView`
-    :param chooser: :class:`~cowslipcourse.gateway.chooser.GroupChooser`
+    :param chooser: :class:`~cowslipcourse.gateway.group_selection.GroupChooser`
     :param targets: :class:`~cowslipcourse.ports.TargetClient`
     :param table: :class:`~cowslipcourse.ports.TableService`
     :param object_store: :class:`~cowslipcourse.ports.ObjectStore`
     :param retry_budget: :class:`~cowslipcourse.admission.RetryBudget`
     :param resume_budget: :class:`~cowslipcourse.admission.RetryBudget` for resuming
         broken streams; larger, since all streams of a group break at once.
-    :param quarantine: :class:`~cowslipcourse.quarantining.Quarantine`
+    :param quarantine: :class:`~cowslipcourse.quarantine_runtime.Quarantine`
     :param outcomes: :class:`~cowslipcourse.requests.OutcomeStore`
-    :param metrics: for example :class:`~cowslipcourse.adapters.metrics.StatsdMetrics`
+    :param metrics: for example :class:`~cowslipcourse.adapters.statsd.StatsdMetrics`
     :param rng: :class:`random.Random`
     :param spawn: :class:`BackgroundTasks`, called with coroutines.
     """
--- a/cowslipcourse/gateway/generation.py
+++ b/cowslipcourse/gateway/generation.py
@@ -17,7 +17,11 @@
     TargetRefused,
     TargetUnreachable,
 )
-from cowslipcourse.gateway.quarantine_ports import GroupLeader, GroupRun, QuarantineCall
+from cowslipcourse.gateway.quarantine_adapters import (
+    GroupLeader,
+    GroupRun,
+    QuarantineCall,
+)
 from cowslipcourse.ports import GenerateRequest
 from cowslipcourse.quarantine import fingerprint
 from cowslipcourse.requests import StreamRelay
@@ -42,7 +46,7 @@
     :param call: :class:`~cowslipcourse.gateway.callers.Call`
     :param body: body that the caller sent.
     :param declarations: names of the group declarations that may serve it.
-    :param context: :class:`~cowslipcourse.gateway.tools.GatewayContext`
+    :param context: :class:`~cowslipcourse.gateway.context.GatewayContext`
     :ivar attempted_groups: ids of the groups that were sent the request, in order.
     :ivar used_attempts: ids of the attempts whose events were used.
     """
--- a/cowslipcourse/gateway/group_selection.py
+++ b/cowslipcourse/gateway/group_selection.py
@@ -9,7 +9,7 @@
 )
 from cowslipcourse.daemon import now
 from cowslipcourse.exceptions import NoTargetAvailable, UnknownModel
-from cowslipcourse.routing import (
+from cowslipcourse.load_balancing import (
     InFlight,
     LeastExpectedWait,
     PrefixMap,
@@ -50,7 +50,7 @@
 
     @property
     def in_flight(self):
-        """:class:`~cowslipcourse.routing.InFlight` by group."""
+        """:class:`~cowslipcourse.load_balancing.InFlight` by group."""
         return self._in_flight
 
     @property
--- a/cowslipcourse/gateway/main.py
+++ b/cowslipcourse/gateway/main.py
@@ -4,23 +4,23 @@
 import random
 import sys
 
+from cowslipcourse.adapters.http_server import WebServer
 from cowslipcourse.adapters.log import get_logger
-from cowslipcourse.adapters.metrics import create_metrics
 from cowslipcourse.adapters.platform import HttpPlatformClient
+from cowslipcourse.adapters.statsd import create_metrics
 from cowslipcourse.adapters.targets import HttpTargetClient
-from cowslipcourse.adapters.web import WebServer
 from cowslipcourse.admission import RetryBudget
 from cowslipcourse.daemon import Agent, now, run_daemon, run_forever
 from cowslipcourse.daemon.reports import GATEWAY_PREFIX, GatewayReport, GroupReport
 from cowslipcourse.gateway.app import CallerApi
 from cowslipcourse.gateway.chat import ChatHandler
-from cowslipcourse.gateway.chooser import GroupChooser
 from cowslipcourse.gateway.claims import ClaimCommitter
+from cowslipcourse.gateway.context import BackgroundTasks, GatewayContext
 from cowslipcourse.gateway.fleet_view import FleetView
-from cowslipcourse.gateway.quarantine_ports import make_quarantine
-from cowslipcourse.gateway.sealing import store_outcomes
+from cowslipcourse.gateway.group_selection import GroupChooser
+from cowslipcourse.gateway.outcome_persistence import store_outcomes
+from cowslipcourse.gateway.quarantine_adapters import make_quarantine
 from cowslipcourse.gateway.services import ServiceHandler
-from cowslipcourse.gateway.tools import BackgroundTasks, GatewayContext
 from cowslipcourse.membership import Role
 from cowslipcourse.requests import OutcomeStore
 from cowslipcourse.settings import GatewaySettings
--- a/cowslipcourse/gateway/outcome_persistence.py
+++ b/cowslipcourse/gateway/outcome_persistence.py
@@ -24,7 +24,7 @@
 
     If they cannot be stored, repeated requests get the error "outcome unknown".
 
-    :param context: :class:`~cowslipcourse.gateway.tools.GatewayContext`
+    :param context: :class:`~cowslipcourse.gateway.context.GatewayContext`
     """
     context.outcomes.close()
     await context.outcomes.wait_until_finished()
@@ -44,7 +44,7 @@
 async def read_stored_outcomes(context, home):
     """Return the encoded outcomes that a stopped home gateway stored.
 
-    :param context: :class:`~cowslipcourse.gateway.tools.GatewayContext`
+    :param context: :class:`~cowslipcourse.gateway.context.GatewayContext`
     :param home: :class:`~cowslipcourse.requests.MintedKey` or
         :class:`~cowslipcourse.gateway.claims.Claim`
     :raises OutcomeUnknown: there are none, or they cannot be read now.
--- a/cowslipcourse/gateway/quarantine_adapters.py
+++ b/cowslipcourse/gateway/quarantine_adapters.py
@@ -11,11 +11,11 @@
 from cowslipcourse.decoding import decode_untrusted
 from cowslipcourse.exceptions import MalformedResponse
 from cowslipcourse.membership import Role
-from cowslipcourse.peers import decode, encode
+from cowslipcourse.peer_protocol import decode, encode
 from cowslipcourse.ports import RowChanges, StoredRow
 from cowslipcourse.ports.platform import ABSENT, Transaction
 from cowslipcourse.quarantine import VerdictStore
-from cowslipcourse.quarantining import Quarantine, TargetExitDetector
+from cowslipcourse.quarantine_runtime import Quarantine, TargetExitDetector
 
 __all__ = [
     "GroupLeader",
@@ -191,7 +191,7 @@
 
 
 def make_quarantine(agent, fleet_view, targets, table):
-    """Create the :class:`~cowslipcourse.quarantining.Quarantine` of a gateway.
+    """Create the :class:`~cowslipcourse.quarantine_runtime.Quarantine` of a gateway.
 
     :param agent: :class:`~cowslipcourse.daemon.Agent`
     :param fleet_view: :class:`~cowslipcourse.gateway.fleet_view.FleetView`
--- a/cowslipcourse/gateway/service_calls.py
+++ b/cowslipcourse/gateway/service_calls.py
@@ -36,7 +36,7 @@
     :param body: request body.
     :param repeatable: whether the call may run more than once.
     :param deadline: loop time, or ``None``.
-    :param context: :class:`~cowslipcourse.gateway.tools.GatewayContext`
+    :param context: :class:`~cowslipcourse.gateway.context.GatewayContext`
     """
 
     def __init__(self, service, operation, body, repeatable, deadline, context):
--- a/cowslipcourse/gateway/services.py
+++ b/cowslipcourse/gateway/services.py
@@ -17,7 +17,7 @@
 )
 from cowslipcourse.gateway.callers import read_body
 from cowslipcourse.gateway.claims import Claim, claim_key
-from cowslipcourse.gateway.sealing import read_stored_outcomes
+from cowslipcourse.gateway.outcome_persistence import read_stored_outcomes
 from cowslipcourse.gateway.service_calls import ServiceCall
 from cowslipcourse.ports.peers import ForwardedCall, ForwardResponse
 from cowslipcourse.requests import Completed, parse_minted_key
@@ -57,7 +57,7 @@
 class ServiceHandler:
     """Handles calls of plain services.
 
-    :param context: :class:`~cowslipcourse.gateway.tools.GatewayContext`
+    :param context: :class:`~cowslipcourse.gateway.context.GatewayContext`
     :param claims: :class:`~cowslipcourse.gateway.claims.ClaimCommitter`
     """
 
--- a/cowslipcourse/group_plans/__init__.py
+++ b/cowslipcourse/group_plans/__init__.py
@@ -1,29 +1,38 @@
 """Groups of engines: each domain's plan, and the orders that carry it out."""
 
-from cowslipcourse.groups.balance import (
+from cowslipcourse.group_plans.balance import (
     Reassignment,
     choose_reassignments,
     group_counts,
     underprovisioned_models,
 )
-from cowslipcourse.groups.knowledge import ObservedDomain, ObservedEngine
-from cowslipcourse.groups.loads import LoadRateLimiter
-from cowslipcourse.groups.orders import is_present, next_steps
-from cowslipcourse.groups.plan import DomainPlan, PlannedGroup, decode_plan, encode_plan
-from cowslipcourse.groups.practice import warmup_step
-from cowslipcourse.groups.revision import revise_plan
-from cowslipcourse.groups.shape import MIXED_ASSIGNMENT, DomainAssignment, assign_domain
-from cowslipcourse.groups.situation import (
+from cowslipcourse.group_plans.domain_assignment import (
+    MIXED_ASSIGNMENT,
+    DomainAssignment,
+    assign_domain,
+)
+from cowslipcourse.group_plans.load_rate_limit import LoadRateLimiter
+from cowslipcourse.group_plans.observed_domain import ObservedDomain, ObservedEngine
+from cowslipcourse.group_plans.orders import is_present, next_steps
+from cowslipcourse.group_plans.plan import (
+    DomainPlan,
+    PlannedGroup,
+    decode_plan,
+    encode_plan,
+)
+from cowslipcourse.group_plans.plan_inputs import (
     broken_groups,
     engine_views,
     model_demands,
     models_awaiting_members,
     spare_engines,
 )
-from cowslipcourse.groups.staging import choose_staging
-from cowslipcourse.groups.standby import choose_standby
-from cowslipcourse.groups.steps import Step, StepKind
-from cowslipcourse.groups.views import EngineView, ModelDemand
+from cowslipcourse.group_plans.revision import revise_plan
+from cowslipcourse.group_plans.staging import choose_staging
+from cowslipcourse.group_plans.standby import choose_standby
+from cowslipcourse.group_plans.steps import Step, StepKind
+from cowslipcourse.group_plans.views import EngineView, ModelDemand
+from cowslipcourse.group_plans.warm_up import warmup_step
 
 __all__ = [
     "MIXED_ASSIGNMENT",
--- a/cowslipcourse/group_plans/balance.py
+++ b/cowslipcourse/group_plans/balance.py
@@ -45,7 +45,7 @@
     """Groups that a domain could donate.
 
     :param domain: name of the domain.
-    :param groups: tuple of :class:`~cowslipcourse.groups.PlannedGroup`
+    :param groups: tuple of :class:`~cowslipcourse.group_plans.PlannedGroup`
     :param warm_count: members whose hosts store the recipient's weights.
     :param reassigned_count: groups of the domain that are already reassigned.
     """
@@ -74,7 +74,7 @@
 def group_counts(plans, models):
     """Return the number of groups by model, including pending successors.
 
-    :param plans: iterable of :class:`~cowslipcourse.groups.DomainPlan`
+    :param plans: iterable of :class:`~cowslipcourse.group_plans.DomainPlan`
     :param models: iterable of :class:`~cowslipcourse.routes.EngineModel`
     """
     sizes = {model.name: model.size for model in models}
@@ -125,7 +125,7 @@
     no donor is left. The result depends only on the arguments, so coordinators with
     the same view choose the same list, and each carries out that of its own domains.
 
-    :param plans: :class:`~cowslipcourse.groups.DomainPlan` by domain.
+    :param plans: :class:`~cowslipcourse.group_plans.DomainPlan` by domain.
     :param models: iterable of :class:`~cowslipcourse.routes.EngineModel`
     :param is_complete: predicate of a group and its domain: whether all members
         are live.
--- a/cowslipcourse/group_plans/domain_assignment.py
+++ b/cowslipcourse/group_plans/domain_assignment.py
@@ -9,7 +9,7 @@
 from collections import Counter
 from typing import NamedTuple
 
-from cowslipcourse.groups.situation import model_demands
+from cowslipcourse.group_plans.plan_inputs import model_demands
 
 __all__ = ["MIXED_ASSIGNMENT", "DomainAssignment", "assign_domain"]
 
@@ -44,7 +44,7 @@
     """Return the :class:`DomainAssignment` of a domain.
 
     :param domain: name of the domain.
-    :param plans: :class:`~cowslipcourse.groups.DomainPlan` by domain.
+    :param plans: :class:`~cowslipcourse.group_plans.DomainPlan` by domain.
     :param data_centres: data centre by domain, for all known domains.
     :param models: iterable of :class:`~cowslipcourse.routes.EngineModel`.
     :param warm_models: models that the domain's engines can join without a load, with
--- a/cowslipcourse/group_plans/observed_domain.py
+++ b/cowslipcourse/group_plans/observed_domain.py
@@ -317,7 +317,7 @@
 
         Evidence that a released engine has left must be newer than the plan.
 
-        :param plan: :class:`~cowslipcourse.groups.DomainPlan` of the domain.
+        :param plan: :class:`~cowslipcourse.group_plans.DomainPlan` of the domain.
         :param now: loop time at which the plan was read.
         :param is_own: whether this daemon wrote it to replace the known plan.
         """
--- a/cowslipcourse/group_plans/orders.py
+++ b/cowslipcourse/group_plans/orders.py
@@ -2,9 +2,9 @@
 
 from typing import NamedTuple
 
-from cowslipcourse.groups.knowledge import MAX_REPORT_LAG_S
-from cowslipcourse.groups.practice import is_warming_up, is_warmup_group
-from cowslipcourse.groups.steps import Step, StepKind
+from cowslipcourse.group_plans.observed_domain import MAX_REPORT_LAG_S
+from cowslipcourse.group_plans.steps import Step, StepKind
+from cowslipcourse.group_plans.warm_up import is_warming_up, is_warmup_group
 from cowslipcourse.ports import EngineOrder, GroupState, OrderOperation
 
 __all__ = ["is_present", "next_steps"]
@@ -31,8 +31,8 @@
 def next_steps(plan, engines, models, stall_s, now):
     """Return the steps that a domain needs now.
 
-    :param plan: :class:`~cowslipcourse.groups.DomainPlan`
-    :param engines: :class:`~cowslipcourse.groups.ObservedEngine` by id.
+    :param plan: :class:`~cowslipcourse.group_plans.DomainPlan`
+    :param engines: :class:`~cowslipcourse.group_plans.ObservedEngine` by id.
     :param models: :class:`~cowslipcourse.routes.EngineModel` by name.
     :param stall_s: time after which a head that lacks a member is broken.
     :param now: loop time.
@@ -51,9 +51,9 @@
 def is_present(group, member, engines):
     """Whether the planned incarnation of a member can be given work.
 
-    :param group: :class:`~cowslipcourse.groups.PlannedGroup`
+    :param group: :class:`~cowslipcourse.group_plans.PlannedGroup`
     :param member: id of a member.
-    :param engines: :class:`~cowslipcourse.groups.ObservedEngine` by id.
+    :param engines: :class:`~cowslipcourse.group_plans.ObservedEngine` by id.
     """
     engine = engines.get(member)
     return (
--- a/cowslipcourse/group_plans/plan_inputs.py
+++ b/cowslipcourse/group_plans/plan_inputs.py
@@ -1,8 +1,12 @@
 """Derives the inputs of plan revision from the observed domain."""
 
-from cowslipcourse.groups.orders import HEAD_UNGROUPED_S, STALL_MARGIN_S, is_present
-from cowslipcourse.groups.practice import is_warmup_group
-from cowslipcourse.groups.views import EngineView, ModelDemand
+from cowslipcourse.group_plans.orders import (
+    HEAD_UNGROUPED_S,
+    STALL_MARGIN_S,
+    is_present,
+)
+from cowslipcourse.group_plans.views import EngineView, ModelDemand
+from cowslipcourse.group_plans.warm_up import is_warmup_group
 from cowslipcourse.ports import GroupState
 
 __all__ = [
@@ -19,10 +23,10 @@
 
 
 def engine_views(plan, observed, stall_s, now):
-    """Return an :class:`~cowslipcourse.groups.EngineView` of each engine.
+    """Return an :class:`~cowslipcourse.group_plans.EngineView` of each engine.
 
-    :param plan: :class:`~cowslipcourse.groups.DomainPlan`
-    :param observed: :class:`~cowslipcourse.groups.ObservedDomain`
+    :param plan: :class:`~cowslipcourse.group_plans.DomainPlan`
+    :param observed: :class:`~cowslipcourse.group_plans.ObservedDomain`
     :param stall_s: time after which a head that lacks a member is broken.
     :param now: loop time.
     """
@@ -111,12 +115,12 @@
 
 
 def model_demands(models, plans):
-    """Return a :class:`~cowslipcourse.groups.ModelDemand` for each model.
+    """Return a :class:`~cowslipcourse.group_plans.ModelDemand` for each model.
 
     The urgency grows with the model's share of the work per group in all domains.
 
     :param models: iterable of :class:`~cowslipcourse.routes.EngineModel`.
-    :param plans: iterable of :class:`~cowslipcourse.groups.DomainPlan`.
+    :param plans: iterable of :class:`~cowslipcourse.group_plans.DomainPlan`.
     """
     counts = {model.name: 0 for model in models}
     for plan in plans:
--- a/cowslipcourse/group_plans/revision.py
+++ b/cowslipcourse/group_plans/revision.py
@@ -2,7 +2,7 @@
 
 import itertools
 
-from cowslipcourse.groups.plan import PlannedGroup
+from cowslipcourse.group_plans.plan import PlannedGroup
 
 __all__ = ["revise_plan"]
 
@@ -21,14 +21,15 @@
     so at once, since every other group can use them. New groups are formed from
     engines beyond the reserved spares.
 
-    :param plan: current :class:`~cowslipcourse.groups.DomainPlan`
+    :param plan: current :class:`~cowslipcourse.group_plans.DomainPlan`
     :param engines: iterable of :class:`EngineView` of the domain.
     :param sizes: group size by model.
     :param demands: iterable of :class:`ModelDemand`.
-    :param assignment: :class:`~cowslipcourse.groups.DomainAssignment` of the domain.
+    :param assignment: :class:`~cowslipcourse.group_plans.DomainAssignment` of the
+        domain.
     :param broken: names of groups that are complete but must be formed again.
     :param reassignments: iterable of
-        :class:`~cowslipcourse.groups.Reassignment` of this domain.
+        :class:`~cowslipcourse.group_plans.Reassignment` of this domain.
     """
     return _Revision(plan, engines, sizes, assignment, broken).make(
         demands, reassignments
--- a/cowslipcourse/group_plans/staging.py
+++ b/cowslipcourse/group_plans/staging.py
@@ -11,8 +11,8 @@
     the rest go to the models with the most engines at risk for each spare. A staged
     model is replaced only if another spare has it too.
 
-    :param plan: :class:`~cowslipcourse.groups.DomainPlan`
-    :param free_engines: :class:`~cowslipcourse.groups.ObservedEngine` of free live
+    :param plan: :class:`~cowslipcourse.group_plans.DomainPlan`
+    :param free_engines: :class:`~cowslipcourse.group_plans.ObservedEngine` of free live
         engines.
     :param models: iterable of :class:`~cowslipcourse.routes.EngineModel`.
     :param awaited_models: models of groups that wait for a warm spare.
--- a/cowslipcourse/group_plans/standby.py
+++ b/cowslipcourse/group_plans/standby.py
@@ -9,7 +9,7 @@
 from collections import Counter
 from typing import NamedTuple
 
-from cowslipcourse.groups.balance import UNDERPROVISIONED_RATIO, group_counts
+from cowslipcourse.group_plans.balance import UNDERPROVISIONED_RATIO, group_counts
 
 __all__ = ["choose_standby"]
 
@@ -22,7 +22,7 @@
     """Groups of a domain that could stand by for a model together.
 
     :param domain: name of the domain.
-    :param groups: tuple of :class:`~cowslipcourse.groups.PlannedGroup`
+    :param groups: tuple of :class:`~cowslipcourse.group_plans.PlannedGroup`
     :param warm_count: members whose hosts already store the model.
     """
 
@@ -34,10 +34,11 @@
 def choose_standby(plans, data_centres, models, count_warm_members):
     """Return the model whose weights hosts shall store, by group name.
 
-    :param plans: :class:`~cowslipcourse.groups.DomainPlan` by domain.
+    :param plans: :class:`~cowslipcourse.group_plans.DomainPlan` by domain.
     :param data_centres: data centre by domain.
     :param models: iterable of :class:`~cowslipcourse.routes.EngineModel`
-    :param count_warm_members: see :func:`~cowslipcourse.groups.choose_reassignments`.
+    :param count_warm_members: see
+        :func:`~cowslipcourse.group_plans.choose_reassignments`.
     """
     models = tuple(models)
     standby = {}
--- a/cowslipcourse/group_plans/warm_up.py
+++ b/cowslipcourse/group_plans/warm_up.py
@@ -6,7 +6,7 @@
 of its warm-up group, which is never opened, so it can join another group at any time.
 """
 
-from cowslipcourse.groups.steps import Step, StepKind
+from cowslipcourse.group_plans.steps import Step, StepKind
 from cowslipcourse.ports import EngineOrder, GroupState, OrderOperation
 
 __all__ = ["is_warming_up", "is_warmup_group", "warmup_step"]
@@ -32,8 +32,8 @@
 def warmup_step(plan, engine, models):
     """Return the step that warms up a spare, or ``None`` if it needs none.
 
-    :param plan: :class:`~cowslipcourse.groups.DomainPlan`
-    :param engine: :class:`~cowslipcourse.groups.ObservedEngine` of a spare.
+    :param plan: :class:`~cowslipcourse.group_plans.DomainPlan`
+    :param engine: :class:`~cowslipcourse.group_plans.ObservedEngine` of a spare.
     :param models: names of the models that the domain serves.
     """
     staged_models = [model for model in engine.staged if model in models]
--- a/cowslipcourse/http_client/__init__.py
+++ b/cowslipcourse/http_client/__init__.py
@@ -1,8 +1,8 @@
 """HTTP/1.1 client for targets, with one exchange at a time per connection."""
 
-from cowslipcourse.exchange.connection import ResponseHead, TargetConnection
-from cowslipcourse.exchange.pool import ConnectionPool
-from cowslipcourse.exchange.request import TargetRequest, encode_request
+from cowslipcourse.http_client.connection import ResponseHead, TargetConnection
+from cowslipcourse.http_client.pool import ConnectionPool
+from cowslipcourse.http_client.request import TargetRequest, encode_request
 
 __all__ = [
     "ConnectionPool",
--- a/cowslipcourse/http_client/connection.py
+++ b/cowslipcourse/http_client/connection.py
@@ -18,7 +18,7 @@
     MalformedResponse,
     TargetUnreachable,
 )
-from cowslipcourse.exchange.request import encode_request
+from cowslipcourse.http_client.request import encode_request
 
 __all__ = ["ResponseHead", "TargetConnection"]
 
@@ -123,7 +123,7 @@
     def send(self, request):
         """Send a request. The connection must be reusable.
 
-        :param request: :class:`~cowslipcourse.exchange.TargetRequest`
+        :param request: :class:`~cowslipcourse.http_client.TargetRequest`
         :raises TargetUnreachable: the connection is not reusable; nothing was sent.
         """
         if not self.is_reusable:
--- a/cowslipcourse/http_client/pool.py
+++ b/cowslipcourse/http_client/pool.py
@@ -3,7 +3,7 @@
 import asyncio
 from collections import deque
 
-from cowslipcourse.exchange.connection import TargetConnection
+from cowslipcourse.http_client.connection import TargetConnection
 
 __all__ = ["ConnectionPool"]
 
--- a/cowslipcourse/load_balancing/__init__.py
+++ b/cowslipcourse/load_balancing/__init__.py
@@ -1,15 +1,15 @@
 """Routing policies: choice of the target of a request."""
 
-from cowslipcourse.routing.affinity import PrefixMap, prefix_hashes
-from cowslipcourse.routing.policies import (
+from cowslipcourse.load_balancing.affinity import PrefixMap, prefix_hashes
+from cowslipcourse.load_balancing.policies import (
     LeastExpectedWait,
     LeastInFlight,
     RandomChoice,
     RoundRobin,
     RoutingPolicy,
 )
-from cowslipcourse.routing.stragglers import StragglerFilter, StragglerLimits
-from cowslipcourse.routing.views import InFlight, TargetView
+from cowslipcourse.load_balancing.stragglers import StragglerFilter, StragglerLimits
+from cowslipcourse.load_balancing.views import InFlight, TargetView
 
 __all__ = [
     "InFlight",
--- a/cowslipcourse/load_balancing/policies.py
+++ b/cowslipcourse/load_balancing/policies.py
@@ -26,7 +26,8 @@
     def choose(self, views, rng):
         """Return the chosen view.
 
-        :param views: non-empty list of :class:`~cowslipcourse.routing.TargetView`
+        :param views: non-empty list of
+            :class:`~cowslipcourse.load_balancing.TargetView`
         :param rng: :class:`random.Random`
         """
 
--- a/cowslipcourse/load_balancing/stragglers.py
+++ b/cowslipcourse/load_balancing/stragglers.py
@@ -81,7 +81,7 @@
     def without_stragglers(self, views, now):
         """Return the views without stragglers, excluding a bounded fraction.
 
-        :param views: list of :class:`~cowslipcourse.routing.TargetView`
+        :param views: list of :class:`~cowslipcourse.load_balancing.TargetView`
         :param now: loop time.
         """
         max_excluded = int(len(views) * self._limits.max_excluded_fraction)
--- a/cowslipcourse/peer_protocol/__init__.py
+++ b/cowslipcourse/peer_protocol/__init__.py
@@ -1,7 +1,8 @@
 """Messages between daemons (liveness, versions, load, suspicions) and their state."""
 
-from cowslipcourse.peers.digests import DigestWriter
-from cowslipcourse.peers.messages import (
+from cowslipcourse.peer_protocol.change_datagrams import split_changes
+from cowslipcourse.peer_protocol.digests import DigestWriter
+from cowslipcourse.peer_protocol.messages import (
     CrashReports,
     Digest,
     GroupUpdate,
@@ -14,14 +15,13 @@
     decode,
     encode,
 )
-from cowslipcourse.peers.registration import (
+from cowslipcourse.peer_protocol.registration import (
     Registration,
     decode_registration,
     encode_registration,
 )
-from cowslipcourse.peers.registry import PeerRegistry, registration_order
-from cowslipcourse.peers.splitting import split_changes
-from cowslipcourse.peers.state import PeerState, decode_state, encode_state
+from cowslipcourse.peer_protocol.registry import PeerRegistry, registration_order
+from cowslipcourse.peer_protocol.state import PeerState, decode_state, encode_state
 
 __all__ = [
     "CrashReports",
--- a/cowslipcourse/peer_protocol/change_datagrams.py
+++ b/cowslipcourse/peer_protocol/change_datagrams.py
@@ -1,6 +1,6 @@
 """Splitting of target list changes into datagrams of bounded size."""
 
-from cowslipcourse.peers.messages import TargetChanges
+from cowslipcourse.peer_protocol.messages import TargetChanges
 
 __all__ = ["split_changes"]
 
--- a/cowslipcourse/peer_protocol/digests.py
+++ b/cowslipcourse/peer_protocol/digests.py
@@ -7,7 +7,7 @@
 daemon that has been gone for up to 3 s.
 """
 
-from cowslipcourse.peers.messages import Digest
+from cowslipcourse.peer_protocol.messages import Digest
 
 __all__ = ["DigestWriter"]
 
@@ -21,7 +21,7 @@
     """Builds the digests of a daemon.
 
     :param settings: :class:`~cowslipcourse.entry.settings.PeerSettings`
-    :param registry: :class:`~cowslipcourse.peers.PeerRegistry`
+    :param registry: :class:`~cowslipcourse.peer_protocol.PeerRegistry`
     """
 
     def __init__(self, settings, registry):
@@ -36,7 +36,8 @@
     def build_local_digest(self, own_heartbeat, now):
         """Return the digest for the own data centre, or ``None`` if none is needed.
 
-        :param own_heartbeat: this daemon's own :class:`~cowslipcourse.peers.Heartbeat`.
+        :param own_heartbeat: this daemon's own
+            :class:`~cowslipcourse.peer_protocol.Heartbeat`.
         :param now: loop time.
         """
         if not self._registry.is_large(now) or not self._registry.is_active_reporter(
--- a/cowslipcourse/peer_protocol/intervals.py
+++ b/cowslipcourse/peer_protocol/intervals.py
@@ -52,7 +52,7 @@
 def liveness_timeout_s(settings, heartbeat):
     """Return the seconds of silence after which a daemon is considered gone.
 
-    :param heartbeat: its last :class:`~cowslipcourse.peers.Heartbeat`.
+    :param heartbeat: its last :class:`~cowslipcourse.peer_protocol.Heartbeat`.
     """
     return settings.alive_s * heartbeat.interval_s / settings.interval_s
 
@@ -60,6 +60,6 @@
 def routable_timeout_s(settings, heartbeat):
     """Return the seconds of silence after which callers are not sent to a daemon.
 
-    :param heartbeat: its last :class:`~cowslipcourse.peers.Heartbeat`.
+    :param heartbeat: its last :class:`~cowslipcourse.peer_protocol.Heartbeat`.
     """
     return max(settings.listed_s, MAX_MISSED_HEARTBEATS * heartbeat.interval_s)
--- a/cowslipcourse/peer_protocol/messages.py
+++ b/cowslipcourse/peer_protocol/messages.py
@@ -6,7 +6,7 @@
 
 from cowslipcourse.decoding import decode_untrusted
 from cowslipcourse.exceptions import MalformedResponse
-from cowslipcourse.peers.packing import pack, unpack
+from cowslipcourse.peer_protocol.compression import pack, unpack
 from cowslipcourse.ports.addresses import Address
 from cowslipcourse.quarantine import CrashReport, Verdict
 
--- a/cowslipcourse/peer_protocol/registry.py
+++ b/cowslipcourse/peer_protocol/registry.py
@@ -7,14 +7,14 @@
 
 from typing import NamedTuple
 
-from cowslipcourse.peers.load import PeerLoad
-from cowslipcourse.peers.messages import Digest, Heartbeat
-from cowslipcourse.peers.pace import (
+from cowslipcourse.peer_protocol.intervals import (
     digest_interval_s,
     heartbeat_interval_s,
     liveness_timeout_s,
     routable_timeout_s,
 )
+from cowslipcourse.peer_protocol.load import PeerLoad
+from cowslipcourse.peer_protocol.messages import Digest, Heartbeat
 
 __all__ = ["PeerRegistry", "registration_order"]
 
@@ -214,7 +214,8 @@
     def reporter_addresses(self, own_heartbeat, now):
         """Return the addresses of the other reporters of the own data centre.
 
-        :param own_heartbeat: this daemon's own :class:`~cowslipcourse.peers.Heartbeat`.
+        :param own_heartbeat: this daemon's own
+            :class:`~cowslipcourse.peer_protocol.Heartbeat`.
         """
         names = self.reporter_names(own_heartbeat, now)
         return [
@@ -289,7 +290,8 @@
         They are the first to have registered among those alive, registered and
         healthy.
 
-        :param own_heartbeat: this daemon's own :class:`~cowslipcourse.peers.Heartbeat`.
+        :param own_heartbeat: this daemon's own
+            :class:`~cowslipcourse.peer_protocol.Heartbeat`.
         """
         local_heartbeats = [own_heartbeat, *self.local_heartbeats(now)]
         eligible = [
@@ -306,7 +308,8 @@
 
         It is the first reporter, or the second one once the first is late.
 
-        :param own_heartbeat: this daemon's own :class:`~cowslipcourse.peers.Heartbeat`.
+        :param own_heartbeat: this daemon's own
+            :class:`~cowslipcourse.peer_protocol.Heartbeat`.
         """
         for name in self.reporter_names(own_heartbeat, now):
             if name == own_heartbeat.member.name:
@@ -318,7 +321,8 @@
     def first_reporter_by_data_centre(self, own_heartbeat, now):
         """Return, for each data centre, the reporter that registered first.
 
-        :param own_heartbeat: this daemon's own :class:`~cowslipcourse.peers.Heartbeat`.
+        :param own_heartbeat: this daemon's own
+            :class:`~cowslipcourse.peer_protocol.Heartbeat`.
         :returns: :class:`Member` by data centre, without those that have no known
             reporter.
         """
--- a/cowslipcourse/peer_protocol/state.py
+++ b/cowslipcourse/peer_protocol/state.py
@@ -5,7 +5,7 @@
 import msgspec
 
 from cowslipcourse.decoding import decode_untrusted
-from cowslipcourse.peers.packing import pack, unpack
+from cowslipcourse.peer_protocol.compression import pack, unpack
 
 __all__ = ["PeerState", "decode_state", "encode_state"]
 
--- a/cowslipcourse/platform/__init__.py
+++ b/cowslipcourse/platform/__init__.py
@@ -4,7 +4,7 @@
 """
 
 from cowslipcourse.platform.configuration import decode_configuration
-from cowslipcourse.platform.doors import directory_app, ready_app
+from cowslipcourse.platform.discovery import directory_app, ready_app
 from cowslipcourse.platform.engines import HttpEngineControl
 from cowslipcourse.platform.entries import decode_entry
 from cowslipcourse.platform.store import HttpRowStore
--- a/cowslipcourse/platform/configuration.py
+++ b/cowslipcourse/platform/configuration.py
@@ -5,7 +5,13 @@
 import msgspec
 
 from cowslipcourse.exceptions import ConfigurationError, MalformedResponse, Problem
-from cowslipcourse.platform.wire import Count, Name, Positive, Quantity, decode_as
+from cowslipcourse.platform.json_decoding import (
+    Count,
+    Name,
+    Positive,
+    Quantity,
+    decode_as,
+)
 from cowslipcourse.routes import (
     CallerLimits,
     EngineModel,
--- a/cowslipcourse/platform/discovery.py
+++ b/cowslipcourse/platform/discovery.py
@@ -1,6 +1,6 @@
 """HTTP applications for service discovery and readiness checks."""
 
-from cowslipcourse.adapters.answers import (
+from cowslipcourse.adapters.responses import (
     BufferedResponse,
     json_response,
     single_path_app,
--- a/cowslipcourse/platform/entries.py
+++ b/cowslipcourse/platform/entries.py
@@ -5,7 +5,13 @@
 import msgspec
 
 from cowslipcourse.exceptions import MalformedResponse
-from cowslipcourse.platform.wire import Count, Name, Positive, Quantity, decode_as
+from cowslipcourse.platform.json_decoding import (
+    Count,
+    Name,
+    Positive,
+    Quantity,
+    decode_as,
+)
 from cowslipcourse.ports import (
     UNKNOWN_INCARNATION,
     EngineReport,
--- a/cowslipcourse/platform/headers.py
+++ b/cowslipcourse/platform/headers.py
@@ -3,7 +3,7 @@
 from typing import NamedTuple
 
 from cowslipcourse.exceptions import BadRequest
-from cowslipcourse.exchange import ResponseHead
+from cowslipcourse.http_client import ResponseHead
 
 __all__ = [
     "CallerHeaders",
@@ -181,6 +181,6 @@
 def is_not_executed(head):
     """Return whether a response proves that the request has not run and will not.
 
-    :param head: :class:`~cowslipcourse.exchange.ResponseHead`
+    :param head: :class:`~cowslipcourse.http_client.ResponseHead`
     """
     return head.status == MISDIRECTED_REQUEST or head.get(_NOT_EXECUTED) is not None
--- a/cowslipcourse/platform/store.py
+++ b/cowslipcourse/platform/store.py
@@ -15,7 +15,7 @@
     StoreUnavailable,
 )
 from cowslipcourse.platform.eras import EraTracker
-from cowslipcourse.platform.wire import Count, decode_as
+from cowslipcourse.platform.json_decoding import Count, decode_as
 from cowslipcourse.ports import (
     RowChanges,
     StoredRow,
--- a/cowslipcourse/ports/__init__.py
+++ b/cowslipcourse/ports/__init__.py
@@ -18,8 +18,8 @@
     Transaction,
     VmList,
 )
-from cowslipcourse.ports.points import era_of, pack_version, unpack_version
 from cowslipcourse.ports.rows import RowChanges, RowStore, RowWrite, StoredRow
+from cowslipcourse.ports.store_versions import era_of, pack_version, unpack_version
 from cowslipcourse.ports.targets import (
     EngineLoad,
     EngineStatus,
--- a/cowslipcourse/quarantine/__init__.py
+++ b/cowslipcourse/quarantine/__init__.py
@@ -1,8 +1,8 @@
 """Detection and quarantine of requests that end the targets which run them."""
 
 from cowslipcourse.quarantine.fingerprints import fingerprint
-from cowslipcourse.quarantine.judging import CrashReport, Suspects, Verdict, Verdicts
-from cowslipcourse.quarantine.kept import VerdictStore
+from cowslipcourse.quarantine.verdict_store import VerdictStore
+from cowslipcourse.quarantine.verdicts import CrashReport, Suspects, Verdict, Verdicts
 
 __all__ = [
     "CrashReport",
--- a/cowslipcourse/quarantine/verdict_store.py
+++ b/cowslipcourse/quarantine/verdict_store.py
@@ -9,7 +9,7 @@
 from cowslipcourse.exceptions import ConditionFailed, MalformedResponse
 from cowslipcourse.ports import RowWrite
 from cowslipcourse.quarantine.fingerprints import FINGERPRINT_BYTES
-from cowslipcourse.quarantine.judging import (
+from cowslipcourse.quarantine.verdicts import (
     SUSPICION_S,
     CrashReport,
     Verdict,
--- a/cowslipcourse/quarantine_runtime/__init__.py
+++ b/cowslipcourse/quarantine_runtime/__init__.py
@@ -1,8 +1,11 @@
 """Quarantine within a daemon: crash reports, verdicts and refusal of requests."""
 
-from cowslipcourse.quarantining.crash_reporting import CrashReporting, QuarantinePeers
-from cowslipcourse.quarantining.daemon_part import Quarantine
-from cowslipcourse.quarantining.target_ends import (
+from cowslipcourse.quarantine_runtime.crash_reporting import (
+    CrashReporting,
+    QuarantinePeers,
+)
+from cowslipcourse.quarantine_runtime.enforcement import Quarantine
+from cowslipcourse.quarantine_runtime.target_exits import (
     TargetExitDetector,
     refuses_connections,
 )
--- a/cowslipcourse/quarantine_runtime/crash_reporting.py
+++ b/cowslipcourse/quarantine_runtime/crash_reporting.py
@@ -10,9 +10,9 @@
 from typing import Protocol
 
 from cowslipcourse.adapters.log import get_logger
-from cowslipcourse.peers import CrashReports
+from cowslipcourse.peer_protocol import CrashReports
 from cowslipcourse.quarantine import CrashReport
-from cowslipcourse.quarantine.judging import is_incriminating
+from cowslipcourse.quarantine.verdicts import is_incriminating
 
 __all__ = ["CrashReporting", "QuarantinePeers", "is_first_evaluator"]
 
@@ -55,7 +55,7 @@
 
     :param peers: :class:`QuarantinePeers`
     :param exit_detector:
-        :class:`~cowslipcourse.quarantining.target_ends.TargetExitDetector`
+        :class:`~cowslipcourse.quarantine_runtime.target_exits.TargetExitDetector`
     :param suspects: :class:`~cowslipcourse.quarantine.Suspects` of this daemon.
     :param evaluate: callable for each report that this daemon is to evaluate.
     """
--- a/cowslipcourse/quarantine_runtime/enforcement.py
+++ b/cowslipcourse/quarantine_runtime/enforcement.py
@@ -15,11 +15,11 @@
     RequestQuarantined,
     StoreError,
 )
-from cowslipcourse.peers import CrashReports, QuarantineUpdate, RequestCleared
+from cowslipcourse.peer_protocol import CrashReports, QuarantineUpdate, RequestCleared
 from cowslipcourse.quarantine import Suspects, Verdict, Verdicts
-from cowslipcourse.quarantine.judging import QUARANTINE_S
-from cowslipcourse.quarantine.kept import VERDICT_RETENTION_S
-from cowslipcourse.quarantining.crash_reporting import (
+from cowslipcourse.quarantine.verdict_store import VERDICT_RETENTION_S
+from cowslipcourse.quarantine.verdicts import QUARANTINE_S
+from cowslipcourse.quarantine_runtime.crash_reporting import (
     CrashReporting,
     is_first_evaluator,
 )
@@ -41,9 +41,10 @@
 class Quarantine:
     """Reports exits of targets, evaluates requests, and refuses quarantined ones.
 
-    :param peers: :class:`~cowslipcourse.quarantining.crash_reporting.QuarantinePeers`
+    :param peers:
+        :class:`~cowslipcourse.quarantine_runtime.crash_reporting.QuarantinePeers`
     :param exit_detector:
-        :class:`~cowslipcourse.quarantining.target_ends.TargetExitDetector`
+        :class:`~cowslipcourse.quarantine_runtime.target_exits.TargetExitDetector`
     :param store: :class:`~cowslipcourse.quarantine.VerdictStore`
     """
 
@@ -233,9 +234,9 @@
     def handle_message(self, message):
         """Apply a message of another daemon.
 
-        :param message: :class:`~cowslipcourse.peers.CrashReports`,
-            :class:`~cowslipcourse.peers.QuarantineUpdate` or
-            :class:`~cowslipcourse.peers.RequestCleared`
+        :param message: :class:`~cowslipcourse.peer_protocol.CrashReports`,
+            :class:`~cowslipcourse.peer_protocol.QuarantineUpdate` or
+            :class:`~cowslipcourse.peer_protocol.RequestCleared`
         """
         if isinstance(message, CrashReports):
             for report in message.reports:
--- a/cowslipcourse/quarantine_runtime/target_exits.py
+++ b/cowslipcourse/quarantine_runtime/target_exits.py
@@ -12,7 +12,7 @@
 
 from cowslipcourse.adapters.log import get_logger
 from cowslipcourse.exceptions import TargetUnreachable
-from cowslipcourse.exchange import TargetConnection
+from cowslipcourse.http_client import TargetConnection
 
 __all__ = ["TargetExitDetector", "refuses_connections"]
 
--- a/cowslipcourse/standin/app.py
+++ b/cowslipcourse/standin/app.py
@@ -7,7 +7,7 @@
 from starlette.responses import Response, StreamingResponse
 from starlette.routing import Route
 
-from cowslipcourse.adapters.answers import json_response
+from cowslipcourse.adapters.responses import json_response
 from cowslipcourse.standin.engine import Refused
 from cowslipcourse.standin.table import StoreDown
 
@@ -257,7 +257,7 @@
 def make_app(world):
     """Return the ASGI application of a stand-in.
 
-    :param world: :class:`~cowslipcourse.standin.world.World`
+    :param world: :class:`~cowslipcourse.standin.environment.World`
     """
     platform, target, control = (
         PlatformEndpoints(world),
--- a/cowslipcourse/standin/engine.py
+++ b/cowslipcourse/standin/engine.py
@@ -13,7 +13,7 @@
 
 import xxhash
 
-from cowslipcourse.routing import prefix_hashes
+from cowslipcourse.load_balancing import prefix_hashes
 
 __all__ = ["Engine", "Refused", "Sequence", "answer_words"]
 
@@ -107,8 +107,8 @@
     :param vm: entry of the VM in the list, as a dict.
     :param checks_fence: whether orders with a stale fencing token are refused.
     :param settings: :class:`~cowslipcourse.settings.EngineSettings`
-    :param world: :class:`~cowslipcourse.standin.world.World`, which holds the other
-        engines and the weight store.
+    :param world: :class:`~cowslipcourse.standin.environment.World`, which holds the
+        other engines and the weight store.
     """
 
     def __init__(self, vm, checks_fence, settings, world):
--- a/cowslipcourse/standin/main.py
+++ b/cowslipcourse/standin/main.py
@@ -3,11 +3,11 @@
 import asyncio
 import sys
 
-from cowslipcourse.adapters.web import WebServer
+from cowslipcourse.adapters.http_server import WebServer
 from cowslipcourse.daemon import run_daemon
 from cowslipcourse.settings import StandinSettings
 from cowslipcourse.standin.app import make_app
-from cowslipcourse.standin.world import World
+from cowslipcourse.standin.environment import World
 
 __all__ = ["Standin", "main"]
 
--- a/features/steps/accounting_steps.py
+++ b/features/steps/accounting_steps.py
@@ -8,10 +8,14 @@
 from behave import given, then, when
 
 from cowslipcourse.emulator.clock import run_in_virtual_time
-from cowslipcourse.entry.accounting import StreamTimes, late_cause, no_target_cause
-from cowslipcourse.entry.census import GroupCountMonitor
-from cowslipcourse.entry.fleet import Candidate, FleetView
-from cowslipcourse.entry.metrics import EntryMetrics
+from cowslipcourse.entry.failure_attribution import (
+    StreamTimes,
+    late_cause,
+    no_target_cause,
+)
+from cowslipcourse.entry.fleet_view import Candidate, FleetView
+from cowslipcourse.entry.group_counts import GroupCountMonitor
+from cowslipcourse.entry.prometheus_metrics import EntryMetrics
 from cowslipcourse.ports import GroupMembership, GroupState, TargetEntry
 from cowslipcourse.routes import (
     CallerLimits,
@@ -154,7 +158,7 @@
         context.counts = monitor.count(context.routes, context.fleet)
 
     handler = RecordingHandler()
-    logger = logging.getLogger("cowslipcourse.entry.census")
+    logger = logging.getLogger("cowslipcourse.entry.group_counts")
     logger.addHandler(handler)
     previous_level = logger.level
     logger.setLevel(logging.INFO)
--- a/features/steps/balance_steps.py
+++ b/features/steps/balance_steps.py
@@ -6,10 +6,10 @@
 from behave import given, then, when
 
 from cowslipcourse.emulator import run_in_virtual_time
-from cowslipcourse.entry.balancing import GroupBalancer
 from cowslipcourse.entry.domains import DomainTracker
-from cowslipcourse.entry.fleet import FleetView
-from cowslipcourse.groups import (
+from cowslipcourse.entry.engine_reassignment import GroupBalancer
+from cowslipcourse.entry.fleet_view import FleetView
+from cowslipcourse.group_plans import (
     DomainPlan,
     PlannedGroup,
     choose_reassignments,
--- a/features/steps/era_steps.py
+++ b/features/steps/era_steps.py
@@ -4,7 +4,7 @@
 
 from behave import given, then, when
 
-from cowslipcourse.adapters.web import WebServer
+from cowslipcourse.adapters.http_server import WebServer
 from cowslipcourse.entry.settings import StoreSettings
 from cowslipcourse.exceptions import StoreError
 from cowslipcourse.platform.store import HttpRowStore
--- a/features/steps/evidence_steps.py
+++ b/features/steps/evidence_steps.py
@@ -2,7 +2,7 @@
 
 from behave import given, then, when
 
-from cowslipcourse.groups import (
+from cowslipcourse.group_plans import (
     DomainPlan,
     ObservedDomain,
     ObservedEngine,
@@ -10,7 +10,7 @@
     StepKind,
     next_steps,
 )
-from cowslipcourse.groups.situation import is_free
+from cowslipcourse.group_plans.plan_inputs import is_free
 from cowslipcourse.ports import (
     EngineOrder,
     EngineReport,
--- a/features/steps/exchange_steps.py
+++ b/features/steps/exchange_steps.py
@@ -5,8 +5,8 @@
 from behave import given, then, when
 
 from cowslipcourse.exceptions import TargetUnreachable
-from cowslipcourse.exchange import ConnectionPool, TargetConnection
-from cowslipcourse.exchange import pool as pool_module
+from cowslipcourse.http_client import ConnectionPool, TargetConnection
+from cowslipcourse.http_client import pool as pool_module
 from features.support.scripted_target import (
     SCRIPTS,
     ScriptedTarget,
--- a/features/steps/forwarding_steps.py
+++ b/features/steps/forwarding_steps.py
@@ -11,12 +11,12 @@
 from cowslipcourse import exceptions
 from cowslipcourse.adapters.log import BoundedQueueHandler
 from cowslipcourse.admission import SharedRetryBudget
-from cowslipcourse.entry import choosing
+from cowslipcourse.entry import target_selection
+from cowslipcourse.entry.attempt_outcomes import final_error, may_retry
 from cowslipcourse.entry.attempts import Attempt
-from cowslipcourse.entry.fleet import Candidate, FleetView
-from cowslipcourse.entry.outcomes import final_error, may_retry
+from cowslipcourse.entry.fleet_view import Candidate, FleetView
 from cowslipcourse.entry.settings import EntrySettings, RetrySettings
-from cowslipcourse.entry.silence import SilenceDetector, WatchedStream
+from cowslipcourse.entry.silence_detector import SilenceDetector, WatchedStream
 from cowslipcourse.exceptions import SettingsError, TargetUnreachable
 from cowslipcourse.ports import GroupMembership, GroupState, TargetEntry
 from cowslipcourse.routes import RequestKind, Route
@@ -251,7 +251,7 @@
             Candidate(entry, count, 1000)
             for entry, count in zip(entries, counts, strict=True)
         ]
-        chosen = choosing.choose_group(candidates, set(), rng, sample_size)
+        chosen = target_selection.choose_group(candidates, set(), rng, sample_size)
         running.append((now + answer_s, daemon, entries.index(chosen.entry)))
         if now > answer_s:
             loads = [
@@ -268,7 +268,7 @@
 def step_burst(context, rate, duration_s, answer_s):
     burst_fleet = context.burst_fleet
     context.sampled = _simulate_burst(
-        burst_fleet, rate, duration_s, answer_s, choosing.SAMPLE_SIZE
+        burst_fleet, rate, duration_s, answer_s, target_selection.SAMPLE_SIZE
     )
     context.greedy = _simulate_burst(
         burst_fleet, rate, duration_s, answer_s, burst_fleet[2]
--- a/features/steps/head_steps.py
+++ b/features/steps/head_steps.py
@@ -2,8 +2,8 @@
 
 from behave import given, then, when
 
-from cowslipcourse.entry.heads import GroupHeads
-from cowslipcourse.peers import GroupUpdate, OpenedHead
+from cowslipcourse.entry.group_heads import GroupHeads
+from cowslipcourse.peer_protocol import GroupUpdate, OpenedHead
 from cowslipcourse.ports import GroupMembership, GroupState, TargetEntry
 
 FIRST_INCARNATION, SECOND_INCARNATION = 100, 200
--- a/features/steps/judging_steps.py
+++ b/features/steps/judging_steps.py
@@ -9,13 +9,13 @@
 
 from cowslipcourse.admission import SharedRetryBudget
 from cowslipcourse.emulator.clock import run_in_virtual_time
+from cowslipcourse.emulator.group_oracle import Faults, World
 from cowslipcourse.emulator.messages import MessageNetwork
 from cowslipcourse.emulator.site_file import SiteSettings
-from cowslipcourse.emulator.world import Faults, World
-from cowslipcourse.entry.accounting import TargetChoice
 from cowslipcourse.entry.attempts import TargetRun
-from cowslipcourse.entry.fleet import FleetView
-from cowslipcourse.entry.retrying import try_targets
+from cowslipcourse.entry.failure_attribution import TargetChoice
+from cowslipcourse.entry.fleet_view import FleetView
+from cowslipcourse.entry.retries import try_targets
 from cowslipcourse.entry.settings import RetrySettings
 from cowslipcourse.exceptions import (
     IncompleteResponse,
@@ -30,14 +30,14 @@
     Verdicts,
     VerdictStore,
 )
-from cowslipcourse.quarantine.judging import QUARANTINE_S
-from cowslipcourse.quarantine.kept import (
+from cowslipcourse.quarantine.verdict_store import (
     QUARANTINE_TABLE,
     REPORTS_KEY,
     VERDICTS_KEY,
     _encode_verdicts,
 )
-from cowslipcourse.quarantining import Quarantine, TargetExitDetector
+from cowslipcourse.quarantine.verdicts import QUARANTINE_S
+from cowslipcourse.quarantine_runtime import Quarantine, TargetExitDetector
 from cowslipcourse.routes import RequestKind, Route
 
 FINGERPRINT = b"f" * 16
--- a/features/steps/knowledge_steps.py
+++ b/features/steps/knowledge_steps.py
@@ -5,7 +5,7 @@
 from behave import given, then, when
 
 from cowslipcourse.emulator.clock import run_in_virtual_time
-from cowslipcourse.peers import (
+from cowslipcourse.peer_protocol import (
     Heartbeat,
     PeerState,
     TargetChanges,
--- a/features/steps/life_steps.py
+++ b/features/steps/life_steps.py
@@ -9,10 +9,10 @@
 from cowslipcourse.emulator.clock import run_in_virtual_time
 from cowslipcourse.entry.coordinator import Coordinator
 from cowslipcourse.entry.engine_calls import EngineClient
-from cowslipcourse.entry.fleet import FleetView
+from cowslipcourse.entry.fleet_view import FleetView
 from cowslipcourse.entry.plan_table import GROUPS_TABLE
 from cowslipcourse.entry.settings import ControlSettings
-from cowslipcourse.groups import (
+from cowslipcourse.group_plans import (
     DomainAssignment,
     DomainPlan,
     EngineView,
@@ -21,7 +21,7 @@
     PlannedGroup,
     revise_plan,
 )
-from cowslipcourse.groups.situation import is_free
+from cowslipcourse.group_plans.plan_inputs import is_free
 from cowslipcourse.ports import (
     EngineOrder,
     EngineReport,
--- a/features/steps/older_store_steps.py
+++ b/features/steps/older_store_steps.py
@@ -11,7 +11,7 @@
 from cowslipcourse.entry.coordinator import Coordinator
 from cowslipcourse.entry.plan_table import GROUPS_TABLE, PlanTable
 from cowslipcourse.entry.settings import ControlSettings
-from cowslipcourse.groups import decode_plan
+from cowslipcourse.group_plans import decode_plan
 from features.support.coordinator_runs import CoordinatorContext, update_target_list
 from features.support.engine_world import MODELS, STALL_S
 
--- a/features/steps/peer_steps.py
+++ b/features/steps/peer_steps.py
@@ -3,7 +3,7 @@
 from behave import given, then, when
 
 from cowslipcourse.entry.settings import PeerSettings
-from cowslipcourse.peers import (
+from cowslipcourse.peer_protocol import (
     Digest,
     Heartbeat,
     PeerRegistry,
--- a/features/steps/placing_steps.py
+++ b/features/steps/placing_steps.py
@@ -7,9 +7,9 @@
 
 from behave import given, then, when
 
-from cowslipcourse.entry.choosing import choose_group
-from cowslipcourse.entry.fleet import Candidate
-from cowslipcourse.entry.patience import PriorWaitEstimator
+from cowslipcourse.entry.fleet_view import Candidate
+from cowslipcourse.entry.prior_wait import PriorWaitEstimator
+from cowslipcourse.entry.target_selection import choose_group
 from cowslipcourse.entry.urgency import can_meet_objective
 from cowslipcourse.routes import RequestKind, Route
 
--- a/features/steps/practice_steps.py
+++ b/features/steps/practice_steps.py
@@ -11,18 +11,18 @@
     World,
     run_in_virtual_time,
 )
-from cowslipcourse.emulator.policies import active_policy
+from cowslipcourse.emulator.ablations import active_policy
 from cowslipcourse.entry.coordinator import Coordinator
-from cowslipcourse.entry.fleet import FleetView
+from cowslipcourse.entry.fleet_view import FleetView
 from cowslipcourse.entry.settings import ControlSettings
-from cowslipcourse.groups import (
+from cowslipcourse.group_plans import (
     DomainPlan,
     ObservedDomain,
     StepKind,
     next_steps,
     warmup_step,
 )
-from cowslipcourse.groups.situation import is_free
+from cowslipcourse.group_plans.plan_inputs import is_free
 from cowslipcourse.ports import (
     EngineReport,
     GroupMembership,
--- a/features/steps/question_steps.py
+++ b/features/steps/question_steps.py
@@ -8,10 +8,10 @@
 from cowslipcourse.emulator.clock import run_in_virtual_time
 from cowslipcourse.entry import engine_calls
 from cowslipcourse.entry.engine_calls import EngineClient
-from cowslipcourse.entry.own_links import IsolationDetector
+from cowslipcourse.entry.isolation_detector import IsolationDetector
 from cowslipcourse.entry.settings import ControlSettings
 from cowslipcourse.exceptions import TargetUnreachable
-from cowslipcourse.groups import ObservedEngine
+from cowslipcourse.group_plans import ObservedEngine
 from cowslipcourse.ports import EngineReport, TargetEntry
 
 ROUND_TRIP_S = 0.003
--- a/features/steps/revision_steps.py
+++ b/features/steps/revision_steps.py
@@ -2,7 +2,7 @@
 
 from behave import given, then, when
 
-from cowslipcourse.groups import (
+from cowslipcourse.group_plans import (
     MIXED_ASSIGNMENT,
     DomainAssignment,
     DomainPlan,
--- a/features/steps/route_steps.py
+++ b/features/steps/route_steps.py
@@ -3,7 +3,7 @@
 from behave import given, then, when
 
 from cowslipcourse.exceptions import NotAuthorised, UnknownRoute
-from cowslipcourse.platform.edge import parse_caller_headers, target_headers
+from cowslipcourse.platform.headers import parse_caller_headers, target_headers
 from cowslipcourse.ports import TargetEntry
 from cowslipcourse.routes import (
     CallerLimits,
--- a/features/steps/shape_steps.py
+++ b/features/steps/shape_steps.py
@@ -2,14 +2,14 @@
 
 from behave import given, then, when
 
-from cowslipcourse.groups import (
+from cowslipcourse.group_plans import (
     MIXED_ASSIGNMENT,
     DomainPlan,
     ObservedDomain,
     PlannedGroup,
     assign_domain,
 )
-from cowslipcourse.groups.situation import is_free
+from cowslipcourse.group_plans.plan_inputs import is_free
 from cowslipcourse.ports import EngineReport, GroupMembership, GroupState, TargetEntry
 from cowslipcourse.routes import EngineModel
 
--- a/features/steps/size_steps.py
+++ b/features/steps/size_steps.py
@@ -8,10 +8,10 @@
 
 from cowslipcourse.emulator.clock import run_in_virtual_time
 from cowslipcourse.entry import roles
-from cowslipcourse.entry.peer_reading import MAX_BACKOFF_S, PeerReadPolicy
+from cowslipcourse.entry.peer_reads import MAX_BACKOFF_S, PeerReadPolicy
 from cowslipcourse.entry.settings import PeerSettings
 from cowslipcourse.exceptions import MalformedResponse
-from cowslipcourse.peers import (
+from cowslipcourse.peer_protocol import (
     Digest,
     PeerRegistry,
     TargetChanges,
@@ -19,7 +19,7 @@
     encode,
     split_changes,
 )
-from cowslipcourse.peers.packing import pack, unpack
+from cowslipcourse.peer_protocol.compression import pack, unpack
 from cowslipcourse.ports import RowChanges, StoredRow
 from features.support.daemon_network import DaemonNetwork, NetworkShape
 from features.support.knowledge import (
--- a/features/steps/spread_steps.py
+++ b/features/steps/spread_steps.py
@@ -4,7 +4,7 @@
 
 from behave import given, then, when
 
-from cowslipcourse.quarantining import Quarantine
+from cowslipcourse.quarantine_runtime import Quarantine
 from features.support.daemon_network import NetworkShape
 from features.support.spread_runs import SpreadScenario, simulate_spread
 
--- a/features/steps/stopping_steps.py
+++ b/features/steps/stopping_steps.py
@@ -5,8 +5,8 @@
 from behave import given, then, when
 
 from cowslipcourse.emulator.clock import run_in_virtual_time
-from cowslipcourse.entry.front import FrontApp
-from cowslipcourse.entry.metrics import EntryMetrics
+from cowslipcourse.entry.caller_app import FrontApp
+from cowslipcourse.entry.prometheus_metrics import EntryMetrics
 from cowslipcourse.routes import CallerLimits, RequestKind, Route, RouteTable
 
 ROUTE = Route(
--- a/features/steps/target_end_steps.py
+++ b/features/steps/target_end_steps.py
@@ -7,12 +7,12 @@
 
 from cowslipcourse.entry.attempts import TargetRun
 from cowslipcourse.entry.calls import read_call
-from cowslipcourse.entry.fleet import FleetView
+from cowslipcourse.entry.fleet_view import FleetView
 from cowslipcourse.exceptions import TargetError, TargetUnreachable
-from cowslipcourse.exchange import TargetConnection, TargetRequest
+from cowslipcourse.http_client import TargetConnection, TargetRequest
 from cowslipcourse.ports import TargetEntry
 from cowslipcourse.quarantine import fingerprint
-from cowslipcourse.quarantining import TargetExitDetector, refuses_connections
+from cowslipcourse.quarantine_runtime import TargetExitDetector, refuses_connections
 from cowslipcourse.routes import CallerLimits, RequestKind, Route, RouteTable, Workspace
 from features.support.scripted_target import RESPONSE_HEAD
 from harness.ports import free_ports
--- a/features/steps/urgency_steps.py
+++ b/features/steps/urgency_steps.py
@@ -5,7 +5,7 @@
 
 from behave import given, then, when
 
-from cowslipcourse.entry.patience import MAX_BUDGETS_PER_ROUTE, PriorWaitEstimator
+from cowslipcourse.entry.prior_wait import MAX_BUDGETS_PER_ROUTE, PriorWaitEstimator
 from cowslipcourse.entry.urgency import urgency
 from cowslipcourse.routes import RequestKind, Route, Workspace
 
--- a/features/steps/variant_steps.py
+++ b/features/steps/variant_steps.py
@@ -7,11 +7,11 @@
 from behave import then, when
 
 from cowslipcourse.admission import SharedRetryBudget
-from cowslipcourse.entry import knowledge as replica_module
-from cowslipcourse.entry import outcomes
+from cowslipcourse.entry import attempt_outcomes
+from cowslipcourse.entry import state_replica as replica_module
 from cowslipcourse.entry.settings import RetrySettings
 from cowslipcourse.exceptions import TargetUnreachable
-from cowslipcourse.exchange import TargetConnection
+from cowslipcourse.http_client import TargetConnection
 from cowslipcourse.streams import Event, StreamPosition
 from features.support.knowledge import FlakyStore, make_replica
 from features.support.scripted_target import SCRIPTS, run_script
@@ -48,7 +48,7 @@
 def _check_no_execution_proof():
     error = TargetUnreachable("reset", sent=True)
     route = SimpleNamespace(is_retryable=False, max_attempts=2)
-    assert not outcomes.may_retry(route, 1, error)
+    assert not attempt_outcomes.may_retry(route, 1, error)
 
 
 def _check_retry_budget():
@@ -120,7 +120,7 @@
         StreamPosition, "filter_events", _forward_all
     ),
     "distinguishing sent from unsent requests": lambda: mock.patch.object(
-        outcomes, "may_have_run", lambda error: False
+        attempt_outcomes, "may_have_run", lambda error: False
     ),
     "dividing the slack": lambda: mock.patch.object(
         SharedRetryBudget, "try_take", _take_undivided
--- a/features/support/booking_runs.py
+++ b/features/support/booking_runs.py
@@ -12,7 +12,7 @@
 from cowslipcourse.daemon import now
 from cowslipcourse.exceptions import RequestError
 from cowslipcourse.gateway.callers import Call
-from cowslipcourse.gateway.sealing import store_outcomes
+from cowslipcourse.gateway.outcome_persistence import store_outcomes
 from cowslipcourse.requests.keys import key_prefix
 from features.support.group_runs import vm_specs
 from features.support.small_site import InProcessSite, base_changes
--- a/features/support/coordinator_runs.py
+++ b/features/support/coordinator_runs.py
@@ -8,13 +8,13 @@
 
 from cowslipcourse.emulator import Engine, Faults, SingleCoordinatorScope, World
 from cowslipcourse.entry.coordinator import Coordinator
-from cowslipcourse.entry.fleet import FleetView
+from cowslipcourse.entry.fleet_view import FleetView
 from cowslipcourse.entry.settings import ControlSettings
 from cowslipcourse.exceptions import TargetUnreachable
-from cowslipcourse.groups import ObservedEngine, situation
-from cowslipcourse.groups import orders as group_orders
-from cowslipcourse.groups import revision as group_revision
-from cowslipcourse.groups.practice import is_warmup_group
+from cowslipcourse.group_plans import ObservedEngine, plan_inputs
+from cowslipcourse.group_plans import orders as group_orders
+from cowslipcourse.group_plans import revision as group_revision
+from cowslipcourse.group_plans.warm_up import is_warmup_group
 from features.support.engine_world import MODELS, STALL_S, route_table
 
 __all__ = [
@@ -326,7 +326,7 @@
 @contextlib.contextmanager
 def _reassign_before_leave():
     """Treat engines as free that are still in a group of another plan."""
-    original_is_free = situation.is_free
+    original_is_free = plan_inputs.is_free
 
     def is_free(plan, observed, engine, stall_s):
         if plan.group_of(engine.id, engine.incarnation) is None:
@@ -334,7 +334,7 @@
         return original_is_free(plan, observed, engine, stall_s)
 
     with (
-        mock.patch.object(situation, "is_free", is_free),
+        mock.patch.object(plan_inputs, "is_free", is_free),
         mock.patch.object(
             group_orders, "_leave_unplanned_groups", lambda plan, engines: []
         ),
@@ -368,7 +368,7 @@
 @contextlib.contextmanager
 def _free_members_of_silent_heads():
     """Treat silence of a retired group's head as proof that it does not serve."""
-    original_is_free = situation.is_free
+    original_is_free = plan_inputs.is_free
 
     def is_free(plan, observed, engine, stall_s):
         group = plan.group_of(engine.id, engine.incarnation)
@@ -379,7 +379,7 @@
             return True
         return original_is_free(plan, observed, engine, stall_s)
 
-    with mock.patch.object(situation, "is_free", is_free), _join_serving_engines():
+    with mock.patch.object(plan_inputs, "is_free", is_free), _join_serving_engines():
         yield
 
 
@@ -420,7 +420,7 @@
 @contextlib.contextmanager
 def _delete_silent_groups():
     """Delete groups whose members are all silent; free engines by the list alone."""
-    original_is_free = situation.is_free
+    original_is_free = plan_inputs.is_free
 
     def drop_silent(self):
         for group in list(self._groups.values()):
@@ -436,7 +436,7 @@
 
     with (
         mock.patch.object(group_revision._Revision, "_drop_unlisted", drop_silent),
-        mock.patch.object(situation, "is_free", is_free),
+        mock.patch.object(plan_inputs, "is_free", is_free),
         _join_serving_engines(),
     ):
         yield
--- a/features/support/daemon_network.py
+++ b/features/support/daemon_network.py
@@ -4,11 +4,11 @@
 import random
 from typing import NamedTuple
 
+from cowslipcourse.entry.daemon_registration import DaemonRegistrar
 from cowslipcourse.entry.peer_link import PeerLink
-from cowslipcourse.entry.registering import DaemonRegistrar
 from cowslipcourse.entry.roles import RoleAssignment
 from cowslipcourse.entry.settings import EntrySettings
-from cowslipcourse.peers import (
+from cowslipcourse.peer_protocol import (
     Heartbeat,
     Member,
     PeerRegistry,
--- a/features/support/knowledge.py
+++ b/features/support/knowledge.py
@@ -4,10 +4,10 @@
 import json
 import random
 
-from cowslipcourse.entry.knowledge import StateReplica
 from cowslipcourse.entry.settings import EntrySettings
+from cowslipcourse.entry.state_replica import StateReplica
 from cowslipcourse.exceptions import HistoryDropped, StoreUnavailable
-from cowslipcourse.peers import Heartbeat, Member, PeerRegistry
+from cowslipcourse.peer_protocol import Heartbeat, Member, PeerRegistry
 from cowslipcourse.platform.store import CONFIGURATION_TABLE
 from cowslipcourse.ports import RowChanges, StoredRow
 from features.support.wire import entry_content
--- a/features/support/outside.py
+++ b/features/support/outside.py
@@ -7,8 +7,8 @@
 from hypothesis import strategies as st
 
 from cowslipcourse.exceptions import ConfigurationError, MalformedResponse
-from cowslipcourse.groups import PlannedGroup, decode_plan, encode_plan
-from cowslipcourse.peers import (
+from cowslipcourse.group_plans import PlannedGroup, decode_plan, encode_plan
+from cowslipcourse.peer_protocol import (
     Heartbeat,
     Member,
     PeerState,
@@ -19,7 +19,7 @@
     decode_state,
     encode_registration,
 )
-from cowslipcourse.peers.packing import pack
+from cowslipcourse.peer_protocol.compression import pack
 from cowslipcourse.platform import decode_configuration, decode_entry
 from cowslipcourse.platform.entries import decode_report
 from cowslipcourse.platform.store import decode_rows
--- a/features/support/platform_site.py
+++ b/features/support/platform_site.py
@@ -22,7 +22,7 @@
 from starlette.responses import JSONResponse, Response, StreamingResponse
 from starlette.routing import Route
 
-from cowslipcourse.adapters.web import WebServer
+from cowslipcourse.adapters.http_server import WebServer
 from cowslipcourse.emulator import Faults, World
 from cowslipcourse.ports import EngineOrder, OrderOperation, OrderResult
 from features.support.engine_world import LARGE, SERVICE, SMALL
--- a/features/support/scripted_target.py
+++ b/features/support/scripted_target.py
@@ -5,7 +5,7 @@
 import struct
 
 from cowslipcourse.exceptions import TargetError
-from cowslipcourse.exchange import TargetConnection, TargetRequest
+from cowslipcourse.http_client import TargetConnection, TargetRequest
 
 __all__ = ["SCRIPTS", "ScriptedTarget", "run_script", "send_request"]
 
--- a/features/support/small_site.py
+++ b/features/support/small_site.py
@@ -8,23 +8,23 @@
 from cowslipcourse.config import Change, Edit, ObjectRef
 from cowslipcourse.config.objects import KINDS
 from cowslipcourse.controller.acceptor import RevisionAcceptor
+from cowslipcourse.controller.context import ControllerContext
 from cowslipcourse.controller.edits import EditService
 from cowslipcourse.controller.fleet_watch import FleetMonitor
-from cowslipcourse.controller.observer import Observer
-from cowslipcourse.controller.services import ControllerContext
 from cowslipcourse.controller.shards import ShardManager
+from cowslipcourse.controller.silent_shards import Observer
 from cowslipcourse.daemon import Agent, now
 from cowslipcourse.daemon.reports import GATEWAY_PREFIX, GatewayReport
-from cowslipcourse.gateway.chooser import GroupChooser
 from cowslipcourse.gateway.claims import ClaimCommitter
+from cowslipcourse.gateway.context import BackgroundTasks, GatewayContext
 from cowslipcourse.gateway.fleet_view import FleetView
-from cowslipcourse.gateway.quarantine_ports import make_quarantine
+from cowslipcourse.gateway.group_selection import GroupChooser
+from cowslipcourse.gateway.quarantine_adapters import make_quarantine
 from cowslipcourse.gateway.services import ServiceHandler
-from cowslipcourse.gateway.tools import BackgroundTasks, GatewayContext
 from cowslipcourse.membership import Role
 from cowslipcourse.requests import OutcomeStore
 from cowslipcourse.settings import ControllerSettings, GatewaySettings, StandinSettings
-from cowslipcourse.standin.world import World
+from cowslipcourse.standin.environment import World
 from features.support.fakes import (
     FakeNetwork,
     FakePeers,
--- a/features/support/spread_runs.py
+++ b/features/support/spread_runs.py
@@ -6,11 +6,11 @@
 
 from cowslipcourse.emulator.clock import run_in_virtual_time
 from cowslipcourse.entry.attempts import TargetRun
-from cowslipcourse.entry.fleet import FleetView
-from cowslipcourse.peers import encode
+from cowslipcourse.entry.fleet_view import FleetView
+from cowslipcourse.peer_protocol import encode
 from cowslipcourse.ports import RowChanges, TargetEntry
 from cowslipcourse.quarantine import VerdictStore
-from cowslipcourse.quarantining import Quarantine, TargetExitDetector
+from cowslipcourse.quarantine_runtime import Quarantine, TargetExitDetector
 from features.support.daemon_network import IP_UDP_HEADER_BYTES, DaemonNetwork
 
 __all__ = ["SPREAD_LIMIT_S", "SpreadResult", "SpreadScenario", "simulate_spread"]
--- a/measurements/balance_cost.py
+++ b/measurements/balance_cost.py
@@ -6,8 +6,11 @@
 import sys
 import time
 
-from cowslipcourse.entry.balancing import REBALANCE_INTERVAL_S, STANDBY_INTERVAL_S
-from cowslipcourse.groups import (
+from cowslipcourse.entry.engine_reassignment import (
+    REBALANCE_INTERVAL_S,
+    STANDBY_INTERVAL_S,
+)
+from cowslipcourse.group_plans import (
     DomainPlan,
     PlannedGroup,
     choose_reassignments,
--- a/measurements/load_driver.py
+++ b/measurements/load_driver.py
@@ -20,14 +20,14 @@
     RetryBudget,
 )
 from cowslipcourse.exceptions import AdmissionError, DeadlinePassed
-from cowslipcourse.ports import EngineLoad
-from cowslipcourse.routing import (
+from cowslipcourse.load_balancing import (
     InFlight,
     LeastExpectedWait,
     PrefixMap,
     StragglerFilter,
     TargetView,
 )
+from cowslipcourse.ports import EngineLoad
 
 __all__ = ["LoadResult", "LoadShape", "simulate_load"]
 
@@ -443,7 +443,7 @@
 
     :param shape: :class:`LoadShape`
     :param policy_type: type that implements
-        :class:`~cowslipcourse.routing.RoutingPolicy`.
+        :class:`~cowslipcourse.load_balancing.RoutingPolicy`.
     :param seed: seed of all random numbers.
     :returns: :class:`LoadResult`
     """
--- a/measurements/overload.py
+++ b/measurements/overload.py
@@ -7,7 +7,7 @@
 
 import numpy as np
 
-from cowslipcourse.routing import LeastExpectedWait
+from cowslipcourse.load_balancing import LeastExpectedWait
 from measurements.load_driver import LoadShape, percentile, simulate_load
 
 SEEDS = 20
--- a/measurements/routing.py
+++ b/measurements/routing.py
@@ -9,7 +9,7 @@
 
 import numpy as np
 
-from cowslipcourse.routing import (
+from cowslipcourse.load_balancing import (
     LeastExpectedWait,
     LeastInFlight,
     RandomChoice,
