--- a/features/steps/gateway_ending_steps.py
+++ b/features/steps/gateway_ending_steps.py
@@ -37,7 +37,7 @@
             async for events in self._generate(targets, address, request):
                 yield events
             return
-        engine = await targets._target(address, 5.0)
+        engine = await targets._reach_target(address, 5.0)
         self.arrivals.append(now())
         await asyncio.sleep(CRASH_DELAY_S)
         self.crash_times.append(now())
